--- a/libraries/daemon/src/sardinepier/daemon/entry_process.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_process.py
@@ -20,22 +20,22 @@
 )
 from sardinepier.entry import (
     caller_server,
-    decisions,
+    decision_log,
     model,
     pages,
     pipeline,
-    published,
-    services,
+    platform_state,
+    service_registry,
 )
-from sardinepier.gateway import in_hand
-from sardinepier.health import belief
+from sardinepier.gateway import active_requests
+from sardinepier.health import failure_estimate
 from sardinepier.telemetry import logs
 from sardinepier.wire import messages
 from sardinepier.zones import (
     burst_share,
     carriers,
-    lapses,
-    reading,
+    expired_entries,
+    platform_reader,
     sharing,
     zone_load,
 )
@@ -88,7 +88,7 @@
     def __init__(
         self,
         settings: entry_settings.EntrySettings,
-        source: published.PublishedState,
+        source: platform_state.PublishedState,
         entry_pages: EntryPages,
     ) -> None:
         """Keep the settings; nothing is opened yet."""
@@ -96,15 +96,15 @@
         self._pages = entry_pages
         self._clock = clocks.SystemClock()
         self._random = random.Random()
-        self._activity = in_hand.InHand()
+        self._activity = active_requests.InHand()
         self._stop = asyncio.Event()
         self._tasks = task_set.TaskSet(self._part_failed)
-        self._services = services.Services(
+        self._services = service_registry.Services(
             settings.zone,
             self._clock,
             self._random,
             _PERCENT * settings.bounds.retry_ratio * _RETRY_MARGIN,
-            belief.BeliefOptions(),
+            failure_estimate.BeliefOptions(),
             settings.bounds.least_used_share,
             _confirmed_within_s(settings.bounds),
             settings.bounds.leeway,
@@ -133,7 +133,7 @@
             settings.bounds.zones,
             settings.bounds.retry_burst,
         )
-        self._guard = lapses.LapseGuard(self._clock)
+        self._guard = expired_entries.LapseGuard(self._clock)
         self._services.targets_age_s = self._guard.age_s
         self._sharing = sharing.ZoneSharing(
             self._network,
@@ -145,7 +145,7 @@
             self._random,
             _tell_configuration,
         )
-        self._reading = reading.PlatformReading(
+        self._reading = platform_reader.PlatformReading(
             source,
             self._services,
             self._carriers,
@@ -218,7 +218,7 @@
         await self._stop.wait()
         await self._depart(front, beside)
 
-    def _start_tasks(self, told: decisions.Decisions) -> None:
+    def _start_tasks(self, told: decision_log.Decisions) -> None:
         self._tasks.start(self._network.run())
         self._tasks.start(self._membership.run())
         self._tasks.start(self._sharing.run())
@@ -284,7 +284,7 @@
         await front.close(max(0.0, left_s))
         await beside.close()
 
-    async def _upkeep(self, told: decisions.Decisions) -> None:
+    async def _upkeep(self, told: decision_log.Decisions) -> None:
         while True:
             self._share_burst()
             told.tell_dropped()
--- a/libraries/daemon/src/sardinepier/daemon/entry_settings.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_settings.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from sardinepier.core import ids
-from sardinepier.entry import dialect, idle_bound
+from sardinepier.entry import header_names, idle_threshold
 from sardinepier.membership import capacity as capacities
 from sardinepier.routing import fleet_limits
 from sardinepier.wire import messages
@@ -30,7 +30,7 @@
     retry_ratio: float = 0.2
     retry_burst: int = 0
     zones: int = 1
-    least_used_share: float = idle_bound.LEAST_USED_SHARE
+    least_used_share: float = idle_threshold.LEAST_USED_SHARE
     revocation_s: float | None = None
     leeway: fleet_limits.Leeway = fleet_limits.USUAL_LEEWAY
 
@@ -58,5 +58,5 @@
     metrics: messages.PeerAddress | None
     seeds: tuple[messages.PeerAddress, ...]
     bounds: EntryBounds
-    names: dialect.HeaderNames
+    names: header_names.HeaderNames
     capacity: capacities.Capacity = capacities.USUAL
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_figures.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_figures.py
@@ -3,24 +3,24 @@
 import dataclasses
 import math
 
-from sardinepier.entry import measures, services
-from sardinepier.gateway import in_hand
+from sardinepier.entry import request_metrics, service_registry
+from sardinepier.gateway import active_requests
 from sardinepier.membership import membership
 from sardinepier.telemetry import exposition
-from sardinepier.zones import carriers, lapses, reading
+from sardinepier.zones import carriers, expired_entries, platform_reader
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryFigures:
     """Where the figures come from."""
 
-    measures: measures.Measures
-    services: services.Services
-    activity: in_hand.InHand
-    guard: lapses.LapseGuard
+    measures: request_metrics.Measures
+    services: service_registry.Services
+    activity: active_requests.InHand
+    guard: expired_entries.LapseGuard
     carriers: carriers.Carriers
     membership: membership.Membership
-    reading: reading.PlatformReading
+    reading: platform_reader.PlatformReading
 
     async def text(self) -> str:
         """Return all figures as they are now."""
@@ -45,5 +45,5 @@
             exposition.Gauge('members', len(self.membership.members())),
         )
         return await self.measures.text(
-            (*measures.of_services(self.services), *gauges),
+            (*request_metrics.of_services(self.services), *gauges),
         )
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
@@ -9,13 +9,13 @@
 from sardinepier.daemon import entry_events, entry_settings
 from sardinepier.entry import (
     context,
-    decisions,
-    dialect,
-    held_bytes,
-    measures,
-    services,
+    decision_log,
+    header_names,
+    buffer_budget,
+    request_metrics,
+    service_registry,
 )
-from sardinepier.gateway import client, in_hand
+from sardinepier.gateway import client, active_requests
 from sardinepier.membership import (
     events,
     kinds,
@@ -62,9 +62,9 @@
 
 
 def build_context(
-    names: dialect.HeaderNames,
-    held: services.Services,
-    counted: in_hand.InHand,
+    names: header_names.HeaderNames,
+    held: service_registry.Services,
+    counted: active_requests.InHand,
     clock: clocks.Clock,
 ) -> context.EntryContext:
     """Return what the request path works with, on a running event loop."""
@@ -75,9 +75,9 @@
         services=held,
         quarantine=quarantine.Quarantine(clock),
         activity=counted,
-        decisions=decisions.Decisions(held, clock),
-        measures=measures.Measures(),
-        held_bytes=held_bytes.HeldBytes(),
+        decisions=decision_log.Decisions(held, clock),
+        measures=request_metrics.Measures(),
+        held_bytes=buffer_budget.HeldBytes(),
     )
 
 
--- a/libraries/daemon/tests/cover/test_daemon_line_events.py
+++ b/libraries/daemon/tests/cover/test_daemon_line_events.py
@@ -6,7 +6,7 @@
 import pytest
 from sardinepier.daemon import entry_events
 from sardinepier.entry import events as request_events
-from sardinepier.entry import measures
+from sardinepier.entry import request_metrics
 from sardinepier.telemetry import line_events
 from sardinepier.zones import events as zone_events
 
@@ -37,7 +37,7 @@
     assert listed <= known | UNTYPED
 
 
-@pytest.mark.parametrize('name', measures.HELP_TEXTS)
+@pytest.mark.parametrize('name', request_metrics.HELP_TEXTS)
 def test_the_page_has_each_figure(name):
     assert f'| `sardinepier_{name}' in PAGE.read_text(encoding='utf-8')
 
--- a/libraries/entry/src/sardinepier/entry/answers.py
+++ b/libraries/entry/src/sardinepier/entry/answers.py
@@ -6,7 +6,7 @@
 import multidict
 from aiohttp import client_reqrep
 
-from sardinepier.entry import answer_rest, dialect
+from sardinepier.entry import answer_stream, header_names
 from sardinepier.gateway import errors, headers
 
 Headers = multidict.CIMultiDictProxy[str]
@@ -29,7 +29,7 @@
     reason: str | None
     headers: headers.Pairs
     body: bytes
-    rest: answer_rest.AnswerRest | None = None
+    rest: answer_stream.AnswerRest | None = None
 
     @property
     def is_good(self) -> bool:
@@ -64,7 +64,7 @@
 
 async def read(
     response: client_reqrep.ClientResponse,
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
     most_bytes: int,
     deadline_s: float,
 ) -> Answer:
@@ -95,7 +95,7 @@
         response.reason,
         headers.for_caller(response.headers),
         body,
-        None if is_whole else answer_rest.AnswerRest(response, deadline_s),
+        None if is_whole else answer_stream.AnswerRest(response, deadline_s),
     )
 
 
@@ -105,7 +105,7 @@
 ) -> tuple[bytes, bool]:
     """Return the first bytes, and whether that is all."""
     parts = bytearray()
-    while piece := await answer_rest.next_piece(response):
+    while piece := await answer_stream.next_piece(response):
         parts += piece
         if len(parts) > most_bytes:
             return bytes(parts), False
@@ -114,7 +114,7 @@
 
 def load_of(
     response: client_reqrep.ClientResponse,
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
 ) -> Load | None:
     """Return the load that the target told, None when it told none."""
     text = response.headers.get(names.load)
@@ -131,7 +131,7 @@
 
 def _refuse_not_run(
     response: client_reqrep.ClientResponse,
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
 ) -> None:
     if response.status == _MISDIRECTED:
         raise OtherTargetError(
--- a/libraries/entry/src/sardinepier/entry/attempt.py
+++ b/libraries/entry/src/sardinepier/entry/attempt.py
@@ -14,7 +14,7 @@
     service_pool,
     target_record,
 )
-from sardinepier.entry import work as works
+from sardinepier.entry import caller_request
 from sardinepier.gateway import connections, errors, statements
 
 _CONNECT_S: Final = 0.35
@@ -34,7 +34,7 @@
     def __init__(
         self,
         shared: context.EntryContext,
-        item: works.Work,
+        item: caller_request.Work,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
@@ -254,7 +254,7 @@
 
 
 def _reason(
-    item: works.Work,
+    item: caller_request.Work,
     record: target_record.TargetRecord,
     *,
     is_beside: bool,
--- a/libraries/entry/src/sardinepier/entry/caller_server.py
+++ b/libraries/entry/src/sardinepier/entry/caller_server.py
@@ -15,7 +15,7 @@
     web_server,
 )
 
-from sardinepier.entry import model, refusals, replies
+from sardinepier.entry import model, refusals, responses
 from sardinepier.telemetry import logs
 
 Handler = Callable[
@@ -95,7 +95,7 @@
                 f'The request is not valid HTTP: {message}',
                 'Send a valid HTTP/1.1 request',
             )
-        response = replies.of_error(error)
+        response = responses.of_error(error)
         response.force_close()
         return response
 
@@ -189,7 +189,7 @@
     if task.cancelled() or task.exception() is not None:
         return
     response = task.result()
-    if isinstance(response, replies.RelayedResponse):
+    if isinstance(response, responses.RelayedResponse):
         response.give_up()
 
 
--- a/libraries/entry/src/sardinepier/entry/openings.py
+++ b/libraries/entry/src/sardinepier/entry/capacity_forecast.py
@@ -8,7 +8,7 @@
 from sardinepier.core import ids
 from sardinepier.entry import target_record, target_table
 from sardinepier.gateway import target_statements
-from sardinepier.routing import waiting_line
+from sardinepier.routing import wait_queue
 
 _RETRY_AFTER_S: Final = 0.2
 """After which slots came free, or a list of targets may have changed."""
@@ -36,10 +36,10 @@
 def opening(
     table: target_table.TargetTable,
     now_s: float,
-) -> waiting_line.Opening:
+) -> wait_queue.Opening:
     """Return when the targets want requests again, and how many."""
     if earliest_s(table, (), now_s) <= now_s or not table.records():
-        return waiting_line.OPEN
+        return wait_queue.OPEN
     # Whoever is closed asked for something.
     return target_statements.opening(
         (record.stated for record in table.asking()),
--- a/libraries/entry/src/sardinepier/entry/context.py
+++ b/libraries/entry/src/sardinepier/entry/context.py
@@ -4,13 +4,13 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.entry import (
-    decisions,
-    dialect,
-    held_bytes,
-    measures,
-    services,
+    decision_log,
+    header_names,
+    buffer_budget,
+    request_metrics,
+    service_registry,
 )
-from sardinepier.gateway import client, in_hand
+from sardinepier.gateway import client, active_requests
 from sardinepier.once import quarantine
 
 
@@ -24,11 +24,11 @@
     """
 
     clock: clocks.Clock
-    names: dialect.HeaderNames
+    names: header_names.HeaderNames
     client: client.TargetClient
-    services: services.Services
+    services: service_registry.Services
     quarantine: quarantine.Quarantine
-    activity: in_hand.InHand
-    decisions: decisions.Decisions
-    measures: measures.Measures
-    held_bytes: held_bytes.HeldBytes
+    activity: active_requests.InHand
+    decisions: decision_log.Decisions
+    measures: request_metrics.Measures
+    held_bytes: buffer_budget.HeldBytes
--- a/libraries/entry/src/sardinepier/entry/credentials.py
+++ b/libraries/entry/src/sardinepier/entry/credentials.py
@@ -7,7 +7,7 @@
 import hashlib
 from typing import Final, Protocol
 
-from sardinepier.entry import dialect, refusals
+from sardinepier.entry import header_names, refusals
 
 _DIGEST_BYTES: Final = 16
 _PURPOSE: Final = b'customer-key'
@@ -35,7 +35,7 @@
 
 def sent_digest(
     headers: Headers,
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
 ) -> bytes | None:
     """Return the digest of the key in a request, None without any.
 
@@ -59,7 +59,7 @@
 
 def unknown_key(
     what: str,
-    names: dialect.HeaderNames,
+    names: header_names.HeaderNames,
 ) -> refusals.UnknownKeyError:
     """Return the refusal of a request that has ``what``."""
     return refusals.UnknownKeyError(
--- a/libraries/entry/src/sardinepier/entry/decisions.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -8,8 +8,8 @@
 from typing import Final
 
 from sardinepier.core import clock as clocks
-from sardinepier.entry import events, services, target_record
-from sardinepier.entry import work as works
+from sardinepier.entry import events, service_registry, target_record
+from sardinepier.entry import caller_request
 from sardinepier.gateway import statements
 from sardinepier.telemetry import line_budget, logs
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        held: services.Services,
+        held: service_registry.Services,
         clock: clocks.Clock,
     ) -> None:
         """Tell versions and targets from ``held``."""
@@ -50,7 +50,7 @@
 
     def sent(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         record: target_record.TargetRecord,
         reason: events.Reason,
         usual_s: float,
@@ -73,7 +73,7 @@
 
     def stated(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         record: target_record.TargetRecord,
         told: statements.Statement,
     ) -> None:
@@ -96,7 +96,7 @@
 
     def attempt_failed(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         choice: events.Choice,
         what: str,
         taken_s: float,
@@ -119,7 +119,7 @@
     def ended(
         self,
         request_id: str,
-        item: works.Work | None,
+        item: caller_request.Work | None,
         end: End,
     ) -> None:
         """Tell how a request ended, unless it was simply answered."""
@@ -138,7 +138,7 @@
 
     def _sent_line(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         choice: events.Choice,
         now_s: float,
     ) -> events.RequestSent:
@@ -159,7 +159,7 @@
     def _ended_line(
         self,
         request_id: str,
-        item: works.Work | None,
+        item: caller_request.Work | None,
         end: End,
     ) -> events.RequestEnded:
         now_s = self._clock.monotonic_s()
@@ -182,14 +182,16 @@
             targets_revision=revision,
         )
 
-    def _room(self, item: works.Work | None, now_s: float) -> tuple[int, int]:
+    def _room(
+        self, item: caller_request.Work | None, now_s: float
+    ) -> tuple[int, int]:
         if item is None:
             return 0, 0
         records = self._held.pool(item.service).targets.records()
         return len(records), sum(one.has_room(now_s) for one in records)
 
 
-def _customer_name(item: works.Work | None) -> str:
+def _customer_name(item: caller_request.Work | None) -> str:
     return item.customer.name if item and item.customer else ''
 
 
--- a/libraries/entry/src/sardinepier/entry/overlooked.py
+++ b/libraries/entry/src/sardinepier/entry/exploration.py
@@ -16,11 +16,11 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.entry import (
-    idle_bound,
-    preference,
+    idle_threshold,
+    target_cost,
     recent_failures,
     target_record,
-    wishes,
+    attempt_requirements,
 )
 
 _UNUSED_AFTER_S: Final = 2.0
@@ -44,7 +44,7 @@
 
 def unused(
     free: Iterable[target_record.TargetRecord],
-    situation: preference.Situation,
+    situation: target_cost.Situation,
 ) -> target_record.TargetRecord | None:
     """Return a target that waits for its first request.
 
@@ -79,7 +79,7 @@
 
 def neglected(
     free: Iterable[target_record.TargetRecord],
-    situation: preference.Situation,
+    situation: target_cost.Situation,
     due: Turn,
 ) -> target_record.TargetRecord | None:
     """Return the target of the own zone that has been idle for longest.
@@ -112,14 +112,14 @@
     def __init__(self, clock: clocks.Clock, least_used_share: float) -> None:
         """Keep ``least_used_share``, 0 to 1, of the sound targets in use."""
         self.recent = recent_failures.RecentFailures(clock)
-        self._bound = idle_bound.IdleBound(least_used_share)
+        self._bound = idle_threshold.IdleBound(least_used_share)
 
     def find(
         self,
         free: Sequence[target_record.TargetRecord],
         known: Iterable[target_record.TargetRecord],
-        wish: wishes.Wish,
-        situation: preference.Situation,
+        wish: attempt_requirements.Wish,
+        situation: target_cost.Situation,
     ) -> target_record.TargetRecord | None:
         """Return one of the ``free`` targets of those ``known``, or None.
 
@@ -135,8 +135,8 @@
     def _turns(
         self,
         known: Iterable[target_record.TargetRecord],
-        wish: wishes.Wish,
-        situation: preference.Situation,
+        wish: attempt_requirements.Wish,
+        situation: target_cost.Situation,
     ) -> tuple[Turn, ...]:
         """Return when targets have their turn, the first to go by first."""
         if not wish.is_last:
--- a/libraries/entry/src/sardinepier/entry/forwarding.py
+++ b/libraries/entry/src/sardinepier/entry/forwarding.py
@@ -13,12 +13,12 @@
     attempt,
     context,
     racing,
-    repeats,
+    retries,
     service_pool,
     target_record,
-    wishes,
+    attempt_requirements,
 )
-from sardinepier.entry import work as works
+from sardinepier.entry import caller_request
 from sardinepier.gateway import errors
 from sardinepier.routing import admission
 
@@ -38,7 +38,7 @@
         """Work with the daemon's collaborators."""
         self._shared = shared
 
-    async def forward(self, item: works.Work) -> answers.Answer:
+    async def forward(self, item: caller_request.Work) -> answers.Answer:
         """Return a target's answer.
 
         Raises ``NotRunError`` only when it is proved that nothing ran, else
@@ -46,7 +46,7 @@
         """
         pool = self._shared.services.pool(item.service)
         pool.retry_budget.record_request()
-        history = repeats.History()
+        history = retries.History()
         try:
             return await self._attempts(item, pool, history)
         except core_errors.SardinepierError as error:
@@ -56,9 +56,9 @@
 
     async def _attempts(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         pool: service_pool.ServicePool,
-        history: repeats.History,
+        history: retries.History,
     ) -> answers.Answer:
         while True:
             record = await self._admit(item, pool, history)
@@ -67,19 +67,19 @@
                 answer = await self._run(item, pool, record, history)
             except errors.GatewayError as error:
                 history.note(error)
-                if not repeats.may_go_on(item, pool, history, error):
+                if not retries.may_go_on(item, pool, history, error):
                     raise
                 continue
             history.ran += 1
-            if answer.is_good or not repeats.may_repeat(item, pool, history):
+            if answer.is_good or not retries.may_repeat(item, pool, history):
                 return answer
             history.answer = answer
 
     async def _admit(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         pool: service_pool.ServicePool,
-        history: repeats.History,
+        history: retries.History,
     ) -> target_record.TargetRecord:
         item.require_time(self._shared.clock)
         self._shared.quarantine.admit(item.fingerprint)
@@ -103,10 +103,10 @@
 
     async def _run(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
-        history: repeats.History,
+        history: retries.History,
     ) -> answers.Answer:
         """Run one attempt, and a second beside it when it is slow."""
         first = self._attempt(item, pool, record)
@@ -121,12 +121,12 @@
 
     def _hedge(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         pool: service_pool.ServicePool,
-        history: repeats.History,
+        history: retries.History,
     ) -> racing.Run | None:
         """Return a second attempt, None where it may not or can't begin."""
-        if not repeats.has_attempts_left(item, history.ran + 1):
+        if not retries.has_attempts_left(item, history.ran + 1):
             return None
         if item.left_s(self._shared.clock) <= pool.usual_s:
             return None
@@ -142,7 +142,7 @@
 
     async def _attempt(
         self,
-        item: works.Work,
+        item: caller_request.Work,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
@@ -175,22 +175,22 @@
 
 
 def _wish(
-    item: works.Work,
+    item: caller_request.Work,
     pool: service_pool.ServicePool,
-    history: repeats.History,
-) -> wishes.Wish:
+    history: retries.History,
+) -> attempt_requirements.Wish:
     patience_s = _PATIENCE * item.route.target_latency_s
-    return wishes.Wish(
+    return attempt_requirements.Wish(
         history.tried,
         len(item.body),
         item.arrived_s,
         item.arrived_s + patience_s,
-        is_last=not repeats.may_follow(item, pool, history),
+        is_last=not retries.may_follow(item, pool, history),
     )
 
 
 def _best_begun_by_s(
-    item: works.Work,
+    item: caller_request.Work,
     pool: service_pool.ServicePool,
 ) -> float:
     """Return until when an attempt may begin and still be in time.
--- a/libraries/entry/src/sardinepier/entry/idle_bound.py
+++ b/libraries/entry/src/sardinepier/entry/idle_threshold.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from sardinepier.entry import preference, target_record
+from sardinepier.entry import target_cost, target_record
 
 LEAST_USED_SHARE: Final = 0.7
 """Share of the sound targets of a service that has to get requests within two
@@ -48,7 +48,7 @@
     def chance(
         self,
         records: Iterable[target_record.TargetRecord],
-        situation: preference.Situation,
+        situation: target_cost.Situation,
     ) -> float:
         """Return the bound for the targets of the whole service."""
         if situation.now_s >= self._due_s:
@@ -59,7 +59,7 @@
     def _found(
         self,
         records: Iterable[target_record.TargetRecord],
-        situation: preference.Situation,
+        situation: target_cost.Situation,
     ) -> float:
         now_s = situation.now_s
         sound = 0
--- a/libraries/entry/src/sardinepier/entry/accounts.py
+++ b/libraries/entry/src/sardinepier/entry/outcome_recorder.py
@@ -8,11 +8,11 @@
 from sardinepier.entry import (
     answers,
     context,
-    decisions,
+    decision_log,
     events,
     refusals,
 )
-from sardinepier.entry import work as works
+from sardinepier.entry import caller_request
 
 _NO_STATUS: Final = 0
 _HEAD_BYTES: Final = 1000
@@ -32,7 +32,7 @@
         request: web_request.BaseRequest,
     ) -> None:
         """Begin with a request that was not read yet."""
-        self.item: works.Work | None = None
+        self.item: caller_request.Work | None = None
         self._shared = shared
         self._request = request
         self._began_s = shared.clock.monotonic_s()
@@ -44,13 +44,13 @@
             if answer.is_good
             else events.Outcome.TARGET_FAILED
         )
-        self._end(decisions.End(outcome, answer.status), answer.length_bytes)
+        self._end(decision_log.End(outcome, answer.status), answer.length_bytes)
 
     def refused(self, error: core_errors.SardinepierError) -> None:
         """Tell that the daemon answers itself."""
         is_unknown = isinstance(error, refusals.UnknownFateError)
         self._end(
-            decisions.End(
+            decision_log.End(
                 events.Outcome.UNKNOWN
                 if is_unknown
                 else events.Outcome.REFUSED,
@@ -62,9 +62,9 @@
 
     def abandoned(self) -> None:
         """Tell that the caller left."""
-        self._end(decisions.End(events.Outcome.ABANDONED, _NO_STATUS))
+        self._end(decision_log.End(events.Outcome.ABANDONED, _NO_STATUS))
 
-    def _end(self, end: decisions.End, answer_bytes: int = 0) -> None:
+    def _end(self, end: decision_log.End, answer_bytes: int = 0) -> None:
         names = self._shared.names
         body_bytes = len(self.item.body) if self.item else 0
         passed_bytes = _HEAD_BYTES + body_bytes + answer_bytes
--- a/libraries/entry/src/sardinepier/entry/pipeline.py
+++ b/libraries/entry/src/sardinepier/entry/pipeline.py
@@ -6,16 +6,16 @@
 
 from sardinepier.core import errors as core_errors
 from sardinepier.entry import (
-    accounts,
+    outcome_recorder,
     answers,
     caller_server,
     context,
     forwarding,
-    intake,
+    request_reader,
     refusals,
-    replies,
+    responses,
 )
-from sardinepier.entry import work as works
+from sardinepier.entry import caller_request
 from sardinepier.telemetry import logs
 
 
@@ -25,7 +25,7 @@
     def __init__(self, shared: context.EntryContext) -> None:
         """Work with the daemon's collaborators."""
         self._shared = shared
-        self._intake = intake.Intake(shared)
+        self._intake = request_reader.Intake(shared)
         self._forwarding = forwarding.Forwarding(shared)
         self._abandoned: set[asyncio.Task[answers.Answer]] = set()
 
@@ -67,13 +67,13 @@
         self,
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        account = accounts.Account(self._shared, request)
+        account = outcome_recorder.Account(self._shared, request)
         try:
             account.item = await self._intake.read(request)
             answer = await self._within_limit(account.item)
         except core_errors.SardinepierError as error:
             account.refused(error)
-            return replies.of_error(error)
+            return responses.of_error(error)
         except asyncio.CancelledError:
             account.abandoned()
             raise
@@ -84,11 +84,11 @@
                 'Find out whether the request ran before sending it anew',
             )
             account.refused(internal)
-            return replies.of_error(internal)
+            return responses.of_error(internal)
         account.answered(answer)
-        return replies.of_target(answer)
+        return responses.of_target(answer)
 
-    async def _within_limit(self, item: works.Work) -> answers.Answer:
+    async def _within_limit(self, item: caller_request.Work) -> answers.Answer:
         """Forward a request that its customer's limit allows.
 
         One that has not run doesn't count. Raises ``RateLimitError``.
@@ -112,7 +112,7 @@
                 limits.give_back(item.customer.name)
             raise
 
-    async def _forward(self, item: works.Work) -> answers.Answer:
+    async def _forward(self, item: caller_request.Work) -> answers.Answer:
         """Forward a request; a hang-up ends what may be ended.
 
         An idempotent request ends with its caller. One that isn't goes on
--- a/libraries/entry/src/sardinepier/entry/measures.py
+++ b/libraries/entry/src/sardinepier/entry/request_metrics.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from sardinepier.entry import events, services
+from sardinepier.entry import events, service_registry
 from sardinepier.telemetry import exposition, metrics
 
 HELP_TEXTS: Final[Mapping[str, str]] = {
@@ -91,7 +91,9 @@
         return exposition.text(snapshot, gauges, HELP_TEXTS)
 
 
-def of_services(held: services.Services) -> tuple[exposition.Gauge, ...]:
+def of_services(
+    held: service_registry.Services,
+) -> tuple[exposition.Gauge, ...]:
     """Return what is known of the configuration and the targets."""
     configuration = held.configuration
     version = configuration.version if configuration else 0
--- a/libraries/entry/src/sardinepier/entry/intake.py
+++ b/libraries/entry/src/sardinepier/entry/request_reader.py
@@ -13,7 +13,7 @@
     refusals,
     route_table,
 )
-from sardinepier.entry import work as works
+from sardinepier.entry import caller_request
 from sardinepier.gateway import body, headers
 from sardinepier.gateway import refusals as gateway_refusals
 
@@ -46,7 +46,9 @@
         )
         self._credentials = names.credentials.lower()
 
-    async def read(self, request: web_request.BaseRequest) -> works.Work:
+    async def read(
+        self, request: web_request.BaseRequest
+    ) -> caller_request.Work:
         """Return the whole request with its route.
 
         Raises ``NotConfiguredError``, ``UnknownRouteError``, the refusals of
@@ -66,7 +68,7 @@
         customer = self._authenticator.customer_of(request, route)
         caller_deadline_s = arrived_s + self._patience_s(request)
         content = await self._body(request, caller_deadline_s)
-        return works.Work(
+        return caller_request.Work(
             request_id=request.headers.get(self._shared.names.attempt_id, ''),
             method=request.method,
             path=request.raw_path,
--- a/libraries/entry/src/sardinepier/entry/replies.py
+++ b/libraries/entry/src/sardinepier/entry/responses.py
@@ -8,7 +8,7 @@
 from aiohttp import helpers, web_response
 
 from sardinepier.core import errors as core_errors
-from sardinepier.entry import answer_rest, answers, refusals
+from sardinepier.entry import answer_stream, answers, refusals
 from sardinepier.gateway import errors as gateway_errors
 from sardinepier.telemetry import logs
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         answer: answers.Answer,
-        rest: answer_rest.AnswerRest,
+        rest: answer_stream.AnswerRest,
     ) -> None:
         """Begin with the part of ``answer`` that was read."""
         super().__init__(
--- a/libraries/entry/src/sardinepier/entry/repeats.py
+++ b/libraries/entry/src/sardinepier/entry/retries.py
@@ -10,8 +10,8 @@
 
 from sardinepier.core import errors as core_errors
 from sardinepier.core import ids
-from sardinepier.entry import answers, last_resort, service_pool
-from sardinepier.entry import work as works
+from sardinepier.entry import answers, final_failure, service_pool
+from sardinepier.entry import caller_request
 from sardinepier.gateway import errors
 
 _MOST_NOT_RUN: Final = 4
@@ -56,7 +56,7 @@
 
         ``retry_after_s`` is told where nothing ran for want of a target.
         """
-        return last_resort.last_resort(
+        return final_failure.last_resort(
             self.answer,
             self.failure,
             error,
@@ -64,13 +64,13 @@
         )
 
 
-def has_attempts_left(item: works.Work, ran: int) -> bool:
+def has_attempts_left(item: caller_request.Work, ran: int) -> bool:
     """Tell whether a request that may have run so often may run again."""
     return item.route.is_idempotent and ran < item.route.max_attempts
 
 
 def may_follow(
-    item: works.Work,
+    item: caller_request.Work,
     pool: service_pool.ServicePool,
     history: History,
 ) -> bool:
@@ -81,7 +81,7 @@
 
 
 def may_go_on(
-    item: works.Work,
+    item: caller_request.Work,
     pool: service_pool.ServicePool,
     history: History,
     error: errors.GatewayError,
@@ -103,7 +103,7 @@
 
 
 def may_repeat(
-    item: works.Work,
+    item: caller_request.Work,
     pool: service_pool.ServicePool,
     history: History,
 ) -> bool:
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -7,17 +7,17 @@
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
 from sardinepier.entry import (
-    idle_bound,
+    idle_threshold,
     model,
-    overlooked,
-    preference,
+    exploration,
+    target_cost,
     refusals,
     target_record,
     target_table,
-    wishes,
+    attempt_requirements,
 )
-from sardinepier.entry import openings as target_openings
-from sardinepier.health import belief
+from sardinepier.entry import capacity_forecast
+from sardinepier.health import failure_estimate
 from sardinepier.routing import admission, budget, hedging
 
 _QUEUE_LENGTH: Final = 256
@@ -65,8 +65,8 @@
         clock: clocks.Clock,
         random_source: random.Random,
         retry_percent: float,
-        options: belief.BeliefOptions,
-        least_used_share: float = idle_bound.LEAST_USED_SHARE,
+        options: failure_estimate.BeliefOptions,
+        least_used_share: float = idle_threshold.LEAST_USED_SHARE,
     ) -> None:
         """Start without targets."""
         self.name = name
@@ -74,7 +74,7 @@
         self.on_outcome: Callable[[bool], None] = _tell_nobody
         self.shares_zone = False
         self.lost_zones: frozenset[ids.ZoneName] = frozenset()
-        self._overlooked = overlooked.Overlooked(clock, least_used_share)
+        self._overlooked = exploration.Overlooked(clock, least_used_share)
         self._usual_bytes = 0.0
         self._hedge_delay = hedging.HedgeDelay(_HEDGE_PERCENTILE)
         # No floor: many daemons with a few requests each would use it, and
@@ -100,7 +100,7 @@
             _QUEUE_LENGTH,
             random_source,
             self._give_back,
-            lambda: target_openings.opening(
+            lambda: capacity_forecast.opening(
                 self.targets,
                 clock.monotonic_s(),
             ),
@@ -114,7 +114,7 @@
     async def acquire(
         self,
         work: admission.Work,
-        wish: wishes.Wish,
+        wish: attempt_requirements.Wish,
     ) -> target_record.TargetRecord:
         """Wait for a slot at a target that was not tried yet.
 
@@ -126,7 +126,7 @@
         too long. The slot is reserved until ``started``, which must follow
         before anything else is awaited.
         """
-        opens_at_s = target_openings.earliest_s(
+        opens_at_s = capacity_forecast.earliest_s(
             self.targets,
             wish.tried,
             self._clock.monotonic_s(),
@@ -143,7 +143,7 @@
         return record
 
     def try_acquire(
-        self, wish: wishes.Wish
+        self, wish: attempt_requirements.Wish
     ) -> target_record.TargetRecord | None:
         """Return a target with a free slot, None when a wait is needed."""
         target_id = self._choose(wish)
@@ -248,13 +248,13 @@
 
     def retry_after_s(self) -> float:
         """Return when targets want requests again, here or elsewhere."""
-        return target_openings.retry_after_s(
+        return capacity_forecast.retry_after_s(
             self.targets.records(),
             self._clock.monotonic_s(),
             self._random,
         )
 
-    def _choose(self, wish: wishes.Wish) -> ids.TargetId | None:
+    def _choose(self, wish: attempt_requirements.Wish) -> ids.TargetId | None:
         now_s = self._clock.monotonic_s()
         closed = self.targets.closed()
         known = [one for one in self.targets.records() if one not in closed]
@@ -269,16 +269,16 @@
             if record.has_room(now_s)
             and not record.is_on_trial(now_s, self.usual_s)
         ]
-        situation = preference.Situation(
+        situation = target_cost.Situation(
             self._zone,
             now_s,
             self.usual_s,
-            preference.zone_cost(wish.body_bytes + self._usual_bytes),
+            target_cost.zone_cost(wish.body_bytes + self._usual_bytes),
             shares_zone=self.shares_zone,
             lost_zones=self.lost_zones,
         )
         due = self._overlooked.find(free, known, wish, situation)
-        chosen = due or preference.surest(
+        chosen = due or target_cost.surest(
             free,
             wanted,
             wish.tolerance(now_s),
--- a/libraries/entry/src/sardinepier/entry/services.py
+++ b/libraries/entry/src/sardinepier/entry/service_registry.py
@@ -13,15 +13,15 @@
 from sardinepier.entry import (
     customers,
     events,
-    idle_bound,
+    idle_threshold,
     model,
     refusals,
     route_table,
     service_pool,
-    starts,
+    incarnations,
 )
 from sardinepier.entry import confirmation as confirmations
-from sardinepier.health import belief
+from sardinepier.health import failure_estimate
 from sardinepier.routing import fleet_limits
 from sardinepier.telemetry import logs
 
@@ -44,8 +44,8 @@
         clock: clocks.Clock,
         random_source: random.Random,
         retry_percent: float,
-        options: belief.BeliefOptions,
-        least_used_share: float = idle_bound.LEAST_USED_SHARE,
+        options: failure_estimate.BeliefOptions,
+        least_used_share: float = idle_threshold.LEAST_USED_SHARE,
         confirmed_within_s: float | None = None,
         leeway: fleet_limits.Leeway = fleet_limits.USUAL_LEEWAY,
     ) -> None:
@@ -77,7 +77,7 @@
         self._retry_burst = 0.0
         self._shares_zone = False
         self._lost_zones: frozenset[ids.ZoneName] = frozenset()
-        self._starts = starts.NewestStarts()
+        self._starts = incarnations.NewestStarts()
         self._has_table = asyncio.Event()
         self._table: route_table.RouteTable | None = None
         self._pools: dict[ids.ServiceName, service_pool.ServicePool] = {}
--- a/libraries/entry/src/sardinepier/entry/target_record.py
+++ b/libraries/entry/src/sardinepier/entry/target_record.py
@@ -8,7 +8,7 @@
 
 from sardinepier.entry import model
 from sardinepier.gateway import target_statements
-from sardinepier.health import belief
+from sardinepier.health import failure_estimate
 
 _SMOOTHING: Final = 0.2
 """Weight of the newest latency; about the last five decide."""
@@ -75,7 +75,7 @@
     """
 
     listed: model.ListedTarget
-    belief: belief.TargetBelief
+    belief: failure_estimate.TargetBelief
     url: yarl.URL
     known_since_s: float = 0.0
     distance: float = 0.0
--- a/libraries/entry/src/sardinepier/entry/target_table.py
+++ b/libraries/entry/src/sardinepier/entry/target_table.py
@@ -10,7 +10,7 @@
 from sardinepier.core import ids
 from sardinepier.entry import model, target_record
 from sardinepier.gateway import errors, statements
-from sardinepier.health import belief
+from sardinepier.health import failure_estimate
 
 
 _MOST_LEFT: Final = 4096
@@ -30,7 +30,7 @@
         self,
         clock: clocks.Clock,
         random_source: random.Random,
-        options: belief.BeliefOptions,
+        options: failure_estimate.BeliefOptions,
     ) -> None:
         """Start without targets."""
         self._clock = clock
@@ -145,7 +145,7 @@
             return record
         return target_record.TargetRecord(
             listed,
-            belief.TargetBelief(self._options, now_s),
+            failure_estimate.TargetBelief(self._options, now_s),
             yarl.URL.build(scheme='http', host=listed.ip, port=listed.port),
             known_since_s=now_s,
             distance=self._random.random(),
--- a/libraries/entry/tests/conftest.py
+++ b/libraries/entry/tests/conftest.py
@@ -9,27 +9,27 @@
 from sardinepier.entry import (
     caller_server,
     context,
-    decisions,
-    held_bytes,
-    measures,
+    decision_log,
+    buffer_budget,
+    request_metrics,
     pipeline,
-    services,
+    service_registry,
 )
 from sardinepier.gateway import client as clients
-from sardinepier.gateway import in_hand
-from sardinepier.health import belief
+from sardinepier.gateway import active_requests
+from sardinepier.health import failure_estimate
 from sardinepier.once import quarantine
 
 
 @pytest.fixture
 async def entry():
     clock = clocks.SystemClock()
-    held = services.Services(
+    held = service_registry.Services(
         given.ZONE,
         clock,
         random.Random(7),
         50.0,
-        belief.BeliefOptions(),
+        failure_estimate.BeliefOptions(),
     )
     shared = context.EntryContext(
         clock=clock,
@@ -37,10 +37,10 @@
         client=clients.TargetClient(),
         services=held,
         quarantine=quarantine.Quarantine(clock),
-        activity=in_hand.InHand(),
-        decisions=decisions.Decisions(held, clock),
-        measures=measures.Measures(),
-        held_bytes=held_bytes.HeldBytes(),
+        activity=active_requests.InHand(),
+        decisions=decision_log.Decisions(held, clock),
+        measures=request_metrics.Measures(),
+        held_bytes=buffer_budget.HeldBytes(),
     )
     shared.services.set_retry_burst(10)
     shared.services.offer_configuration(given.configuration())
--- a/libraries/entry/tests/cover/test_entry_choice.py
+++ b/libraries/entry/tests/cover/test_entry_choice.py
@@ -8,8 +8,8 @@
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import refusals, service_pool, wishes
-from sardinepier.health import belief
+from sardinepier.entry import refusals, service_pool, attempt_requirements
+from sardinepier.health import failure_estimate
 from sardinepier.routing import admission
 
 
@@ -24,7 +24,7 @@
             self.clock,
             random.Random(3),
             20.0,
-            belief.BeliefOptions(),
+            failure_estimate.BeliefOptions(),
         )
         self.pool.targets.set(
             [
@@ -35,7 +35,9 @@
 
     def wish(self, tried=(), since_s=None, is_last=False, patient_s=0.3):
         now_s = self.clock.monotonic_s() if since_s is None else since_s
-        return wishes.Wish(tried, 0, now_s, now_s + patient_s, is_last)
+        return attempt_requirements.Wish(
+            tried, 0, now_s, now_s + patient_s, is_last
+        )
 
     def take(self, **wished):
         record = self.pool.try_acquire(self.wish(**wished))
--- a/libraries/entry/tests/cover/test_entry_customers.py
+++ b/libraries/entry/tests/cover/test_entry_customers.py
@@ -13,9 +13,9 @@
     credentials,
     customers,
     model,
-    services,
+    service_registry,
 )
-from sardinepier.health import belief
+from sardinepier.health import failure_estimate
 
 KEY = 'key-of-a-library'
 OTHER = 'key-of-another'
@@ -262,12 +262,12 @@
 
 
 def test_services_without_customers_have_no_table():
-    held = services.Services(
+    held = service_registry.Services(
         given.ZONE,
         clocks.ManualClock(),
         random.Random(1),
         50.0,
-        belief.BeliefOptions(),
+        failure_estimate.BeliefOptions(),
     )
     held.offer_configuration(given.configuration())
     assert held.customers is None
--- a/libraries/entry/tests/cover/test_entry_starts.py
+++ b/libraries/entry/tests/cover/test_entry_incarnations.py
@@ -7,8 +7,8 @@
 from hypothesis import given as with_any
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import model, services
-from sardinepier.health import belief
+from sardinepier.entry import model, service_registry
+from sardinepier.health import failure_estimate
 
 
 def start(name, born_ms, state=model.TargetState.READY, port=1):
@@ -22,12 +22,12 @@
 
 
 def serving():
-    return services.Services(
+    return service_registry.Services(
         given.ZONE,
         clocks.ManualClock(100.0),
         random.Random(1),
         20.0,
-        belief.BeliefOptions(),
+        failure_estimate.BeliefOptions(),
     )
 
 
--- a/libraries/entry/tests/cover/test_entry_large_answers.py
+++ b/libraries/entry/tests/cover/test_entry_large_answers.py
@@ -5,7 +5,7 @@
 
 import entry_support as given
 import pytest
-from sardinepier.entry import held_bytes
+from sardinepier.entry import buffer_budget
 
 LARGE = bytes(range(256)) * 20_000
 """Five megabytes: more than any answer that is held whole."""
@@ -215,9 +215,9 @@
     opened = [await open_to(entry) for _ in range(200)]
     held = entry.shared.held_bytes.held_bytes
     # What a caller has not read yet counts, until it has.
-    assert held > held_bytes.DEFAULT_BYTES / 4
-    least = 200 * (held_bytes.LEAST_WHOLE_BYTES + 2**16)
-    assert held < held_bytes.DEFAULT_BYTES + least
+    assert held > buffer_budget.DEFAULT_BYTES / 4
+    least = 200 * (buffer_budget.LEAST_WHOLE_BYTES + 2**16)
+    assert held < buffer_budget.DEFAULT_BYTES + least
     for _, writer, _ in opened:
         writer.transport.abort()
     await given.until(lambda: not in_flight(entry))
@@ -228,7 +228,7 @@
 
 
 def test_the_more_is_held_the_less_is_held_whole():
-    held = held_bytes.HeldBytes(4_000_000)
+    held = buffer_budget.HeldBytes(4_000_000)
     bounds = [held.bound()]
     holders = [Holder() for _ in range(20)]
     for holder in holders:
@@ -236,7 +236,7 @@
         bounds.append(held.bound())
     assert bounds == sorted(bounds, reverse=True)
     assert bounds[0] == 500_000
-    assert bounds[-1] == held_bytes.LEAST_WHOLE_BYTES
+    assert bounds[-1] == buffer_budget.LEAST_WHOLE_BYTES
     del holder
     holders.clear()
     gc.collect()
@@ -244,5 +244,5 @@
 
 
 def test_no_answer_is_held_whole_beyond_its_own_bound():
-    held = held_bytes.HeldBytes(10**12)
-    assert held.bound() == held_bytes.MOST_WHOLE_BYTES
+    held = buffer_budget.HeldBytes(10**12)
+    assert held.bound() == buffer_budget.MOST_WHOLE_BYTES
--- a/libraries/entry/tests/cover/test_entry_lines.py
+++ b/libraries/entry/tests/cover/test_entry_lines.py
@@ -6,7 +6,7 @@
 import entry_support as given
 import msgspec
 import pytest
-from sardinepier.entry import decisions, events, measures
+from sardinepier.entry import decision_log, events, request_metrics
 from sardinepier.telemetry import logs
 
 
@@ -93,7 +93,7 @@
     entry.shared.services.set_retry_burst(0)
     await entry.ask()
     held = entry.shared.services
-    text = await entry.shared.measures.text(measures.of_services(held))
+    text = await entry.shared.measures.text(request_metrics.of_services(held))
     assert 'attempts_begun_total{reason="first",service="books"} 1' in text
     assert 'repeats_denied 1' in text
     assert 'repeats_granted 0' in text
@@ -144,8 +144,8 @@
     entry,
     lines,
 ):
-    told = decisions.Decisions(entry.shared.services, entry.shared.clock)
-    end = decisions.End(events.Outcome.REFUSED, 503, 'NoTargetError', 'none')
+    told = decision_log.Decisions(entry.shared.services, entry.shared.clock)
+    end = decision_log.End(events.Outcome.REFUSED, 503, 'NoTargetError', 'none')
     allowed = [told._sent.allows() for _ in range(121)]
     assert not allowed[-1]
     told.ended('id-2', None, end)
--- a/libraries/entry/tests/cover/test_entry_routes.py
+++ b/libraries/entry/tests/cover/test_entry_routes.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import model, refusals, route_table, services
-from sardinepier.health import belief
+from sardinepier.entry import model, refusals, route_table, service_registry
+from sardinepier.health import failure_estimate
 
 LONGER = given.route('/books/new/')
 ELSEWHERE = model.Route(
@@ -68,12 +68,12 @@
 
 
 def make_services():
-    return services.Services(
+    return service_registry.Services(
         given.ZONE,
         clocks.ManualClock(),
         random.Random(1),
         20.0,
-        belief.BeliefOptions(),
+        failure_estimate.BeliefOptions(),
     )
 
 
--- a/libraries/entry/tests/cover/test_entry_statements.py
+++ b/libraries/entry/tests/cover/test_entry_statements.py
@@ -6,7 +6,7 @@
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import measures, target_record
+from sardinepier.entry import request_metrics, target_record
 from sardinepier.gateway import statements, target_statements
 
 ONCE = '/once/1'
@@ -338,7 +338,7 @@
         await entry.ask(ONCE)
     figures = {
         one.name: one.value
-        for one in measures.of_services(entry.shared.services)
+        for one in request_metrics.of_services(entry.shared.services)
     }
     assert (figures['targets'], figures['targets_closed']) == (2, 1)
 
--- a/libraries/entry/tests/cover/test_entry_zones_apart.py
+++ b/libraries/entry/tests/cover/test_entry_zone_affinity.py
@@ -14,8 +14,8 @@
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import service_pool, wishes
-from sardinepier.health import belief
+from sardinepier.entry import service_pool, attempt_requirements
+from sardinepier.health import failure_estimate
 
 ZONES = [ids.ZoneName(f'z{number}') for number in range(5)]
 TARGETS_A_ZONE = 26
@@ -69,7 +69,7 @@
             self.clock,
             random.Random(zone),
             20.0,
-            belief.BeliefOptions(),
+            failure_estimate.BeliefOptions(),
         )
         pool.targets.set(listed)
         for record in pool.targets.records():
@@ -85,7 +85,9 @@
     def _send(self, zone, since_s):
         now_s = self.clock.monotonic_s()
         pool = self.pools[zone]
-        wish = wishes.Wish((), 0, since_s, since_s + PATIENCE_S, is_last=True)
+        wish = attempt_requirements.Wish(
+            (), 0, since_s, since_s + PATIENCE_S, is_last=True
+        )
         record = pool.try_acquire(wish)
         if record is None:
             return False
--- a/libraries/entry/tests/entry_support.py
+++ b/libraries/entry/tests/entry_support.py
@@ -8,14 +8,14 @@
 
 from sardinepier.core import ids
 from sardinepier.entry import (
-    dialect,
+    header_names,
     model,
 )
 
 LOOPBACK = '127.0.0.1'
 SERVICE = ids.ServiceName('books')
 ZONE = ids.ZoneName('z1')
-NAMES = dialect.HeaderNames()
+NAMES = header_names.HeaderNames()
 BODY = b'the whole answer'
 PATIENCE_S = 20.0
 """Far more than anything takes; only what never comes is waited for so long."""
--- a/libraries/gateway/src/sardinepier/gateway/activity.py
+++ b/libraries/gateway/src/sardinepier/gateway/activity.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from sardinepier.gateway import in_hand, refusals
+from sardinepier.gateway import active_requests, refusals
 
 BODY_MEMORY_BYTES: Final = 67_108_864
 """How much memory all bodies in hand may take."""
@@ -13,7 +13,7 @@
 _RETRY_AFTER_S: Final = 1.0
 
 
-class Activity(in_hand.InHand):
+class Activity(active_requests.InHand):
     """Counts work in hand, and the memory that bodies take.
 
     A keyed request counts twice while its caller waits: once for the caller
--- a/libraries/gateway/src/sardinepier/gateway/exchange.py
+++ b/libraries/gateway/src/sardinepier/gateway/exchange.py
@@ -17,7 +17,7 @@
     reading,
     statements,
     target_answer,
-    work,
+    caller_request,
 )
 from sardinepier.health import evidence, targets
 from sardinepier.telemetry import target_events
@@ -51,7 +51,7 @@
     def __init__(
         self,
         context: contexts.GatewayContext,
-        item: work.Work,
+        item: caller_request.Work,
         target_id: ids.TargetId,
     ) -> None:
         """Take over the reserved slot."""
--- a/libraries/gateway/src/sardinepier/gateway/forwarding.py
+++ b/libraries/gateway/src/sardinepier/gateway/forwarding.py
@@ -19,7 +19,7 @@
     refusals,
     service_runtime,
     target_answer,
-    work,
+    caller_request,
 )
 from sardinepier.health import targets
 from sardinepier.routing import admission
@@ -52,7 +52,9 @@
         """Work with the daemon's collaborators."""
         self._context = context
 
-    async def forward(self, item: work.Work) -> target_answer.TargetAnswer:
+    async def forward(
+        self, item: caller_request.Work
+    ) -> target_answer.TargetAnswer:
         """Return a target's answer.
 
         Raises a subclass of ``UnknownFateError`` when any attempt may have
@@ -79,7 +81,7 @@
 
     async def _attempts(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         history: _History,
     ) -> target_answer.TargetAnswer:
         while True:
@@ -100,7 +102,7 @@
 
     async def _admit(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         history: _History,
     ) -> ids.TargetId:
         """Wait until an attempt may start, and reserve a slot for it."""
@@ -117,7 +119,9 @@
             self._context.quarantine.released(item.fingerprint)
             raise
 
-    def _avoid_crashed(self, item: work.Work, history: _History) -> None:
+    def _avoid_crashed(
+        self, item: caller_request.Work, history: _History
+    ) -> None:
         """Keep the request off targets that it crashed, if others are left.
 
         Crashing a target twice takes it down twice and tells nothing new.
@@ -128,7 +132,7 @@
 
     async def _wait_for_slot(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         history: _History,
     ) -> ids.TargetId:
         target_id = await item.runtime.queue.acquire(
@@ -145,7 +149,7 @@
 
     async def _attempt(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         target_id: ids.TargetId,
         history: _History,
     ) -> target_answer.TargetAnswer:
@@ -162,7 +166,7 @@
 
     def _reserve_or_give_up(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         history: _History,
     ) -> ids.TargetId | None:
         """Return ``NO_TARGET`` once no target can take the request any more.
@@ -176,7 +180,7 @@
 
     def _reserve(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         history: _History,
     ) -> ids.TargetId | None:
         runtime = item.runtime
@@ -193,7 +197,9 @@
             runtime.slots.release(target_id)
             history.tried.add(target_id)
 
-    def _suits(self, item: work.Work, target_id: ids.TargetId) -> bool:
+    def _suits(
+        self, item: caller_request.Work, target_id: ids.TargetId
+    ) -> bool:
         # A newer file may have targets that the request's own has not.
         if target_id not in item.snapshot.targets:
             return False
@@ -204,7 +210,7 @@
 
     def _has_target(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         tried: Collection[ids.TargetId],
     ) -> bool:
         stated = item.runtime.stated
@@ -217,7 +223,7 @@
 
     def _may_go_on(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         history: _History,
         error: errors.GatewayError,
     ) -> bool:
@@ -242,14 +248,14 @@
             and item.runtime.retry_budget.try_spend()
         )
 
-    def _has_room(self, item: work.Work, history: _History) -> bool:
+    def _has_room(self, item: caller_request.Work, history: _History) -> bool:
         if history.attempts >= _MOST_ATTEMPTS:
             return False
         return self._has_target(item, history.tried)
 
     def _may_improve(
         self,
-        item: work.Work,
+        item: caller_request.Work,
         history: _History,
         answer: target_answer.TargetAnswer,
     ) -> bool:
@@ -261,7 +267,7 @@
         return item.runtime.retry_budget.try_spend()
 
 
-def _no_target(item: work.Work) -> refusals.NoTargetError:
+def _no_target(item: caller_request.Work) -> refusals.NoTargetError:
     return refusals.NoTargetError(
         f'Service {item.snapshot.settings.name} has no target that may take '
         'this request',
--- a/libraries/gateway/src/sardinepier/gateway/hedged.py
+++ b/libraries/gateway/src/sardinepier/gateway/hedged.py
@@ -6,7 +6,7 @@
 
 from sardinepier.core import ids
 from sardinepier.gateway import context as contexts
-from sardinepier.gateway import errors, exchange, target_answer, work
+from sardinepier.gateway import errors, exchange, target_answer, caller_request
 from sardinepier.once import errors as once_errors
 
 _MS_PER_S: Final = 1000
@@ -23,7 +23,7 @@
     def __init__(
         self,
         context: contexts.GatewayContext,
-        item: work.Work,
+        item: caller_request.Work,
         reserve: Callable[[], ids.TargetId | None],
         tried: set[ids.TargetId],
     ) -> None:
--- a/libraries/gateway/src/sardinepier/gateway/intake.py
+++ b/libraries/gateway/src/sardinepier/gateway/intake.py
@@ -8,7 +8,7 @@
 from sardinepier.core import ids
 from sardinepier.gateway import body as bodies
 from sardinepier.gateway import context as contexts
-from sardinepier.gateway import headers, refusals, work
+from sardinepier.gateway import headers, refusals, caller_request
 from sardinepier.settings import model
 
 _MS_PER_S: Final = 1000
@@ -27,7 +27,9 @@
         """Work with the daemon's collaborators."""
         self._context = context
 
-    async def read(self, request: web_request.BaseRequest) -> work.Work:
+    async def read(
+        self, request: web_request.BaseRequest
+    ) -> caller_request.Work:
         """Return the request as work.
 
         It is bound to the settings in force at this moment and keeps them.
@@ -53,7 +55,7 @@
                 context.clock,
                 deadline_s,
             )
-        return work.Work(
+        return caller_request.Work(
             snapshot,
             runtime,
             route,
@@ -63,7 +65,9 @@
             body,
             caller,
             deadline_s,
-            work.fingerprint(service, request.method, target_path, body),
+            caller_request.fingerprint(
+                service, request.method, target_path, body
+            ),
         )
 
     def _configuration(self) -> model.Configuration:
--- a/libraries/gateway/src/sardinepier/gateway/pipeline.py
+++ b/libraries/gateway/src/sardinepier/gateway/pipeline.py
@@ -20,8 +20,8 @@
     problems,
 )
 from sardinepier.gateway import refusals as refused
-from sardinepier.gateway import request_metrics as measures
-from sardinepier.gateway import work as works
+from sardinepier.gateway import request_metrics
+from sardinepier.gateway import caller_request
 from sardinepier.once import errors as once_errors
 from sardinepier.once import tickets
 from sardinepier.telemetry import logs
@@ -42,7 +42,7 @@
         """Work with the daemon's collaborators."""
         self._context = context
         self._intake = intake.Intake(context)
-        self._records = measures.RequestMetrics(context.metrics)
+        self._records = request_metrics.RequestMetrics(context.metrics)
         self._forwarding = forwarding.Forwarding(context)
         self._keyed = keyed.KeyedPath(context, self._forwarding)
 
@@ -74,7 +74,7 @@
     async def _answer(
         self,
         request: web_request.BaseRequest,
-        item: works.Work,
+        item: caller_request.Work,
     ) -> web_response.StreamResponse:
         if not item.route.idempotent:
             return await self._keyed.handle(request, item)
--- a/libraries/gateway/src/sardinepier/gateway/reading.py
+++ b/libraries/gateway/src/sardinepier/gateway/reading.py
@@ -4,7 +4,7 @@
 
 from aiohttp import client_exceptions, client_reqrep
 
-from sardinepier.gateway import errors, headers, target_answer, work
+from sardinepier.gateway import errors, headers, target_answer, caller_request
 from sardinepier.settings import model
 
 _NO_CONTENT: Final = frozenset((204, 304))
@@ -14,7 +14,7 @@
 
 async def read(
     response: client_reqrep.ClientResponse,
-    item: work.Work,
+    item: caller_request.Work,
     on_end: target_answer.OnEnd,
 ) -> target_answer.TargetAnswer:
     """Return the answer: whole, or its beginning when it is a long one.
@@ -55,7 +55,7 @@
 
 async def _read(
     response: client_reqrep.ClientResponse,
-    item: work.Work,
+    item: caller_request.Work,
     on_end: target_answer.OnEnd,
 ) -> target_answer.TargetAnswer:
     _require_frame(response, item.method)
--- a/libraries/gateway/src/sardinepier/gateway/relaying.py
+++ b/libraries/gateway/src/sardinepier/gateway/relaying.py
@@ -18,7 +18,7 @@
     headers,
     reading,
     snapshots,
-    work,
+    caller_request,
 )
 from sardinepier.membership import members
 
@@ -35,7 +35,7 @@
     async def relay(
         self,
         request: web_request.BaseRequest,
-        item: work.Work,
+        item: caller_request.Work,
         home: ids.InstanceId,
     ) -> web_response.StreamResponse:
         """Return the home's answer; raise ``HomeUnreachableError``."""
@@ -79,7 +79,7 @@
     async def _open(
         self,
         request: web_request.BaseRequest,
-        item: work.Work,
+        item: caller_request.Work,
         member: members.Member,
     ) -> client_reqrep.ClientResponse:
         origin = snapshots.origin(member.http_ip, member.http_port)
--- a/libraries/gateway/src/sardinepier/gateway/stated_targets.py
+++ b/libraries/gateway/src/sardinepier/gateway/stated_targets.py
@@ -8,7 +8,7 @@
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
 from sardinepier.gateway import statements, target_statements
-from sardinepier.routing import limit_parts, waiting_line
+from sardinepier.routing import limit_parts, wait_queue
 
 _ALONE: Final = ids.InstanceId('')
 
@@ -111,14 +111,14 @@
     def opening(
         self,
         targets: Collection[ids.TargetId],
-    ) -> waiting_line.Opening:
+    ) -> wait_queue.Opening:
         """Return when one of them wants requests again, and how many."""
         now_s = self._clock.monotonic_s()
         if not self._known or not targets:
-            return waiting_line.OPEN
+            return wait_queue.OPEN
         opens_at_s = min(self._opens_at_s(one, now_s) for one in targets)
         if opens_at_s <= now_s or math.isinf(opens_at_s):
-            return waiting_line.OPEN
+            return wait_queue.OPEN
         # Whoever is closed asked for something.
         return target_statements.opening(
             (self._known[one] for one in targets),
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from sardinepier.gateway import statements
-from sardinepier.routing import waiting_line
+from sardinepier.routing import wait_queue
 
 _KEPT_S: Final = 30.0
 """How long a limit is believed that nobody heard again. The daemon that sends to
@@ -40,7 +40,7 @@
 def opening(
     closed: Iterable['TargetStatements'],
     now_s: float,
-) -> waiting_line.Opening:
+) -> wait_queue.Opening:
     """Return when targets of which none wants a request now want some again."""
     first_s = math.inf
     any_s = math.inf
@@ -52,7 +52,7 @@
         else:
             first_s = min(first_s, wait_s)
             per_s += stated.own_per_s
-    return waiting_line.Opening(first_s, 1 / per_s if per_s else 0.0, any_s)
+    return wait_queue.Opening(first_s, 1 / per_s if per_s else 0.0, any_s)
 
 
 class TargetStatements:
--- a/libraries/gateway/tests/cover/test_gateway_held_back.py
+++ b/libraries/gateway/tests/cover/test_gateway_held_back.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sardinepier.core import ids
-from sardinepier.gateway import work
+from sardinepier.gateway import caller_request
 from sardinepier.once import marks
 
 POISON = 'GET /books/poison HTTP/1.1'
@@ -29,7 +29,7 @@
     gateway = await world.add_gateway()
     for number in range(4):
         path = f'/books/{number}'
-        suspect = work.fingerprint('books', 'GET', path, b'')
+        suspect = caller_request.fingerprint('books', 'GET', path, b'')
         if is_told_by_a_peer:
             _hear(gateway, suspect, 't0')
         else:
@@ -59,7 +59,7 @@
     await until(lambda: len(gateway.runtime().queue))
     _hear(
         gateway,
-        work.fingerprint('books', 'GET', '/books/poison', b''),
+        caller_request.fingerprint('books', 'GET', '/books/poison', b''),
         't8',
         't9',
     )
--- a/libraries/health/src/sardinepier/health/internal/intake.py
+++ b/libraries/health/src/sardinepier/health/internal/attempt_recording.py
@@ -6,7 +6,7 @@
 from sardinepier.core import ids
 from sardinepier.health import baseline, evidence, targets
 from sardinepier.health import options as health_options
-from sardinepier.health.internal import scoring, tracked
+from sardinepier.health.internal import scoring, tracked_target
 
 _MOST_IN_WINDOW: Final = 4096
 _VERY_SLOW_RESIDUAL: Final = 8
@@ -32,18 +32,18 @@
 
     def started(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         route: ids.RouteName,
         attempt: int,
         now_s: float,
     ) -> None:
         """Remember an attempt in flight."""
         median = self._medians.get(route)
-        one.flights[attempt] = tracked.Flight(now_s, median)
+        one.flights[attempt] = tracked_target.Flight(now_s, median)
 
     def finished(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         route: ids.RouteName,
         end: evidence.AttemptEnd,
         latency_ms: float | None,
@@ -66,7 +66,7 @@
 
     def probed(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         good: bool,
         latency_ms: float | None,
         now_s: float,
@@ -93,7 +93,7 @@
 
     def _position(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         route: ids.RouteName,
         end: evidence.AttemptEnd,
         latency_ms: float | None,
@@ -121,7 +121,7 @@
 
 
 def trial_result(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     sign: evidence.Sign | None,
     options: health_options.HealthOptions,
 ) -> TrialOutcome:
@@ -145,21 +145,21 @@
 )
 
 
-def _may_teach(one: tracked.Tracked) -> bool:
+def _may_teach(one: tracked_target.Tracked) -> bool:
     return (
         one.state is targets.TargetState.IN_SERVICE
         and one.suspicion.score() < scoring.ABOVE_SUSPICION
     )
 
 
-def _traffic_speaks(one: tracked.Tracked, now_s: float) -> bool:
+def _traffic_speaks(one: tracked_target.Tracked, now_s: float) -> bool:
     if one.last_traffic_s is None:
         return False
     return now_s - one.last_traffic_s < _TRAFFIC_SPEAKS_S
 
 
 def _count(
-    window: tracked.Window,
+    window: tracked_target.Window,
     sign: evidence.Sign,
     position: int | None,
 ) -> None:
--- a/libraries/health/src/sardinepier/health/internal/choices.py
+++ b/libraries/health/src/sardinepier/health/internal/choices.py
@@ -5,7 +5,7 @@
 from sardinepier.core import ids
 from sardinepier.health import options as health_options
 from sardinepier.health import targets
-from sardinepier.health.internal import roster, weights
+from sardinepier.health.internal import target_list, weights
 
 
 class Choices:
@@ -18,7 +18,7 @@
 
     def refresh(
         self,
-        listed: roster.Roster,
+        listed: target_list.Roster,
         in_flight: Mapping[ids.TargetId, int],
         options: health_options.HealthOptions,
         now_s: float,
--- a/libraries/health/src/sardinepier/health/internal/engine.py
+++ b/libraries/health/src/sardinepier/health/internal/engine.py
@@ -5,16 +5,16 @@
 
 from sardinepier.core import clock as core_clock
 from sardinepier.core import ids
-from sardinepier.health import change_detection, evidence, pooling
+from sardinepier.health import change_detection, evidence, peer_evidence
 from sardinepier.health import options as health_options
 from sardinepier.health.internal import (
     choices,
-    intake,
-    judgement,
+    attempt_recording,
+    group_scores,
     reporting,
-    roster,
+    target_list,
     scoring,
-    tracked,
+    tracked_target,
     verdict,
 )
 
@@ -34,9 +34,9 @@
     ) -> None:
         """Start without targets and without peers."""
         self.options = options
-        self.listed = roster.Roster(options)
-        self.intake = intake.Intake(options)
-        self.peers = pooling.PeerEvidence(observer, options, clock)
+        self.listed = target_list.Roster(options)
+        self.intake = attempt_recording.Intake(options)
+        self.peers = peer_evidence.PeerEvidence(observer, options, clock)
         self.reports = reporting.Reports(self.listed, options)
         self.verdicts = verdict.Verdicts(
             self.listed,
@@ -77,8 +77,8 @@
                 now_s,
             )
         self.scorer.score(listed, now_s, self.doubts)
-        judgement.update(listed, group, now_s, limits)
-        self.doubts = judgement.doubts_itself(listed)
+        group_scores.update(listed, group, now_s, limits)
+        self.doubts = group_scores.doubts_itself(listed)
         self.verdicts.judge(group, now_s, self.doubts, limits.threshold)
         self.choices.refresh(
             self.listed,
@@ -123,26 +123,26 @@
 
     def trial_ended(
         self,
-        one: tracked.Tracked,
-        outcome: intake.TrialOutcome,
+        one: tracked_target.Tracked,
+        outcome: attempt_recording.TrialOutcome,
     ) -> None:
         """Act on the last good trial or on a bad one."""
-        if outcome is intake.TrialOutcome.PASSED:
+        if outcome is attempt_recording.TrialOutcome.PASSED:
             limits = self._limits(self._group())
             now_s = self._clock.monotonic_s()
             self.verdicts.trial_passed(one, now_s, limits.threshold)
-        elif outcome is intake.TrialOutcome.FAILED:
+        elif outcome is attempt_recording.TrialOutcome.FAILED:
             self.verdicts.trial_failed(one)
         self.enforce()
 
-    def _group(self) -> judgement.Group:
-        return judgement.group_of(
+    def _group(self) -> group_scores.Group:
+        return group_scores.group_of(
             self._observer,
             self.peers.live(),
             self._clock.monotonic_s(),
         )
 
-    def _limits(self, group: judgement.Group) -> change_detection.Limits:
+    def _limits(self, group: group_scores.Group) -> change_detection.Limits:
         threshold = change_detection.threshold(
             self.scorer.rate.per_target_s(),
             self.options.false_ejections_per_target_day,
--- a/libraries/health/src/sardinepier/health/internal/floor.py
+++ b/libraries/health/src/sardinepier/health/internal/floor.py
@@ -5,7 +5,11 @@
 from sardinepier.core import ids
 from sardinepier.health import ejection, targets
 from sardinepier.health import options as health_options
-from sardinepier.health.internal import judgement, roster, tracked
+from sardinepier.health.internal import (
+    group_scores,
+    target_list,
+    tracked_target,
+)
 
 _States = targets.TargetState
 
@@ -20,8 +24,8 @@
 
 
 def fitting(
-    listed: roster.Roster,
-    group: judgement.Group,
+    listed: target_list.Roster,
+    group: group_scores.Group,
     now_s: float,
     options: health_options.HealthOptions,
 ) -> frozenset[ids.TargetId]:
@@ -44,24 +48,24 @@
 
 
 def _wanted(
-    listed: roster.Roster,
-    group: judgement.Group,
+    listed: target_list.Roster,
+    group: group_scores.Group,
     now_s: float,
 ) -> list[ejection.Wanted]:
     return [
         ejection.Wanted(
             target_id=one.target_id,
-            score=judgement.rank(one, group),
+            score=group_scores.rank(one, group),
             own=one.verdict in SICK,
             in_force=one.state is _States.EJECTED,
         )
         for one in listed
-        if one.verdict in SICK or judgement.peers_ejecting(one, group, now_s)
+        if one.verdict in SICK or group_scores.peers_ejecting(one, group, now_s)
     ]
 
 
 def _counts(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     now_s: float,
     options: health_options.HealthOptions,
 ) -> bool:
--- a/libraries/health/src/sardinepier/health/internal/judgement.py
+++ b/libraries/health/src/sardinepier/health/internal/group_scores.py
@@ -6,8 +6,8 @@
 from typing import Final
 
 from sardinepier.core import ids
-from sardinepier.health import change_detection, pooling
-from sardinepier.health.internal import relative, tracked, voting
+from sardinepier.health import change_detection, peer_evidence
+from sardinepier.health.internal import others_baseline, tracked_target, voting
 
 SUSPICION: Final = 0.125
 _DOUBT_SCORE: Final = 0.25
@@ -36,11 +36,11 @@
     """The observers that judge together at this moment."""
 
     own: ids.InstanceId
-    peers: Mapping[ids.InstanceId, pooling.Peer]
-    accusing: Mapping[ids.InstanceId, pooling.Peer]
+    peers: Mapping[ids.InstanceId, peer_evidence.Peer]
+    accusing: Mapping[ids.InstanceId, peer_evidence.Peer]
     """Peers that said a moment ago that requests of theirs are overdue."""
 
-    ejecting: Sequence[pooling.Peer]
+    ejecting: Sequence[peer_evidence.Peer]
     """Peers that have ejected some target."""
 
     def size(self) -> int:
@@ -50,7 +50,7 @@
 
 def group_of(
     own: ids.InstanceId,
-    peers: Mapping[ids.InstanceId, pooling.Peer],
+    peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     now_s: float,
 ) -> Group:
     """Return the group of this daemon and the peers heard lately."""
@@ -67,7 +67,7 @@
 
 
 def update(
-    tracked_targets: Sequence[tracked.Tracked],
+    tracked_targets: Sequence[tracked_target.Tracked],
     group: Group,
     now_s: float,
     limits: change_detection.Limits,
@@ -78,8 +78,10 @@
     scores then differ by chance the more, the higher they all are.
     """
     levels = [_levels(one, group, now_s, limits) for one in tracked_targets]
-    usual_own = relative.OthersQuantile([own for own, _ in levels], _USUAL)
-    usual_group = relative.OthersQuantile(
+    usual_own = others_baseline.OthersQuantile(
+        [own for own, _ in levels], _USUAL
+    )
+    usual_group = others_baseline.OthersQuantile(
         [pooled for _, pooled in levels],
         _USUAL,
     )
@@ -102,7 +104,7 @@
             limits.threshold,
         )
         _update_since(suspicion, now_s)
-        suspicion.vote = tracked.Vote.OPEN
+        suspicion.vote = tracked_target.Vote.OPEN
         if suspicion.group_score >= 1:
             overdue = overdue_by_observer(one, group)
             accusers = {
@@ -116,11 +118,11 @@
                 accusers,
                 now_s,
             )
-        if suspicion.vote is tracked.Vote.CUT_LINK:
+        if suspicion.vote is tracked_target.Vote.CUT_LINK:
             _strike_cut_links(suspicion)
 
 
-def _strike_cut_links(suspicion: tracked.Suspicion) -> None:
+def _strike_cut_links(suspicion: tracked_target.Suspicion) -> None:
     """Take out of the group's evidence what cut links explain.
 
     It would else outlast the votes: its observers send no more, and the
@@ -132,7 +134,7 @@
                 cusum.strike(observer)
 
 
-def _loss_level(suspicion: tracked.Suspicion) -> float:
+def _loss_level(suspicion: tracked_target.Suspicion) -> float:
     failing = max(
         suspicion.own[place].level for place in change_detection.FAILING
     )
@@ -143,7 +145,7 @@
     return (level - _STAND_OUT * usual) / (threshold + usual)
 
 
-def doubts_itself(tracked_targets: Sequence[tracked.Tracked]) -> bool:
+def doubts_itself(tracked_targets: Sequence[tracked_target.Tracked]) -> bool:
     """Return whether most targets look bad to this daemon alone."""
     active = [
         one
@@ -154,7 +156,9 @@
     return len(active) >= _FEWEST_TO_DOUBT and 2 * len(bad) > len(active)
 
 
-def peers_ejecting(one: tracked.Tracked, group: Group, now_s: float) -> int:
+def peers_ejecting(
+    one: tracked_target.Tracked, group: Group, now_s: float
+) -> int:
     """Return how many peers have this incarnation ejected."""
     count = 0
     for peer in group.ejecting:
@@ -165,7 +169,7 @@
     return count
 
 
-def rank(one: tracked.Tracked, group: Group) -> float:
+def rank(one: tracked_target.Tracked, group: Group) -> float:
     """Return the score by which daemons order ejections.
 
     An ejection in force keeps the score it was made with, so that the order
@@ -180,7 +184,7 @@
 
 
 def overdue_by_observer(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     group: Group,
 ) -> dict[ids.InstanceId, float]:
     """Return each observer's evidence of requests overdue in flight."""
@@ -197,7 +201,7 @@
 
 
 def _levels(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     group: Group,
     now_s: float,
     limits: change_detection.Limits,
@@ -265,7 +269,7 @@
     return total
 
 
-def _overdue_ms(one: tracked.Tracked, group: Group) -> float:
+def _overdue_ms(one: tracked_target.Tracked, group: Group) -> float:
     ages_ms = [one.suspicion.overdue_ms]
     for peer in group.accusing.values():
         if one.target_id in peer.overdue:
@@ -274,7 +278,7 @@
 
 
 def _add_pending(
-    suspicion: tracked.Suspicion,
+    suspicion: tracked_target.Suspicion,
     own: ids.InstanceId,
     now_s: float,
     limits: change_detection.Limits,
@@ -291,7 +295,7 @@
     pending.clear()
 
 
-def _update_since(suspicion: tracked.Suspicion, now_s: float) -> None:
+def _update_since(suspicion: tracked_target.Suspicion, now_s: float) -> None:
     score = suspicion.score()
     if score < SUSPICION:
         suspicion.since_s = None
--- a/libraries/health/src/sardinepier/health/internal/relative.py
+++ b/libraries/health/src/sardinepier/health/internal/others_baseline.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from sardinepier.health.internal import tracked
+from sardinepier.health.internal import tracked_target
 
 _TRIMMED_SHARE: Final = 4
 _PRIOR_ATTEMPTS: Final = 10
@@ -45,7 +45,7 @@
     slowest target. The first is exact but late, the second the reverse.
     """
 
-    def __init__(self, recents: Sequence[tracked.Recent]) -> None:
+    def __init__(self, recents: Sequence[tracked_target.Recent]) -> None:
         """Take the recent residuals of all targets."""
         means = [recent.mean_residual() for recent in recents]
         self._means = OthersQuantile(means, _MIDDLE)
@@ -53,7 +53,7 @@
         self._newest_sum = sum(recent.newest_sum for recent in recents)
         self._newest_count = sum(recent.newest_count for recent in recents)
 
-    def without(self, own: tracked.Recent) -> int:
+    def without(self, own: tracked_target.Recent) -> int:
         """Return the others' slowness in whole quarter octaves, from 0 up.
 
         A little is taken for chance. More is taken one third larger, since
@@ -72,7 +72,7 @@
         return round(slowness * _SLOWNESS_FACTOR)
 
 
-def _newest_mean(recent: tracked.Recent) -> float:
+def _newest_mean(recent: tracked_target.Recent) -> float:
     return recent.newest_sum / (recent.newest_count + 1)
 
 
--- a/libraries/health/src/sardinepier/health/internal/probing.py
+++ b/libraries/health/src/sardinepier/health/internal/probing.py
@@ -6,7 +6,7 @@
 from sardinepier.core import ids
 from sardinepier.health import options as health_options
 from sardinepier.health import targets
-from sardinepier.health.internal import roster, tracked
+from sardinepier.health.internal import target_list, tracked_target
 
 _States = targets.TargetState
 _LEAST_JITTER: Final = 0.8
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        listed: roster.Roster,
+        listed: target_list.Roster,
         options: health_options.HealthOptions,
         random_source: random.Random,
     ) -> None:
@@ -41,7 +41,7 @@
             due.append(one.target_id)
         return tuple(due)
 
-    def _due_s(self, one: tracked.Tracked) -> float:
+    def _due_s(self, one: tracked_target.Tracked) -> float:
         calm = one.suspicion.since_s is None
         if calm and one.state is _States.IN_SERVICE:
             return one.probing.due_s
--- a/libraries/health/src/sardinepier/health/internal/reporting.py
+++ b/libraries/health/src/sardinepier/health/internal/reporting.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 from sardinepier.core import ids
-from sardinepier.health import evidence, pooling, targets
+from sardinepier.health import evidence, peer_evidence, targets
 from sardinepier.health import options as health_options
-from sardinepier.health.internal import roster, tracked
+from sardinepier.health.internal import target_list, tracked_target
 
 _States = targets.TargetState
 _SCORE_DIGITS: Final = 3
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        listed: roster.Roster,
+        listed: target_list.Roster,
         options: health_options.HealthOptions,
     ) -> None:
         """Report on the targets of ``listed``."""
@@ -49,7 +49,7 @@
         )
 
 
-def _row(one: tracked.Tracked) -> evidence.TargetEvidence:
+def _row(one: tracked_target.Tracked) -> evidence.TargetEvidence:
     return evidence.TargetEvidence(
         target_id=one.target_id,
         incarnation=one.identity.incarnation,
@@ -63,7 +63,7 @@
 
 
 def _ejections(
-    listed: Iterable[tracked.Tracked],
+    listed: Iterable[tracked_target.Tracked],
     now_s: float,
 ) -> Iterable[evidence.EjectionNotice]:
     for one in listed:
@@ -77,8 +77,8 @@
 
 
 def absorb(
-    one: tracked.Tracked,
-    increment: pooling.Increment,
+    one: tracked_target.Tracked,
+    increment: peer_evidence.Increment,
     now_s: float,
 ) -> None:
     """Add what a peer learned to what the next tick will judge."""
@@ -95,7 +95,7 @@
 
 
 def vote(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     observer: ids.InstanceId,
     attempts: int,
     good: int,
@@ -110,7 +110,7 @@
         one.suspicion.good_heard.append((now_s, good))
     if one.suspicion.voting_since_s is None:
         return
-    votes = one.suspicion.votes.setdefault(observer, tracked.Votes())
+    votes = one.suspicion.votes.setdefault(observer, tracked_target.Votes())
     votes.reports += 1
     if votes.reports > 1:
         votes.attempts += attempts
@@ -118,7 +118,7 @@
 
 
 def status(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     weight: float,
     now_s: float,
 ) -> targets.TargetStatus:
--- a/libraries/health/src/sardinepier/health/internal/scoring.py
+++ b/libraries/health/src/sardinepier/health/internal/scoring.py
@@ -7,7 +7,7 @@
 from sardinepier.core import ids
 from sardinepier.health import baseline, change_detection
 from sardinepier.health import options as health_options
-from sardinepier.health.internal import rates, relative, tracked
+from sardinepier.health.internal import rates, others_baseline, tracked_target
 
 _RESIDUAL_MEMORY_S: Final = 2.0
 _NEWEST_MEMORY_S: Final = 0.5
@@ -38,17 +38,17 @@
 
     def score(
         self,
-        tracked_targets: Sequence[tracked.Tracked],
+        tracked_targets: Sequence[tracked_target.Tracked],
         now_s: float,
         doubts_itself: bool,
     ) -> None:
         """Score all windows and empty them."""
         self._refresh_tables()
         self._fade(tracked_targets, now_s)
-        shifts = relative.CommonSlowness(
+        shifts = others_baseline.CommonSlowness(
             [one.recent for one in tracked_targets],
         )
-        shares = relative.OthersFailureShare(
+        shares = others_baseline.OthersFailureShare(
             [
                 (one.recent.failures, one.recent.attempts)
                 for one in tracked_targets
@@ -76,7 +76,7 @@
 
     def _fade(
         self,
-        tracked_targets: Sequence[tracked.Tracked],
+        tracked_targets: Sequence[tracked_target.Tracked],
         now_s: float,
     ) -> None:
         last_s = now_s if self._last_s is None else self._last_s
@@ -101,7 +101,7 @@
 
     def _score_window(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         shift: int,
         usual_share: float,
         doubts_itself: bool,
@@ -138,7 +138,7 @@
 
     def _score_flights(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         shift: int,
         now_s: float,
     ) -> None:
--- a/libraries/health/src/sardinepier/health/internal/announcing.py
+++ b/libraries/health/src/sardinepier/health/internal/state_events.py
@@ -4,7 +4,7 @@
 
 from sardinepier.core import ids
 from sardinepier.health import events, targets
-from sardinepier.health.internal import tracked
+from sardinepier.health.internal import tracked_target
 
 
 class Announcer:
@@ -21,7 +21,7 @@
 
     def changed(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         before: targets.TargetState,
     ) -> None:
         """Tell that ``one`` was in the state ``before`` until now."""
--- a/libraries/health/src/sardinepier/health/internal/roster.py
+++ b/libraries/health/src/sardinepier/health/internal/target_list.py
@@ -6,7 +6,7 @@
 from sardinepier.core import ids
 from sardinepier.health import evidence, targets
 from sardinepier.health import options as health_options
-from sardinepier.health.internal import tracked
+from sardinepier.health.internal import tracked_target
 
 _UNLISTED_MARKS: Final = 1024
 _MARKS_TOLD: Final = 256
@@ -18,19 +18,19 @@
     def __init__(self, options: health_options.HealthOptions) -> None:
         """Start without targets."""
         self.options = options
-        self._tracked: dict[ids.TargetId, tracked.Tracked] = {}
+        self._tracked: dict[ids.TargetId, tracked_target.Tracked] = {}
         self._leaving: dict[evidence.LeavingNotice, None] = {}
         self._was_filled = False
 
-    def __iter__(self) -> Iterator[tracked.Tracked]:
+    def __iter__(self) -> Iterator[tracked_target.Tracked]:
         """Iterate over all tracked targets."""
         return iter(self._tracked.values())
 
-    def get(self, target_id: ids.TargetId) -> tracked.Tracked | None:
+    def get(self, target_id: ids.TargetId) -> tracked_target.Tracked | None:
         """Return the tracked target, or None when it is not listed."""
         return self._tracked.get(target_id)
 
-    def all(self) -> list[tracked.Tracked]:
+    def all(self) -> list[tracked_target.Tracked]:
         """Return all tracked targets."""
         return list(self._tracked.values())
 
@@ -66,7 +66,7 @@
             self._drop_oldest_unlisted()
         return True
 
-    def is_leaving(self, one: tracked.Tracked) -> bool:
+    def is_leaving(self, one: tracked_target.Tracked) -> bool:
         """Return whether this incarnation said that it is leaving."""
         return _notice(one) in self._leaving
 
@@ -78,7 +78,7 @@
 
     def _is_same(
         self,
-        known: tracked.Tracked,
+        known: tracked_target.Tracked,
         identity: targets.TargetIdentity,
     ) -> bool:
         before = known.identity.incarnation
@@ -90,8 +90,8 @@
         self,
         identity: targets.TargetIdentity,
         now_s: float,
-    ) -> tracked.Tracked:
-        one = tracked.Tracked(identity)
+    ) -> tracked_target.Tracked:
+        one = tracked_target.Tracked(identity)
         if self._was_filled:
             one.state = targets.TargetState.COLD
             one.reason = targets.Reason.NEW_INCARNATION
@@ -106,7 +106,7 @@
                 return
 
 
-def _notice(one: tracked.Tracked) -> evidence.LeavingNotice:
+def _notice(one: tracked_target.Tracked) -> evidence.LeavingNotice:
     return evidence.LeavingNotice(
         one.identity.target_id,
         one.identity.incarnation,
--- a/libraries/health/src/sardinepier/health/internal/verdict.py
+++ b/libraries/health/src/sardinepier/health/internal/verdict.py
@@ -7,7 +7,12 @@
 from sardinepier.core import ids
 from sardinepier.health import targets
 from sardinepier.health import options as health_options
-from sardinepier.health.internal import floor, judgement, roster, tracked
+from sardinepier.health.internal import (
+    floor,
+    group_scores,
+    target_list,
+    tracked_target,
+)
 
 _States = targets.TargetState
 _STILL_WANTED: Final = 0.5
@@ -17,7 +22,7 @@
 _QUIET_S: Final = 10.0
 
 _JUDGED: Final = frozenset((_States.IN_SERVICE, _States.SUSPECT))
-ChangeHandler = Callable[[tracked.Tracked, targets.TargetState], None]
+ChangeHandler = Callable[[tracked_target.Tracked, targets.TargetState], None]
 
 
 class Verdicts:
@@ -25,7 +30,7 @@
 
     def __init__(
         self,
-        listed: roster.Roster,
+        listed: target_list.Roster,
         own: ids.InstanceId,
         options: health_options.HealthOptions,
         random_source: random.Random,
@@ -40,7 +45,7 @@
 
     def move(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         state: targets.TargetState,
         reason: targets.Reason,
     ) -> None:
@@ -54,7 +59,7 @@
 
     def judge(
         self,
-        group: judgement.Group,
+        group: group_scores.Group,
         now_s: float,
         doubts: bool,
         threshold: float,
@@ -65,7 +70,7 @@
             one.verdict = self._verdict(one, group, now_s, doubts)
         self.enforce(group, now_s)
 
-    def enforce(self, group: judgement.Group, now_s: float) -> None:
+    def enforce(self, group: group_scores.Group, now_s: float) -> None:
         """Eject what is wanted and fits; hold or release the rest."""
         fitting = floor.fitting(self._listed, group, now_s, self.options)
         for one in self._listed:
@@ -76,18 +81,18 @@
             elif one.state in _JUDGED:
                 self._settle(one, now_s)
 
-    def leave(self, one: tracked.Tracked) -> None:
+    def leave(self, one: tracked_target.Tracked) -> None:
         """Take a leaving target out for good."""
         one.verdict = targets.Reason.NONE
         self.move(one, _States.LEAVING, targets.Reason.LEAVING)
 
-    def trial_failed(self, one: tracked.Tracked) -> None:
+    def trial_failed(self, one: tracked_target.Tracked) -> None:
         """Want the target out again; ``enforce`` decides."""
         one.verdict = targets.Reason.OWN_EVIDENCE
 
     def trial_passed(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         now_s: float,
         threshold: float,
     ) -> None:
@@ -99,7 +104,7 @@
 
     def _advance(
         self,
-        one: tracked.Tracked,
+        one: tracked_target.Tracked,
         now_s: float,
         threshold: float,
     ) -> None:
@@ -115,8 +120,8 @@
 
     def _verdict(
         self,
-        one: tracked.Tracked,
-        group: judgement.Group,
+        one: tracked_target.Tracked,
+        group: group_scores.Group,
         now_s: float,
         doubts: bool,
     ) -> targets.Reason:
@@ -137,8 +142,8 @@
 
     def _upgraded(
         self,
-        one: tracked.Tracked,
-        group: judgement.Group,
+        one: tracked_target.Tracked,
+        group: group_scores.Group,
     ) -> targets.Reason:
         own = one.verdict is targets.Reason.OWN_EVIDENCE
         if own and self._group_says(one, group):
@@ -147,18 +152,18 @@
 
     def _group_says(
         self,
-        one: tracked.Tracked,
-        group: judgement.Group,
+        one: tracked_target.Tracked,
+        group: group_scores.Group,
     ) -> bool:
         suspicion = one.suspicion
         if suspicion.group_score < 1:
             return False
-        return suspicion.vote is tracked.Vote.SICK
+        return suspicion.vote is tracked_target.Vote.SICK
 
     def _own_says(
         self,
-        suspicion: tracked.Suspicion,
-        group: judgement.Group,
+        suspicion: tracked_target.Suspicion,
+        group: group_scores.Group,
     ) -> bool:
         """Return whether the own evidence suffices.
 
@@ -171,41 +176,41 @@
 
     def _peers_say(
         self,
-        one: tracked.Tracked,
-        group: judgement.Group,
+        one: tracked_target.Tracked,
+        group: group_scores.Group,
         now_s: float,
     ) -> bool:
         if not group.ejecting:
             one.way_back.may_follow = True
             return False
-        ejecting = judgement.peers_ejecting(one, group, now_s)
+        ejecting = group_scores.peers_ejecting(one, group, now_s)
         majority = max(2, -(-len(group.peers) // 2))
         if ejecting < majority:
             one.way_back.may_follow = True
             return False
         return one.way_back.may_follow
 
-    def _eject(self, one: tracked.Tracked, now_s: float) -> None:
+    def _eject(self, one: tracked_target.Tracked, now_s: float) -> None:
         if one.state is not _States.EJECTED:
             one.way_back.may_follow = False
             one.ejected_score = one.suspicion.score()
             one.way_back.eject(now_s, self.options, self._random)
         self.move(one, _States.EJECTED, one.verdict)
 
-    def _hold(self, one: tracked.Tracked) -> None:
+    def _hold(self, one: tracked_target.Tracked) -> None:
         if one.state not in {_States.COLD, _States.LEAVING}:
             self.move(one, _States.SUSPECT, targets.Reason.HELD_BY_FLOOR)
 
-    def _settle(self, one: tracked.Tracked, now_s: float) -> None:
+    def _settle(self, one: tracked_target.Tracked, now_s: float) -> None:
         if _probes_say(one, now_s):
             self.move(one, _States.SUSPECT, targets.Reason.PROBES_FAILED)
             return
-        suspected = one.suspicion.score() >= judgement.SUSPICION
+        suspected = one.suspicion.score() >= group_scores.SUSPICION
         state = _States.SUSPECT if suspected else _States.IN_SERVICE
         self.move(one, state, targets.Reason.NONE)
 
 
-def _probes_say(one: tracked.Tracked, now_s: float) -> bool:
+def _probes_say(one: tracked_target.Tracked, now_s: float) -> bool:
     if one.probing.bad_in_row < _PROBES_IN_ROW:
         return False
     return one.last_traffic_s is None or now_s - one.last_traffic_s > _QUIET_S
--- a/libraries/health/src/sardinepier/health/internal/voting.py
+++ b/libraries/health/src/sardinepier/health/internal/voting.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 from sardinepier.core import ids
-from sardinepier.health import pooling
-from sardinepier.health.internal import tracked
+from sardinepier.health import peer_evidence
+from sardinepier.health.internal import tracked_target
 
 _LINK_SHARE: Final = 3
 _LINK_RATIO: Final = 8.0
@@ -23,14 +23,14 @@
 
 
 def vote(
-    one: tracked.Tracked,
-    peers: Mapping[ids.InstanceId, pooling.Peer],
+    one: tracked_target.Tracked,
+    peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     overdue: Set[ids.InstanceId],
     now_s: float,
-) -> tracked.Vote:
+) -> tracked_target.Vote:
     """Return the vote on a target that the pooled evidence condemns."""
     if not peers:
-        return tracked.Vote.SICK
+        return tracked_target.Vote.SICK
     votes = one.suspicion.votes
     counts = sorted(
         (
@@ -43,19 +43,19 @@
     accusing = counts[:most_accusers]
     resting = counts[most_accusers:]
     if _link_ratio(accusing, resting) >= _LINK_RATIO:
-        return tracked.Vote.CUT_LINK
+        return tracked_target.Vote.CUT_LINK
     if overdue and one.suspicion.finished_level < 1:
         waiting = _LINK_SHARE * len(overdue) > len(peers) + 1
         return _vote_on_hang(one, waiting, now_s)
     spoken = _have_spoken(one, peers, overdue)
-    return tracked.Vote.SICK if spoken else tracked.Vote.OPEN
+    return tracked_target.Vote.SICK if spoken else tracked_target.Vote.OPEN
 
 
 def _vote_on_hang(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     many_wait: bool,
     now_s: float,
-) -> tracked.Vote:
+) -> tracked_target.Vote:
     """Return the vote when it takes the requests in flight to condemn.
 
     A hung target has no good answer for anybody. Good answers show a cut
@@ -69,14 +69,18 @@
         if now_s - heard_s < newest_s
     )
     if good_answers >= _GOOD_AGAINST_HANG:
-        return tracked.Vote.CUT_LINK
+        return tracked_target.Vote.CUT_LINK
     since_s = one.suspicion.voting_since_s
     waited = since_s is not None and now_s - since_s >= _HANG_OPEN_S
-    return tracked.Vote.SICK if waited or many_wait else tracked.Vote.OPEN
+    return (
+        tracked_target.Vote.SICK
+        if waited or many_wait
+        else tracked_target.Vote.OPEN
+    )
 
 
 def _bad_and_good(
-    votes: tracked.Votes | None,
+    votes: tracked_target.Votes | None,
     overdue: bool,
 ) -> tuple[int, int]:
     if votes is None:
@@ -111,8 +115,8 @@
 
 
 def _have_spoken(
-    one: tracked.Tracked,
-    peers: Mapping[ids.InstanceId, pooling.Peer],
+    one: tracked_target.Tracked,
+    peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     overdue: Set[ids.InstanceId],
 ) -> bool:
     """Return whether most of those that do not accuse have reported."""
@@ -129,5 +133,5 @@
     return 2 * spoken >= len(resting)
 
 
-def _has_bad(votes: tracked.Votes | None) -> bool:
+def _has_bad(votes: tracked_target.Votes | None) -> bool:
     return votes is not None and votes.bad > 0
--- a/libraries/health/src/sardinepier/health/internal/weights.py
+++ b/libraries/health/src/sardinepier/health/internal/weights.py
@@ -4,7 +4,7 @@
 
 from sardinepier.health import options as health_options
 from sardinepier.health import readmission, targets
-from sardinepier.health.internal import tracked
+from sardinepier.health.internal import tracked_target
 
 _States = targets.TargetState
 _AVOIDED_WEIGHT: Final = 0.1
@@ -12,7 +12,7 @@
 
 
 def weight(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     options: health_options.HealthOptions,
     now_s: float,
 ) -> float:
@@ -32,7 +32,7 @@
 
 
 def _cold_weight(
-    one: tracked.Tracked,
+    one: tracked_target.Tracked,
     options: health_options.HealthOptions,
     now_s: float,
 ) -> float:
--- a/libraries/health/src/sardinepier/health/service_health.py
+++ b/libraries/health/src/sardinepier/health/service_health.py
@@ -9,9 +9,9 @@
 from sardinepier.health import events, evidence, targets
 from sardinepier.health import options as health_options
 from sardinepier.health.internal import (
-    announcing,
+    state_events,
     engine,
-    intake,
+    attempt_recording,
     probing,
     reporting,
     weights,
@@ -54,7 +54,7 @@
             options,
             clock,
             random_source,
-            announcing.Announcer(service, on_event).changed,
+            state_events.Announcer(service, on_event).changed,
         )
 
         self._probes = probing.ProbeSchedule(
@@ -129,7 +129,9 @@
             now_s,
         )
         if one.state is targets.TargetState.TRIAL:
-            outcome = intake.trial_result(one, sign, self._engine.options)
+            outcome = attempt_recording.trial_result(
+                one, sign, self._engine.options
+            )
             self._engine.trial_ended(one, outcome)
 
     def probed(
--- a/libraries/health/tests/cover/test_health_belief.py
+++ b/libraries/health/tests/cover/test_health_failure_estimate.py
@@ -4,13 +4,13 @@
 import pytest
 from hypothesis import strategies as st
 
-from sardinepier.health import belief
+from sardinepier.health import failure_estimate
 
-OPTIONS = belief.BeliefOptions()
+OPTIONS = failure_estimate.BeliefOptions()
 
 
 def fresh(now_s=0.0):
-    return belief.TargetBelief(OPTIONS, now_s)
+    return failure_estimate.TargetBelief(OPTIONS, now_s)
 
 
 def test_it_starts_with_the_long_run_share():
--- a/libraries/health/tests/cover/test_health_reports.py
+++ b/libraries/health/tests/cover/test_health_reports.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from sardinepier.core import clock
-from sardinepier.health import evidence, options, pooling, targets
+from sardinepier.health import evidence, options, peer_evidence, targets
 from sardinepier.health.internal import (
-    judgement,
+    group_scores,
     reporting,
-    tracked,
+    tracked_target,
     voting,
 )
 
@@ -71,8 +71,8 @@
         st.permutations(sent + sent[: data.draw(st.integers(0, 4))])
     )
     time = clock.ManualClock()
-    mixed = pooling.PeerEvidence('d~0', options.HealthOptions(), time)
-    straight = pooling.PeerEvidence('d~0', options.HealthOptions(), time)
+    mixed = peer_evidence.PeerEvidence('d~0', options.HealthOptions(), time)
+    straight = peer_evidence.PeerEvidence('d~0', options.HealthOptions(), time)
     for observer, report in arriving:
         mixed.take(observer, report)
     for observer, report in newest:
@@ -82,7 +82,7 @@
 
 @given(_histories())
 def test_an_old_or_repeated_report_adds_nothing(history):
-    peers = pooling.PeerEvidence(
+    peers = peer_evidence.PeerEvidence(
         'd~0', options.HealthOptions(), clock.ManualClock()
     )
     counted = 0
@@ -102,7 +102,7 @@
 def test_memory_of_observers_is_bounded_and_fades():
     time = clock.ManualClock()
     settings = options.HealthOptions(observers_limit=3, peer_expiry_s=5)
-    peers = pooling.PeerEvidence('d~0', settings, time)
+    peers = peer_evidence.PeerEvidence('d~0', settings, time)
     report = evidence.EvidenceReport(1, False, (), (), ())
     for place in range(9):
         peers.take(f'x{place}~0', report)
@@ -167,7 +167,7 @@
 
 
 def test_an_observer_that_doubts_itself_accuses_nobody():
-    peers = pooling.PeerEvidence(
+    peers = peer_evidence.PeerEvidence(
         'd~0', options.HealthOptions(), clock.ManualClock()
     )
     for sequence, doubts in ((1, False), (2, True), (3, False)):
@@ -186,29 +186,29 @@
 def test_doubt_takes_a_majority_of_the_targets_in_use():
     def seen(level, attempts=9.0):
         identity = targets.TargetIdentity('t', 'a', 3)
-        one = tracked.Tracked(identity)
+        one = tracked_target.Tracked(identity)
         one.recent.attempts = attempts
         one.suspicion.own_level = level
         return one
 
-    assert judgement.doubts_itself([seen(1), seen(1), seen(0)])
-    assert not judgement.doubts_itself([seen(1), seen(0), seen(0)])
-    assert not judgement.doubts_itself([seen(1), seen(1)])
-    assert not judgement.doubts_itself([seen(1), seen(1, 0), seen(0)])
+    assert group_scores.doubts_itself([seen(1), seen(1), seen(0)])
+    assert not group_scores.doubts_itself([seen(1), seen(0), seen(0)])
+    assert not group_scores.doubts_itself([seen(1), seen(1)])
+    assert not group_scores.doubts_itself([seen(1), seen(1, 0), seen(0)])
 
 
 @pytest.mark.parametrize(
     ('good', 'elapsed_s', 'expected'),
     [
-        (3, 0.1, tracked.Vote.CUT_LINK),
-        (3, 2.0, tracked.Vote.SICK),
-        (0, 0.1, tracked.Vote.SICK),
+        (3, 0.1, tracked_target.Vote.CUT_LINK),
+        (3, 2.0, tracked_target.Vote.SICK),
+        (0, 0.1, tracked_target.Vote.SICK),
     ],
 )
 def test_answers_heard_just_before_suspicion_veto_a_hang(
     good, elapsed_s, expected
 ):
-    one = tracked.Tracked(targets.TargetIdentity('t', 'a', 3))
+    one = tracked_target.Tracked(targets.TargetIdentity('t', 'a', 3))
     reporting.vote(one, 'x~0', good, good, now_s=10.0)
     observers = [f'o{place}~0' for place in range(5)]
     peers = dict.fromkeys(observers)
--- a/libraries/health/tests/cover/test_health_statistics.py
+++ b/libraries/health/tests/cover/test_health_statistics.py
@@ -9,7 +9,7 @@
 
 from sardinepier.core import errors
 from sardinepier.health import baseline, change_detection, evidence, options
-from sardinepier.health.internal import relative, tracked
+from sardinepier.health.internal import others_baseline, tracked_target
 
 _LIMITS = change_detection.Limits(
     threshold=20.0, pause_s=0.2, observer_limit=12.0
@@ -108,28 +108,30 @@
     others = list(values)
     others.remove(own)
     expected = sorted(others)[math.ceil(0.7 * (len(others) - 1))]
-    assert relative.OthersQuantile(values, 0.7).without(own) == expected
+    assert others_baseline.OthersQuantile(values, 0.7).without(own) == expected
 
 
 def test_one_failing_target_does_not_excuse_itself_nor_the_next():
     counts = [(30, 30), (30, 30), *((0, 30) for _ in range(14))]
-    shares = relative.OthersFailureShare(counts, 0.002)
+    shares = others_baseline.OthersFailureShare(counts, 0.002)
     assert shares.without(30, 30) < 0.01
     assert shares.without(0, 30) < 0.01
-    common = relative.OthersFailureShare([(9, 30) for _ in range(6)], 0.002)
+    common = others_baseline.OthersFailureShare(
+        [(9, 30) for _ in range(6)], 0.002
+    )
     assert common.without(9, 30) > 0.15
 
 
 def test_common_slowness_is_seen_at_once_and_one_slow_target_is_not():
     def recents(slow):
-        made = [tracked.Recent() for _ in range(6)]
+        made = [tracked_target.Recent() for _ in range(6)]
         for place, one in enumerate(made):
             one.add_residuals([8, 9, 8] if place < slow else [0, -1, 1])
         return made
 
     for slow, least, most in ((1, 0, 0), (6, 8, 12)):
         made = recents(slow)
-        common = relative.CommonSlowness(made)
+        common = others_baseline.CommonSlowness(made)
         assert all(least <= common.without(one) <= most for one in made)
 
 
--- a/libraries/routing/src/sardinepier/routing/admission.py
+++ b/libraries/routing/src/sardinepier/routing/admission.py
@@ -7,10 +7,10 @@
 from typing import Final
 
 from sardinepier.core import clock, ids
-from sardinepier.routing import errors, waiting_line
+from sardinepier.routing import errors, wait_queue
 from sardinepier.routing.internal import checks
 
-Work = waiting_line.Work
+Work = wait_queue.Work
 
 _RECHECK_INTERVAL_S: Final = 0.05
 
@@ -42,7 +42,7 @@
         length: int,
         random_source: random.Random,
         release: Callable[[ids.TargetId], None],
-        opening: Callable[[], waiting_line.Opening] = waiting_line.always_open,
+        opening: Callable[[], wait_queue.Opening] = wait_queue.always_open,
         *,
         recheck_interval_s: float = _RECHECK_INTERVAL_S,
     ) -> None:
@@ -55,7 +55,7 @@
         """
         checks.positive('recheck_interval_s', recheck_interval_s)
         self._clock = local_clock
-        self._line = waiting_line.WaitingLine(
+        self._line = wait_queue.WaitingLine(
             local_clock,
             length,
             random_source,
@@ -75,7 +75,7 @@
 
     async def acquire(
         self,
-        work: waiting_line.Work,
+        work: wait_queue.Work,
         choose: Callable[[], ids.TargetId | None],
     ) -> ids.TargetId:
         """Wait for a slot and return the target at which it was reserved.
@@ -137,7 +137,7 @@
 
     def __init__(
         self,
-        work: waiting_line.Work,
+        work: wait_queue.Work,
         choose: Callable[[], ids.TargetId | None],
     ) -> None:
         """Wait in the running event loop."""
--- a/libraries/routing/src/sardinepier/routing/fleet_limits.py
+++ b/libraries/routing/src/sardinepier/routing/fleet_limits.py
@@ -8,7 +8,7 @@
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
 from sardinepier.routing import fleet_bucket
-from sardinepier.routing.internal import other_daemons
+from sardinepier.routing.internal import peer_liveness
 
 _START_SHARE: Final = 0.35
 """Of the leeway, for what a daemon that starts lets through before it hears what
@@ -70,7 +70,7 @@
         self._lower_at_s: dict[ids.CustomerName, float] = {}
         self._buckets: dict[ids.CustomerName, fleet_bucket.FleetBucket] = {}
         self._beside: dict[ids.CustomerName, fleet_bucket.FleetBucket] = {}
-        self._others = other_daemons.OtherDaemons()
+        self._others = peer_liveness.OtherDaemons()
         self._newest_s = -math.inf
         self._changed: set[ids.CustomerName] = set()
 
--- a/libraries/routing/tests/cover/test_routing_late_waiters.py
+++ b/libraries/routing/tests/cover/test_routing_late_waiters.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from sardinepier.core import clock as clocks
-from sardinepier.routing import waiting_line
+from sardinepier.routing import wait_queue
 
 
 class Waiter:
@@ -36,7 +36,7 @@
 class Line:
     def __init__(self, length=100):
         self.clock = clocks.ManualClock(100.0)
-        self.line = waiting_line.WaitingLine(
+        self.line = wait_queue.WaitingLine(
             self.clock,
             length,
             random.Random(1),
@@ -46,7 +46,7 @@
 
     def enter(self, priority=1, best_in_s=1.0, deadline_in_s=5.0):
         now_s = self.clock.monotonic_s()
-        work = waiting_line.Work(
+        work = wait_queue.Work(
             priority,
             now_s + deadline_in_s,
             takes_any=True,
--- a/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
@@ -12,7 +12,7 @@
     choice,
     errors,
     in_flight,
-    waiting_line,
+    wait_queue,
 )
 from sardinepier.workbench.load import (
     event_queue,
@@ -64,7 +64,7 @@
             setup.slot_options,
         )
         self.retries = budget.RetryBudget(events, setup.retry_budget_percent)
-        self.line = waiting_line.WaitingLine(
+        self.line = wait_queue.WaitingLine(
             events,
             setup.queue_length,
             random_source,
@@ -243,7 +243,7 @@
         is_retry: bool,
     ) -> None:
         """Wait at ``daemon``."""
-        self.work = waiting_line.Work(
+        self.work = wait_queue.Work(
             arrival.caller_class.priority,
             arrival.deadline_s,
             takes_any=not is_retry,
--- a/libraries/workbench/src/sardinepier/workbench/policy/client.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/client.py
@@ -8,9 +8,9 @@
 import multidict
 import yarl
 
-from sardinepier.entry import dialect
+from sardinepier.entry import header_names
 from sardinepier.gateway import errors
-from sardinepier.gateway import headers as header_names
+from sardinepier.gateway import headers as gateway_headers
 from sardinepier.membership import members
 from sardinepier.workbench.policy import asked, scenario, targets
 
@@ -18,7 +18,7 @@
 """Carries the seconds that the request takes, drawn by its caller, so that
 all variants meet the same work."""
 
-_NAMES: Final = dialect.HeaderNames()
+_NAMES: Final = header_names.HeaderNames()
 _BODY: Final = b'an answer'
 
 
@@ -130,7 +130,7 @@
     if not reply.has_run:
         found[_NAMES.not_run] = '1'
     if reply.rest_s:
-        found[header_names.RETRY_AFTER] = str(reply.rest_s)
+        found[gateway_headers.RETRY_AFTER] = str(reply.rest_s)
     if target.is_leaving:
         found[_NAMES.leaving] = '1'
     if target.limit_per_s is not None:
--- a/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
@@ -10,17 +10,17 @@
 from sardinepier.entry import (
     answers,
     context,
-    decisions,
-    dialect,
+    decision_log,
+    header_names,
     forwarding,
-    held_bytes,
+    buffer_budget,
     model,
-    services,
+    service_registry,
 )
-from sardinepier.entry import measures as entry_measures
-from sardinepier.entry import work as works
-from sardinepier.gateway import in_hand
-from sardinepier.health import belief
+from sardinepier.entry import request_metrics as entry_metrics
+from sardinepier.entry import caller_request
+from sardinepier.gateway import active_requests
+from sardinepier.health import failure_estimate
 from sardinepier.membership import members as fleet
 from sardinepier.once import quarantine
 from sardinepier.wire import memory_network, messages
@@ -31,7 +31,7 @@
     targets,
     virtual_loop,
 )
-from sardinepier.zones import carriers, lapses, sharing, zone_load
+from sardinepier.zones import carriers, expired_entries, sharing, zone_load
 
 _PORT: Final = 7000
 _FIRST_ADDRESS: Final = ipaddress.IPv4Address('10.9.0.1')
@@ -82,19 +82,19 @@
         """Know all targets, and nothing of what they are like."""
         clock = virtual_loop.VirtualClock(asyncio.get_running_loop())
         own = view.own
-        held = services.Services(
+        held = service_registry.Services(
             own.zone,
             clock,
             random_source,
             setup.retry_percent,
-            belief.BeliefOptions(),
+            failure_estimate.BeliefOptions(),
         )
-        activity = in_hand.InHand()
+        activity = active_requests.InHand()
         self._sharing = sharing.ZoneSharing(
             hub.network(messages.Sender(own.instance_id, own.peer_address)),
             carriers.Carriers(view, clock),
             held,
-            lapses.LapseGuard(clock),
+            expired_entries.LapseGuard(clock),
             zone_load.ZoneLoad(clock, activity),
             clock,
             random_source,
@@ -109,7 +109,7 @@
         self._forwarding = forwarding.Forwarding(
             context.EntryContext(
                 clock=clock,
-                names=dialect.HeaderNames(),
+                names=header_names.HeaderNames(),
                 client=cast(
                     Any,
                     client.EmulatedClient(setup, own, found, watch),
@@ -117,14 +117,14 @@
                 services=held,
                 quarantine=quarantine.Quarantine(clock),
                 activity=activity,
-                decisions=decisions.Decisions(held, clock),
-                measures=entry_measures.Measures(),
-                held_bytes=held_bytes.HeldBytes(),
+                decisions=decision_log.Decisions(held, clock),
+                measures=entry_metrics.Measures(),
+                held_bytes=buffer_budget.HeldBytes(),
             ),
         )
         self._beats = asyncio.ensure_future(self._sharing.run())
 
-    async def forward(self, item: works.Work) -> answers.Answer:
+    async def forward(self, item: caller_request.Work) -> answers.Answer:
         """Return a target's answer, or raise what the caller is told."""
         with self._activity:
             return await self._forwarding.forward(item)
--- a/libraries/workbench/src/sardinepier/workbench/policy/play.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/play.py
@@ -8,7 +8,7 @@
 
 from sardinepier.core import errors as core_errors
 from sardinepier.core import ids
-from sardinepier.entry import model, refusals, work
+from sardinepier.entry import model, refusals, caller_request
 from sardinepier.wire import memory_network
 from sardinepier.workbench.policy import (
     client,
@@ -229,12 +229,12 @@
     one: scenario.RequestClass,
     sent_s: float,
     work_s: float,
-) -> work.Work:
+) -> caller_request.Work:
     kind = model.RouteKind.NON_IDEMPOTENT
     if one.repeatable:
         kind = model.RouteKind.IDEMPOTENT
     service = ids.ServiceName(one.service)
-    return work.Work(
+    return caller_request.Work(
         request_id='',
         method='GET',
         path='/',
--- a/libraries/zones/src/sardinepier/zones/carriers.py
+++ b/libraries/zones/src/sardinepier/zones/carriers.py
@@ -11,7 +11,7 @@
 from sardinepier.core import ids
 from sardinepier.membership import capacity as capacities
 from sardinepier.membership import view
-from sardinepier.zones import fitness, order, ranking
+from sardinepier.zones import availability, order, ranking
 
 
 class Carriers:
@@ -22,7 +22,7 @@
 
     def __init__(self, fleet: view.View, clock: clocks.Clock) -> None:
         """Name one carrier a zone until another number is set."""
-        self.fitness = fitness.Fitness(clock)
+        self.fitness = availability.Fitness(clock)
         self.own_id = fleet.own.instance_id
         self._fleet = fleet
         self._count = 1
--- a/libraries/zones/src/sardinepier/zones/confirming.py
+++ b/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from sardinepier.core import clock as clocks
-from sardinepier.entry import services
+from sardinepier.entry import service_registry
 from sardinepier.telemetry import logs
 from sardinepier.wire import messages as wire_messages
 from sardinepier.wire import network
@@ -43,7 +43,7 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: services.Services,
+        held: service_registry.Services,
         clock: clocks.Clock,
         random_source: random.Random,
     ) -> None:
--- a/libraries/zones/src/sardinepier/zones/belief_telling.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_sharing.py
@@ -8,13 +8,13 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import services, target_record
+from sardinepier.entry import service_registry, target_record
 from sardinepier.wire import messages as wire_messages
 from sardinepier.wire import network
 from sardinepier.zones import (
-    beliefs,
+    estimate_updates,
     carriers,
-    lost_zones,
+    unreachable_zones,
     messages,
     statements,
 )
@@ -25,7 +25,7 @@
 _SIGN_S: Final = 0.2
 """Pace of reports without any news, by which other zones know that this one is
 carried: a zone that falls silent has to be known within a second
-(:mod:`sardinepier.zones.lost_zones`). Less than the interval of beats, with each of
+(:mod:`sardinepier.zones.unreachable_zones`). Less than the interval of beats, with each of
 which one goes out."""
 
 
@@ -36,7 +36,7 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: services.Services,
+        held: service_registry.Services,
         clock: clocks.Clock,
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
@@ -44,13 +44,13 @@
         self._carriers = chosen
         self._held = held
         self._clock = clock
-        self._zone_news = beliefs.for_own_zone(held, clock)
-        self._other_news = beliefs.for_other_zones(held, clock)
+        self._zone_news = estimate_updates.for_own_zone(held, clock)
+        self._other_news = estimate_updates.for_other_zones(held, clock)
         self._zone_stated = statements.for_own_zone(held, clock)
         self._other_stated = statements.for_other_zones(held, clock)
         self._other_news_due_s = clock.monotonic_s()
         self._sign_due_s = clock.monotonic_s()
-        self.lost_zones = lost_zones.LostZones(clock)
+        self.lost_zones = unreachable_zones.LostZones(clock)
         peer_network.subscribe(messages.BeliefReport, self._on_report)
 
     def for_own_zone(self) -> tuple[messages.BeliefNews, ...]:
@@ -128,7 +128,7 @@
         told: messages.ZoneBeat | messages.BeliefReport,
         source: target_record.BeliefSource,
     ) -> None:
-        beliefs.take_in(self._held, self._clock, told.beliefs, source)
+        estimate_updates.take_in(self._held, self._clock, told.beliefs, source)
         statements.take_in(self._held, self._clock, told.stated, source)
 
     def _pass_on(
--- a/libraries/zones/src/sardinepier/zones/beliefs.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_updates.py
@@ -4,8 +4,8 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import services, target_record
-from sardinepier.health import belief
+from sardinepier.entry import service_registry, target_record
+from sardinepier.health import failure_estimate
 from sardinepier.zones import messages
 
 _Source = target_record.BeliefSource
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        held: services.Services,
+        held: service_registry.Services,
         clock: clocks.Clock,
         sources: frozenset[target_record.BeliefSource],
         least_change: float = 0.0,
@@ -38,7 +38,7 @@
         self._least_change = least_change
         self._began_s = clock.monotonic_s()
         self._told_s: dict[ids.TargetId, float] = {}
-        self._told: dict[ids.TargetId, belief.TargetBelief] = {}
+        self._told: dict[ids.TargetId, failure_estimate.TargetBelief] = {}
 
     def take(self) -> tuple[messages.BeliefNews, ...]:
         """Return the news; each is returned once."""
@@ -65,7 +65,9 @@
         now_s = self._clock.monotonic_s()
         told = self._told.get(news.target_id)
         if told is None:
-            told = belief.TargetBelief(self._held.belief_options, now_s)
+            told = failure_estimate.TargetBelief(
+                self._held.belief_options, now_s
+            )
             self._told[news.target_id] = told
         elif abs(told.failing(now_s) - news.failing) < self._least_change:
             return False
@@ -74,7 +76,7 @@
 
 
 def for_own_zone(
-    held: services.Services,
+    held: service_registry.Services,
     clock: clocks.Clock,
 ) -> BeliefNews:
     """Return news for the own zone, also what other zones reported here."""
@@ -86,7 +88,7 @@
 
 
 def for_other_zones(
-    held: services.Services,
+    held: service_registry.Services,
     clock: clocks.Clock,
 ) -> BeliefNews:
     """Return news that only has what matters to other zones."""
@@ -99,7 +101,7 @@
 
 
 def take_in(
-    held: services.Services,
+    held: service_registry.Services,
     clock: clocks.Clock,
     news: tuple[messages.BeliefNews, ...],
     source: target_record.BeliefSource,
--- a/libraries/zones/src/sardinepier/zones/handover.py
+++ b/libraries/zones/src/sardinepier/zones/handover.py
@@ -9,7 +9,7 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import services, target_record
+from sardinepier.entry import service_registry, target_record
 from sardinepier.telemetry import logs
 from sardinepier.zones import carriers, events
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        held: services.Services,
+        held: service_registry.Services,
         chosen: carriers.Carriers,
         clock: clocks.Clock,
     ) -> None:
--- a/libraries/zones/src/sardinepier/zones/limit_parts.py
+++ b/libraries/zones/src/sardinepier/zones/limit_parts.py
@@ -4,7 +4,7 @@
 """
 
 from sardinepier.core import ids, rendezvous
-from sardinepier.entry import services
+from sardinepier.entry import service_registry
 from sardinepier.routing import limit_parts
 from sardinepier.zones import carriers, ranking
 
@@ -14,7 +14,7 @@
 
     def __init__(
         self,
-        held: services.Services,
+        held: service_registry.Services,
         chosen: carriers.Carriers,
     ) -> None:
         """Decide by the carriers that are ``chosen``."""
--- a/libraries/zones/src/sardinepier/zones/order.py
+++ b/libraries/zones/src/sardinepier/zones/order.py
@@ -1,7 +1,7 @@
 """The order of a zone's daemons, with those that can't carry it at its end."""
 
 from sardinepier.membership import members, view
-from sardinepier.zones import fitness, ranking
+from sardinepier.zones import availability, ranking
 
 
 class ZoneOrder:
@@ -11,7 +11,7 @@
         self,
         fleet: view.View,
         ranked: ranking.Ranking,
-        known: fitness.Fitness,
+        known: availability.Fitness,
     ) -> None:
         """Start from the order ``ranked``, and what is ``known``."""
         self._fleet = fleet
--- a/libraries/zones/src/sardinepier/zones/reading.py
+++ b/libraries/zones/src/sardinepier/zones/platform_reader.py
@@ -12,14 +12,14 @@
 from typing import Final
 
 from sardinepier.core import clock as clocks
-from sardinepier.entry import published, services
+from sardinepier.entry import platform_state, service_registry
 from sardinepier.platform import errors
 from sardinepier.telemetry import logs
 from sardinepier.zones import (
     carriers,
     events,
-    lapses,
-    passed_over,
+    expired_entries,
+    unusable_entries,
     sharing,
 )
 
@@ -64,10 +64,10 @@
 
     def __init__(
         self,
-        source: published.PublishedState,
-        held: services.Services,
+        source: platform_state.PublishedState,
+        held: service_registry.Services,
         chosen: carriers.Carriers,
-        guard: lapses.LapseGuard,
+        guard: expired_entries.LapseGuard,
         shared: sharing.ZoneSharing,
         clock: clocks.Clock,
         random_source: random.Random,
@@ -80,7 +80,7 @@
         self._shared = shared
         self._clock = clock
         self._random = random_source
-        self.passed_over = passed_over.PassedOver()
+        self.passed_over = unusable_entries.PassedOver()
         self._failures = 0
         meets_s = random_source.uniform(*_MEETS_S)
         self._met_s = clock.monotonic_s() + meets_s
@@ -199,6 +199,6 @@
 
 
 def _names_of(
-    unusable: tuple[published.UnusableEntry, ...],
+    unusable: tuple[platform_state.UnusableEntry, ...],
 ) -> frozenset[str]:
     return frozenset(one.name for one in unusable if one.name is not None)
--- a/libraries/zones/src/sardinepier/zones/role.py
+++ b/libraries/zones/src/sardinepier/zones/role.py
@@ -1,7 +1,7 @@
 """The part that one daemon has in carrying its zone, decided beat by beat."""
 
 from sardinepier.core import clock as clocks
-from sardinepier.entry import services
+from sardinepier.entry import service_registry
 from sardinepier.telemetry import logs
 from sardinepier.zones import carriers, events, handover, zone_load
 
@@ -14,7 +14,7 @@
 
     def __init__(
         self,
-        held: services.Services,
+        held: service_registry.Services,
         chosen: carriers.Carriers,
         load: zone_load.ZoneLoad,
         clock: clocks.Clock,
--- a/libraries/zones/src/sardinepier/zones/sharing.py
+++ b/libraries/zones/src/sardinepier/zones/sharing.py
@@ -11,21 +11,21 @@
 from typing import Final
 
 from sardinepier.core import clock as clocks
-from sardinepier.entry import model, services
+from sardinepier.entry import model, service_registry
 from sardinepier.wire import messages as wire_messages
 from sardinepier.wire import network
 from sardinepier.zones import (
-    belief_telling,
+    estimate_sharing,
     carriers,
-    confirming,
-    fitness,
-    lapses,
+    confirmation_sharing,
+    availability,
+    expired_entries,
     messages,
     role,
     zone_load,
 )
 from sardinepier.zones import limit_parts as parts
-from sardinepier.zones import news as zone_news
+from sardinepier.zones import updates as zone_updates
 from sardinepier.zones import usage_sharing
 
 _LEAST_INTERVAL_S: Final = 0.02
@@ -53,8 +53,8 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: services.Services,
-        guard: lapses.LapseGuard,
+        held: service_registry.Services,
+        guard: expired_entries.LapseGuard,
         load: zone_load.ZoneLoad,
         clock: clocks.Clock,
         random_source: random.Random,
@@ -64,7 +64,7 @@
         self._carriers = chosen
         self._held = held
         self._clock = clock
-        self._news = zone_news.ZoneNews(
+        self._news = zone_updates.ZoneNews(
             peer_network,
             chosen,
             held,
@@ -72,13 +72,13 @@
             clock,
             on_configuration,
         )
-        self._telling = belief_telling.BeliefTelling(
+        self._telling = estimate_sharing.BeliefTelling(
             peer_network,
             chosen,
             held,
             clock,
         )
-        self._confirming = confirming.Confirming(
+        self._confirming = confirmation_sharing.Confirming(
             peer_network,
             chosen,
             held,
@@ -165,7 +165,7 @@
         self._held.set_lost_zones(lost_zones.names())
 
     async def _wait(self) -> None:
-        left_s = fitness.BEAT_INTERVAL_S - _LEAST_INTERVAL_S
+        left_s = availability.BEAT_INTERVAL_S - _LEAST_INTERVAL_S
         try:
             async with asyncio.timeout(left_s):
                 await self._stirred.wait()
--- a/libraries/zones/src/sardinepier/zones/statements.py
+++ b/libraries/zones/src/sardinepier/zones/statements.py
@@ -4,7 +4,7 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import services, target_record
+from sardinepier.entry import service_registry, target_record
 from sardinepier.gateway import statements
 from sardinepier.zones import messages
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        held: services.Services,
+        held: service_registry.Services,
         clock: clocks.Clock,
         sources: frozenset[target_record.BeliefSource],
         *,
@@ -102,7 +102,7 @@
 
 
 def for_own_zone(
-    held: services.Services,
+    held: service_registry.Services,
     clock: clocks.Clock,
 ) -> StatementNews:
     """Return news for the own zone, also what others reported here."""
@@ -115,7 +115,7 @@
 
 
 def for_other_zones(
-    held: services.Services,
+    held: service_registry.Services,
     clock: clocks.Clock,
 ) -> StatementNews:
     """Return news for other zones of what was heard in this one."""
@@ -124,7 +124,7 @@
 
 
 def take_in(
-    held: services.Services,
+    held: service_registry.Services,
     clock: clocks.Clock,
     news: tuple[messages.StatedNews, ...],
     source: target_record.BeliefSource,
@@ -153,7 +153,7 @@
 
 
 def _with_statements(
-    held: services.Services,
+    held: service_registry.Services,
 ) -> list[target_record.TargetRecord]:
     return [
         record
--- a/libraries/zones/src/sardinepier/zones/passed_over.py
+++ b/libraries/zones/src/sardinepier/zones/unusable_entries.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from sardinepier.entry import published
+from sardinepier.entry import platform_state
 from sardinepier.telemetry import logs
 from sardinepier.zones import events
 
@@ -29,7 +29,7 @@
         self.entries = 0
         self._told: dict[str, str] = {}
 
-    def take(self, unusable: Iterable[published.UnusableEntry]) -> None:
+    def take(self, unusable: Iterable[platform_state.UnusableEntry]) -> None:
         """Take in what the newest reading had."""
         now = {one.key: one.what[:_MOST_CHARACTERS] for one in unusable}
         self.entries = len(now)
--- a/libraries/zones/src/sardinepier/zones/news.py
+++ b/libraries/zones/src/sardinepier/zones/updates.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from sardinepier.core import clock as clocks
-from sardinepier.entry import model, services
+from sardinepier.entry import model, service_registry
 from sardinepier.telemetry import logs
 from sardinepier.wire import messages as wire_messages
 from sardinepier.wire import network
 from sardinepier.zones import (
     carriers,
-    lapses,
+    expired_entries,
     messages,
     packing,
     target_changes,
@@ -40,8 +40,8 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: services.Services,
-        guard: lapses.LapseGuard,
+        held: service_registry.Services,
+        guard: expired_entries.LapseGuard,
         clock: clocks.Clock,
         on_configuration: Callable[[model.ServedConfiguration], None],
     ) -> None:
@@ -172,7 +172,7 @@
             self._ask(sender)
             return
         fresh = target_changes.applied(held, change)
-        if services.digest_of(fresh) == change.digest:
+        if service_registry.digest_of(fresh) == change.digest:
             self._held.offer_targets(fresh)
         else:
             self._ask(sender)
--- a/libraries/zones/src/sardinepier/zones/usage_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/usage_sharing.py
@@ -4,7 +4,7 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import services
+from sardinepier.entry import service_registry
 from sardinepier.routing import fleet_bucket
 from sardinepier.wire import messages as wire_messages
 from sardinepier.wire import network
@@ -29,7 +29,7 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: services.Services,
+        held: service_registry.Services,
         clock: clocks.Clock,
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
--- a/libraries/zones/tests/cover/test_zones_carriers.py
+++ b/libraries/zones/tests/cover/test_zones_carriers.py
@@ -3,7 +3,7 @@
 import pytest
 import zones_support as given
 from sardinepier.membership import capacity
-from sardinepier.zones import fitness, strength
+from sardinepier.zones import availability, strength
 
 
 @pytest.fixture
@@ -101,7 +101,7 @@
     lose_way(cut_off, 't1', 't2')
     await zone.run(0.5)
     find_way(cut_off, 't1', 't2')
-    await zone.run(fitness.STANDS_DOWN_S + 1)
+    await zone.run(availability.STANDS_DOWN_S + 1)
     for one in zone.daemons:
         assert one.carriers.of_own_zone() == (cut_off.own,)
 
--- a/libraries/zones/tests/cover/test_zones_changes.py
+++ b/libraries/zones/tests/cover/test_zones_changes.py
@@ -7,7 +7,7 @@
 import zones_support as given
 from hypothesis import given as with_any
 from hypothesis import strategies
-from sardinepier.entry import model, services
+from sardinepier.entry import model, service_registry
 from sardinepier.zones import messages, target_changes
 
 READY = model.TargetState.READY
@@ -41,8 +41,8 @@
     return target_changes.between(
         before,
         after,
-        base_digest=services.digest_of(before),
-        digest=services.digest_of(after),
+        base_digest=service_registry.digest_of(before),
+        digest=service_registry.digest_of(after),
         reading_age_ms=0,
     )
 
@@ -53,7 +53,7 @@
     made = target_changes.applied(old, change_of(old, new))
     assert made.revision == 2
     assert set(made.targets) == set(new.targets)
-    assert services.digest_of(made) == services.digest_of(new)
+    assert service_registry.digest_of(made) == service_registry.digest_of(new)
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
     one = given.target('t1')
     other = msgspec.structs.replace(one, **changed)
     digests = {
-        services.digest_of(model.TargetList(1, (target,)))
+        service_registry.digest_of(model.TargetList(1, (target,)))
         for target in (one, other)
     }
     assert len(digests) == 2
@@ -80,7 +80,7 @@
 def test_the_order_of_a_list_says_nothing():
     ahead = given.target_list(1, 't1', 't2')
     back = given.target_list(1, 't2', 't1')
-    assert services.digest_of(ahead) == services.digest_of(back)
+    assert service_registry.digest_of(ahead) == service_registry.digest_of(back)
 
 
 async def test_a_change_takes_little_of_a_weak_link():
--- a/libraries/zones/tests/cover/test_zones_beside.py
+++ b/libraries/zones/tests/cover/test_zones_non_carriers.py
@@ -3,7 +3,7 @@
 import pytest
 import zones_support as given
 from sardinepier.core import ids
-from sardinepier.entry import target_record, wishes
+from sardinepier.entry import target_record, attempt_requirements
 
 _IDLE_S = 3.0
 """Longer than any target may be idle before it has its turn."""
@@ -18,7 +18,7 @@
     """Return who gets a request that comes to a daemon now."""
     now_s = daemon.clock.monotonic_s()
     pool = daemon.held.pool(given.SERVICE)
-    wish = wishes.Wish((), 0, now_s, now_s + 0.3, is_last)
+    wish = attempt_requirements.Wish((), 0, now_s, now_s + 0.3, is_last)
     record = pool.try_acquire(wish)
     pool.release(record)
     return record.listed.target_id
--- a/libraries/zones/tests/cover/test_zones_reading.py
+++ b/libraries/zones/tests/cover/test_zones_reading.py
@@ -2,7 +2,7 @@
 
 import pytest
 import zones_support as given
-from sardinepier.entry import model, published
+from sardinepier.entry import model, platform_state
 from sardinepier.telemetry import logs
 from sardinepier.zones import events
 
@@ -166,7 +166,7 @@
     monkeypatch.setattr(logs, 'tell', lambda line, **_: told.append(line))
     change(zone)
     zone.platform.unusable = (
-        published.UnusableEntry('servers/t9', 'not json', 't9'),
+        platform_state.UnusableEntry('servers/t9', 'not json', 't9'),
     )
     await zone.run(5.0)
     readers = [one for one in zone.daemons if one.reading.passed_over.entries]
--- a/libraries/zones/tests/cover/test_zones_lost_zone.py
+++ b/libraries/zones/tests/cover/test_zones_unreachable_zone.py
@@ -9,7 +9,7 @@
 import pytest
 import zones_support as given
 from sardinepier.core import ids
-from sardinepier.entry import model, wishes
+from sardinepier.entry import model, attempt_requirements
 from sardinepier.zones import messages as zone_messages
 
 
@@ -58,7 +58,7 @@
     now_s = daemon.clock.monotonic_s()
     pool = daemon.held.pool(given.SERVICE)
     record = pool.try_acquire(
-        wishes.Wish((), 0, now_s, now_s + 0.3, is_last=True),
+        attempt_requirements.Wish((), 0, now_s, now_s + 0.3, is_last=True),
     )
     pool.release(record)
     return record.listed.target_id
--- a/libraries/zones/tests/zones_support.py
+++ b/libraries/zones/tests/zones_support.py
@@ -5,15 +5,15 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import model, published, services
-from sardinepier.health import belief
+from sardinepier.entry import model, platform_state, service_registry
+from sardinepier.health import failure_estimate
 from sardinepier.membership import capacity, members
 from sardinepier.platform import errors
 from sardinepier.wire import memory_network, messages
 from sardinepier.zones import (
     carriers,
-    lapses,
-    reading,
+    expired_entries,
+    platform_reader,
     sharing,
     zone_load,
 )
@@ -135,7 +135,7 @@
         self._platform.fresh_calls += not allow_stale
         if self._name in self._platform.refused:
             raise errors.PlatformUnavailableError('turned away', 'wait')
-        reading = published.Reading(
+        reading = platform_state.Reading(
             self._platform.configuration,
             self._platform.targets,
             self._platform.unusable,
@@ -157,12 +157,12 @@
         self.passed_bytes = 0
         self.per_s = 0
         self.clock = zone.clock
-        self.held = services.Services(
+        self.held = service_registry.Services(
             own.zone,
             zone.clock,
             random.Random(own.instance_id),
             20.0,
-            belief.BeliefOptions(),
+            failure_estimate.BeliefOptions(),
         )
         self.network = zone.hub.network(
             messages.Sender(own.instance_id, own.peer_address),
@@ -171,7 +171,7 @@
             View(zone.fleet, own),
             zone.clock,
         )
-        self.guard = lapses.LapseGuard(zone.clock)
+        self.guard = expired_entries.LapseGuard(zone.clock)
         self.sharing = sharing.ZoneSharing(
             self.network,
             self.carriers,
@@ -182,7 +182,7 @@
             random.Random(own.instance_id),
             lambda taken: None,
         )
-        self.reading = reading.PlatformReading(
+        self.reading = platform_reader.PlatformReading(
             zone.platform.for_daemon(own.daemon_id),
             self.held,
             self.carriers,
