--- a/libraries/daemon/src/sardinepier/daemon/entry_process.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_process.py
@@ -96,15 +96,15 @@
         self._pages = entry_pages
         self._clock = clocks.SystemClock()
         self._random = random.Random()
-        self._activity = active_requests.InHand()
+        self._activity = active_requests.ActiveRequests()
         self._stop = asyncio.Event()
         self._tasks = task_set.TaskSet(self._part_failed)
-        self._services = service_registry.Services(
+        self._services = service_registry.ServiceRegistry(
             settings.zone,
             self._clock,
             self._random,
             _PERCENT * settings.bounds.retry_ratio * _RETRY_MARGIN,
-            failure_estimate.BeliefOptions(),
+            failure_estimate.EstimateOptions(),
             settings.bounds.least_used_share,
             _confirmed_within_s(settings.bounds),
             settings.bounds.leeway,
@@ -133,7 +133,7 @@
             settings.bounds.zones,
             settings.bounds.retry_burst,
         )
-        self._guard = expired_entries.LapseGuard(self._clock)
+        self._guard = expired_entries.ExpiredEntryGuard(self._clock)
         self._services.targets_age_s = self._guard.age_s
         self._sharing = sharing.ZoneSharing(
             self._network,
@@ -145,7 +145,7 @@
             self._random,
             _tell_configuration,
         )
-        self._reading = platform_reader.PlatformReading(
+        self._reading = platform_reader.PlatformReader(
             source,
             self._services,
             self._carriers,
@@ -218,7 +218,7 @@
         await self._stop.wait()
         await self._depart(front, beside)
 
-    def _start_tasks(self, told: decision_log.Decisions) -> None:
+    def _start_tasks(self, told: decision_log.DecisionLog) -> None:
         self._tasks.start(self._network.run())
         self._tasks.start(self._membership.run())
         self._tasks.start(self._sharing.run())
@@ -247,7 +247,7 @@
         await beside.open_if_free(
             pages.Page(
                 self._pages.metrics_path,
-                pages.Figures(figures.text).answer,
+                pages.MetricsPage(figures.text).answer,
             ),
             self._settings.metrics,
         )
@@ -284,7 +284,7 @@
         await front.close(max(0.0, left_s))
         await beside.close()
 
-    async def _upkeep(self, told: decision_log.Decisions) -> None:
+    async def _upkeep(self, told: decision_log.DecisionLog) -> None:
         while True:
             self._share_burst()
             told.tell_dropped()
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_figures.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_figures.py
@@ -14,13 +14,13 @@
 class EntryFigures:
     """Where the figures come from."""
 
-    measures: request_metrics.Measures
-    services: service_registry.Services
-    activity: active_requests.InHand
-    guard: expired_entries.LapseGuard
+    measures: request_metrics.RequestMetrics
+    services: service_registry.ServiceRegistry
+    activity: active_requests.ActiveRequests
+    guard: expired_entries.ExpiredEntryGuard
     carriers: carriers.Carriers
     membership: membership.Membership
-    reading: platform_reader.PlatformReading
+    reading: platform_reader.PlatformReader
 
     async def text(self) -> str:
         """Return all figures as they are now."""
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
@@ -63,8 +63,8 @@
 
 def build_context(
     names: header_names.HeaderNames,
-    held: service_registry.Services,
-    counted: active_requests.InHand,
+    held: service_registry.ServiceRegistry,
+    counted: active_requests.ActiveRequests,
     clock: clocks.Clock,
 ) -> context.EntryContext:
     """Return what the request path works with, on a running event loop."""
@@ -75,9 +75,9 @@
         services=held,
         quarantine=quarantine.Quarantine(clock),
         activity=counted,
-        decisions=decision_log.Decisions(held, clock),
-        measures=request_metrics.Measures(),
-        held_bytes=buffer_budget.HeldBytes(),
+        decisions=decision_log.DecisionLog(held, clock),
+        measures=request_metrics.RequestMetrics(),
+        held_bytes=buffer_budget.BufferBudget(),
     )
 
 
--- a/libraries/daemon/src/sardinepier/daemon/internal/side_pages.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/side_pages.py
@@ -8,7 +8,7 @@
 class SidePages:
     """Opens pages where the settings name an address, and closes them."""
 
-    def __init__(self, bounds: caller_server.BoundsSource) -> None:
+    def __init__(self, bounds: caller_server.BoundsGetter) -> None:
         """Bound what may be sent by ``bounds``; nothing is opened yet."""
         self._bounds = bounds
         self._servers: list[caller_server.HttpServer] = []
--- a/libraries/entry/src/sardinepier/entry/answer_stream.py
+++ b/libraries/entry/src/sardinepier/entry/answer_stream.py
@@ -9,7 +9,7 @@
 from sardinepier.gateway import errors
 
 
-class AnswerRest:
+class AnswerStream:
     """What a target still has to send of its answer.
 
     The target is read only as fast as the chunks are taken, so that a slow
--- a/libraries/entry/src/sardinepier/entry/answers.py
+++ b/libraries/entry/src/sardinepier/entry/answers.py
@@ -29,7 +29,7 @@
     reason: str | None
     headers: headers.Pairs
     body: bytes
-    rest: answer_stream.AnswerRest | None = None
+    rest: answer_stream.AnswerStream | None = None
 
     @property
     def is_good(self) -> bool:
@@ -95,7 +95,7 @@
         response.reason,
         headers.for_caller(response.headers),
         body,
-        None if is_whole else answer_stream.AnswerRest(response, deadline_s),
+        None if is_whole else answer_stream.AnswerStream(response, deadline_s),
     )
 
 
--- a/libraries/entry/src/sardinepier/entry/attempt.py
+++ b/libraries/entry/src/sardinepier/entry/attempt.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         shared: context.EntryContext,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
@@ -198,7 +198,7 @@
             self._record,
             told,
             shared.clock.monotonic_s(),
-            target_record.BeliefSource.OWN,
+            target_record.ObservationSource.OWN,
         )
         if is_new:
             shared.decisions.stated(self._item, self._record, told)
@@ -254,7 +254,7 @@
 
 
 def _reason(
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     record: target_record.TargetRecord,
     *,
     is_beside: bool,
--- a/libraries/entry/src/sardinepier/entry/attempt_requirements.py
+++ b/libraries/entry/src/sardinepier/entry/attempt_requirements.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class AttemptRequirements:
     """What a request wants of its target.
 
     ``tried`` had it already. It is worth a wait until ``patient_until_s``,
--- a/libraries/entry/src/sardinepier/entry/buffer_budget.py
+++ b/libraries/entry/src/sardinepier/entry/buffer_budget.py
@@ -23,7 +23,7 @@
 """An answer may take this part of what is left, so that it never runs out."""
 
 
-class HeldBytes:
+class BufferBudget:
     """Counts the bytes of answers that are held whole.
 
     For example::
--- a/libraries/entry/src/sardinepier/entry/caller_request.py
+++ b/libraries/entry/src/sardinepier/entry/caller_request.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Work:
+class CallerRequest:
     """A request that was read whole, with its route.
 
     ``caller_deadline_s`` is until when the caller waits, ``deadline_s`` the
--- a/libraries/entry/src/sardinepier/entry/caller_server.py
+++ b/libraries/entry/src/sardinepier/entry/caller_server.py
@@ -22,11 +22,11 @@
     [web_request.BaseRequest],
     Awaitable[web_response.StreamResponse],
 ]
-BeginEarly = Callable[
+StartPipelined = Callable[
     [web_request.BaseRequest],
     'asyncio.Task[web_response.StreamResponse] | None',
 ]
-BoundsSource = Callable[[], model.CallerBounds]
+BoundsGetter = Callable[[], model.CallerBounds]
 
 _BACKLOG: Final = 512
 _LINGERING_S: Final = 2.0
@@ -130,8 +130,8 @@
     def __init__(
         self,
         handler: Any,
-        bounds: BoundsSource,
-        begin_early: BeginEarly | None = None,
+        bounds: BoundsGetter,
+        begin_early: StartPipelined | None = None,
     ) -> None:
         """Answer requests by ``handler``, which is cancelled on a hang-up.
 
--- a/libraries/entry/src/sardinepier/entry/capacity_forecast.py
+++ b/libraries/entry/src/sardinepier/entry/capacity_forecast.py
@@ -36,10 +36,10 @@
 def opening(
     table: target_table.TargetTable,
     now_s: float,
-) -> wait_queue.Opening:
+) -> wait_queue.CapacityForecast:
     """Return when the targets want requests again, and how many."""
     if earliest_s(table, (), now_s) <= now_s or not table.records():
-        return wait_queue.OPEN
+        return wait_queue.AVAILABLE_NOW
     # Whoever is closed asked for something.
     return target_statements.opening(
         (record.stated for record in table.asking()),
--- a/libraries/entry/src/sardinepier/entry/context.py
+++ b/libraries/entry/src/sardinepier/entry/context.py
@@ -26,9 +26,9 @@
     clock: clocks.Clock
     names: header_names.HeaderNames
     client: client.TargetClient
-    services: service_registry.Services
+    services: service_registry.ServiceRegistry
     quarantine: quarantine.Quarantine
-    activity: active_requests.InHand
-    decisions: decision_log.Decisions
-    measures: request_metrics.Measures
-    held_bytes: buffer_budget.HeldBytes
+    activity: active_requests.ActiveRequests
+    decisions: decision_log.DecisionLog
+    measures: request_metrics.RequestMetrics
+    held_bytes: buffer_budget.BufferBudget
--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -34,12 +34,12 @@
     what: str = ''
 
 
-class Decisions:
+class DecisionLog:
     """Writes the lines of one daemon, within bounds."""
 
     def __init__(
         self,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         clock: clocks.Clock,
     ) -> None:
         """Tell versions and targets from ``held``."""
@@ -50,7 +50,7 @@
 
     def sent(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         record: target_record.TargetRecord,
         reason: events.Reason,
         usual_s: float,
@@ -73,7 +73,7 @@
 
     def stated(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         record: target_record.TargetRecord,
         told: statements.Statement,
     ) -> None:
@@ -96,7 +96,7 @@
 
     def attempt_failed(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         choice: events.Choice,
         what: str,
         taken_s: float,
@@ -119,7 +119,7 @@
     def ended(
         self,
         request_id: str,
-        item: caller_request.Work | None,
+        item: caller_request.CallerRequest | None,
         end: End,
     ) -> None:
         """Tell how a request ended, unless it was simply answered."""
@@ -138,7 +138,7 @@
 
     def _sent_line(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         choice: events.Choice,
         now_s: float,
     ) -> events.RequestSent:
@@ -159,7 +159,7 @@
     def _ended_line(
         self,
         request_id: str,
-        item: caller_request.Work | None,
+        item: caller_request.CallerRequest | None,
         end: End,
     ) -> events.RequestEnded:
         now_s = self._clock.monotonic_s()
@@ -183,7 +183,7 @@
         )
 
     def _room(
-        self, item: caller_request.Work | None, now_s: float
+        self, item: caller_request.CallerRequest | None, now_s: float
     ) -> tuple[int, int]:
         if item is None:
             return 0, 0
@@ -191,7 +191,7 @@
         return len(records), sum(one.has_room(now_s) for one in records)
 
 
-def _customer_name(item: caller_request.Work | None) -> str:
+def _customer_name(item: caller_request.CallerRequest | None) -> str:
     return item.customer.name if item and item.customer else ''
 
 
--- a/libraries/entry/src/sardinepier/entry/events.py
+++ b/libraries/entry/src/sardinepier/entry/events.py
@@ -59,7 +59,7 @@
     target_zone: str
     chance: float
     belief_age_ms: int
-    belief_source: target_record.BeliefSource
+    belief_source: target_record.ObservationSource
     in_flight: int
 
 
--- a/libraries/entry/src/sardinepier/entry/exploration.py
+++ b/libraries/entry/src/sardinepier/entry/exploration.py
@@ -44,7 +44,7 @@
 
 def unused(
     free: Iterable[target_record.TargetRecord],
-    situation: target_cost.Situation,
+    situation: target_cost.SelectionContext,
 ) -> target_record.TargetRecord | None:
     """Return a target that waits for its first request.
 
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Turn:
+class ExplorationRule:
     """When an idle target has its turn.
 
     It was idle for ``idle_s`` and fails with a chance below ``most_chance``.
@@ -69,18 +69,18 @@
     most_chance: float
 
 
-DOUBTED: Final = Turn(_DOUBTED_S, math.inf)
+DOUBTED: Final = ExplorationRule(_DOUBTED_S, math.inf)
 """Whatever is believed of a target: for attempts that another may follow."""
 
-ANY: Final = Turn(_LONGEST_IDLE_S, math.inf)
+ANY: Final = ExplorationRule(_LONGEST_IDLE_S, math.inf)
 """Whatever is believed of a target, for attempts whose failure is final, while
 many fail: it counts as sound two seconds after it failed."""
 
 
 def neglected(
     free: Iterable[target_record.TargetRecord],
-    situation: target_cost.Situation,
-    due: Turn,
+    situation: target_cost.SelectionContext,
+    due: ExplorationRule,
 ) -> target_record.TargetRecord | None:
     """Return the target of the own zone that has been idle for longest.
 
@@ -103,7 +103,7 @@
     )
 
 
-class Overlooked:
+class Explorer:
     """Finds the target of one service that has its turn, whoever is surest.
 
     ``recent`` has to be told of what becomes of requests.
@@ -112,14 +112,14 @@
     def __init__(self, clock: clocks.Clock, least_used_share: float) -> None:
         """Keep ``least_used_share``, 0 to 1, of the sound targets in use."""
         self.recent = recent_failures.RecentFailures(clock)
-        self._bound = idle_threshold.IdleBound(least_used_share)
+        self._bound = idle_threshold.IdleThreshold(least_used_share)
 
     def find(
         self,
         free: Sequence[target_record.TargetRecord],
         known: Iterable[target_record.TargetRecord],
-        wish: attempt_requirements.Wish,
-        situation: target_cost.Situation,
+        wish: attempt_requirements.AttemptRequirements,
+        situation: target_cost.SelectionContext,
     ) -> target_record.TargetRecord | None:
         """Return one of the ``free`` targets of those ``known``, or None.
 
@@ -135,13 +135,13 @@
     def _turns(
         self,
         known: Iterable[target_record.TargetRecord],
-        wish: attempt_requirements.Wish,
-        situation: target_cost.Situation,
-    ) -> tuple[Turn, ...]:
+        wish: attempt_requirements.AttemptRequirements,
+        situation: target_cost.SelectionContext,
+    ) -> tuple[ExplorationRule, ...]:
         """Return when targets have their turn, the first to go by first."""
         if not wish.is_last:
-            return (DOUBTED, Turn(_IDLE_TRIAL_S, _MOST_CHANCE))
+            return (DOUBTED, ExplorationRule(_IDLE_TRIAL_S, _MOST_CHANCE))
         if self.recent.are_many():
             return (ANY,)
         most_chance = self._bound.chance(known, situation)
-        return (Turn(_LONGEST_IDLE_S, most_chance),)
+        return (ExplorationRule(_LONGEST_IDLE_S, most_chance),)
--- a/libraries/entry/src/sardinepier/entry/forwarding.py
+++ b/libraries/entry/src/sardinepier/entry/forwarding.py
@@ -38,7 +38,9 @@
         """Work with the daemon's collaborators."""
         self._shared = shared
 
-    async def forward(self, item: caller_request.Work) -> answers.Answer:
+    async def forward(
+        self, item: caller_request.CallerRequest
+    ) -> answers.Answer:
         """Return a target's answer.
 
         Raises ``NotRunError`` only when it is proved that nothing ran, else
@@ -46,7 +48,7 @@
         """
         pool = self._shared.services.pool(item.service)
         pool.retry_budget.record_request()
-        history = retries.History()
+        history = retries.AttemptHistory()
         try:
             return await self._attempts(item, pool, history)
         except core_errors.SardinepierError as error:
@@ -56,9 +58,9 @@
 
     async def _attempts(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         pool: service_pool.ServicePool,
-        history: retries.History,
+        history: retries.AttemptHistory,
     ) -> answers.Answer:
         while True:
             record = await self._admit(item, pool, history)
@@ -77,9 +79,9 @@
 
     async def _admit(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         pool: service_pool.ServicePool,
-        history: retries.History,
+        history: retries.AttemptHistory,
     ) -> target_record.TargetRecord:
         item.require_time(self._shared.clock)
         self._shared.quarantine.admit(item.fingerprint)
@@ -89,7 +91,7 @@
             history.tried |= lost_on
         try:
             return await pool.acquire(
-                admission.Work(
+                admission.QueuedRequest(
                     item.priority,
                     item.deadline_s,
                     takes_any=not history.tried,
@@ -103,10 +105,10 @@
 
     async def _run(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
-        history: retries.History,
+        history: retries.AttemptHistory,
     ) -> answers.Answer:
         """Run one attempt, and a second beside it when it is slow."""
         first = self._attempt(item, pool, record)
@@ -121,9 +123,9 @@
 
     def _hedge(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         pool: service_pool.ServicePool,
-        history: retries.History,
+        history: retries.AttemptHistory,
     ) -> racing.Run | None:
         """Return a second attempt, None where it may not or can't begin."""
         if not retries.has_attempts_left(item, history.ran + 1):
@@ -142,7 +144,7 @@
 
     async def _attempt(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
@@ -175,12 +177,12 @@
 
 
 def _wish(
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
-    history: retries.History,
-) -> attempt_requirements.Wish:
+    history: retries.AttemptHistory,
+) -> attempt_requirements.AttemptRequirements:
     patience_s = _PATIENCE * item.route.target_latency_s
-    return attempt_requirements.Wish(
+    return attempt_requirements.AttemptRequirements(
         history.tried,
         len(item.body),
         item.arrived_s,
@@ -190,7 +192,7 @@
 
 
 def _best_begun_by_s(
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
 ) -> float:
     """Return until when an attempt may begin and still be in time.
--- a/libraries/entry/src/sardinepier/entry/idle_threshold.py
+++ b/libraries/entry/src/sardinepier/entry/idle_threshold.py
@@ -28,7 +28,7 @@
 that time, and to look at a hundred targets takes a tenth of a millisecond."""
 
 
-class IdleBound:
+class IdleThreshold:
     """The chance of failure from which targets may be left idle.
 
     A failure is final for requests that may run only once, so that they keep
@@ -48,7 +48,7 @@
     def chance(
         self,
         records: Iterable[target_record.TargetRecord],
-        situation: target_cost.Situation,
+        situation: target_cost.SelectionContext,
     ) -> float:
         """Return the bound for the targets of the whole service."""
         if situation.now_s >= self._due_s:
@@ -59,7 +59,7 @@
     def _found(
         self,
         records: Iterable[target_record.TargetRecord],
-        situation: target_cost.Situation,
+        situation: target_cost.SelectionContext,
     ) -> float:
         now_s = situation.now_s
         sound = 0
--- a/libraries/entry/src/sardinepier/entry/incarnations.py
+++ b/libraries/entry/src/sardinepier/entry/incarnations.py
@@ -15,7 +15,7 @@
 that is forgotten was not listed for longer than four times as many were."""
 
 
-class NewestStarts:
+class NewestIncarnations:
     """Remembers the newest start of each name, and drops older ones.
 
     For example::
--- a/libraries/entry/src/sardinepier/entry/outcome_recorder.py
+++ b/libraries/entry/src/sardinepier/entry/outcome_recorder.py
@@ -20,7 +20,7 @@
 beside, as seen on loopback: some four hundred for either."""
 
 
-class Account:
+class OutcomeRecorder:
     """Follows one request to its end, which is told once.
 
     ``item`` is set as soon as the request was read.
@@ -32,7 +32,7 @@
         request: web_request.BaseRequest,
     ) -> None:
         """Begin with a request that was not read yet."""
-        self.item: caller_request.Work | None = None
+        self.item: caller_request.CallerRequest | None = None
         self._shared = shared
         self._request = request
         self._began_s = shared.clock.monotonic_s()
--- a/libraries/entry/src/sardinepier/entry/pages.py
+++ b/libraries/entry/src/sardinepier/entry/pages.py
@@ -91,7 +91,7 @@
         return web_response.Response(status=status)
 
 
-class Figures:
+class MetricsPage:
     """Shows the numbers that this daemon keeps, as text."""
 
     def __init__(self, text: Callable[[], Awaitable[str]]) -> None:
--- a/libraries/entry/src/sardinepier/entry/pipeline.py
+++ b/libraries/entry/src/sardinepier/entry/pipeline.py
@@ -25,7 +25,7 @@
     def __init__(self, shared: context.EntryContext) -> None:
         """Work with the daemon's collaborators."""
         self._shared = shared
-        self._intake = request_reader.Intake(shared)
+        self._intake = request_reader.RequestReader(shared)
         self._forwarding = forwarding.Forwarding(shared)
         self._abandoned: set[asyncio.Task[answers.Answer]] = set()
 
@@ -67,7 +67,7 @@
         self,
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        account = outcome_recorder.Account(self._shared, request)
+        account = outcome_recorder.OutcomeRecorder(self._shared, request)
         try:
             account.item = await self._intake.read(request)
             answer = await self._within_limit(account.item)
@@ -88,7 +88,9 @@
         account.answered(answer)
         return responses.of_target(answer)
 
-    async def _within_limit(self, item: caller_request.Work) -> answers.Answer:
+    async def _within_limit(
+        self, item: caller_request.CallerRequest
+    ) -> answers.Answer:
         """Forward a request that its customer's limit allows.
 
         One that has not run doesn't count. Raises ``RateLimitError``.
@@ -112,7 +114,9 @@
                 limits.give_back(item.customer.name)
             raise
 
-    async def _forward(self, item: caller_request.Work) -> answers.Answer:
+    async def _forward(
+        self, item: caller_request.CallerRequest
+    ) -> answers.Answer:
         """Forward a request; a hang-up ends what may be ended.
 
         An idempotent request ends with its caller. One that isn't goes on
--- a/libraries/entry/src/sardinepier/entry/platform_state.py
+++ b/libraries/entry/src/sardinepier/entry/platform_state.py
@@ -22,7 +22,7 @@
     name: str | None = None
 
 
-class Reading(msgspec.Struct, frozen=True):
+class PlatformSnapshot(msgspec.Struct, frozen=True):
     """The newest configuration, None for none that is usable, and targets.
 
     ``unusable`` are the entries that are passed over. An unusable one costs
@@ -42,7 +42,7 @@
     which a watch that waits does not.
     """
 
-    async def read(self, *, allow_stale: bool) -> Reading:
+    async def read(self, *, allow_stale: bool) -> PlatformSnapshot:
         """Return what is published now.
 
         A reading that ``allow_stale`` permits costs the platform less and
--- a/libraries/entry/src/sardinepier/entry/request_metrics.py
+++ b/libraries/entry/src/sardinepier/entry/request_metrics.py
@@ -34,7 +34,7 @@
 _NO_SERVICE: Final = ''
 
 
-class Measures:
+class RequestMetrics:
     """Counts requests and attempts as they end.
 
     For example::
@@ -92,7 +92,7 @@
 
 
 def of_services(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
 ) -> tuple[exposition.Gauge, ...]:
     """Return what is known of the configuration and the targets."""
     configuration = held.configuration
--- a/libraries/entry/src/sardinepier/entry/request_reader.py
+++ b/libraries/entry/src/sardinepier/entry/request_reader.py
@@ -27,7 +27,7 @@
 """A body may take this long where the caller states no deadline."""
 
 
-class Intake:
+class RequestReader:
     """Makes work of requests."""
 
     def __init__(self, shared: context.EntryContext) -> None:
@@ -48,7 +48,7 @@
 
     async def read(
         self, request: web_request.BaseRequest
-    ) -> caller_request.Work:
+    ) -> caller_request.CallerRequest:
         """Return the whole request with its route.
 
         Raises ``NotConfiguredError``, ``UnknownRouteError``, the refusals of
@@ -68,7 +68,7 @@
         customer = self._authenticator.customer_of(request, route)
         caller_deadline_s = arrived_s + self._patience_s(request)
         content = await self._body(request, caller_deadline_s)
-        return caller_request.Work(
+        return caller_request.CallerRequest(
             request_id=request.headers.get(self._shared.names.attempt_id, ''),
             method=request.method,
             path=request.raw_path,
--- a/libraries/entry/src/sardinepier/entry/responses.py
+++ b/libraries/entry/src/sardinepier/entry/responses.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         answer: answers.Answer,
-        rest: answer_stream.AnswerRest,
+        rest: answer_stream.AnswerStream,
     ) -> None:
         """Begin with the part of ``answer`` that was read."""
         super().__init__(
--- a/libraries/entry/src/sardinepier/entry/retries.py
+++ b/libraries/entry/src/sardinepier/entry/retries.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class History:
+class AttemptHistory:
     """What the attempts of one request came to so far."""
 
     tried: set[ids.TargetId] = dataclasses.field(default_factory=set)
@@ -64,15 +64,15 @@
         )
 
 
-def has_attempts_left(item: caller_request.Work, ran: int) -> bool:
+def has_attempts_left(item: caller_request.CallerRequest, ran: int) -> bool:
     """Tell whether a request that may have run so often may run again."""
     return item.route.is_idempotent and ran < item.route.max_attempts
 
 
 def may_follow(
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
-    history: History,
+    history: AttemptHistory,
 ) -> bool:
     """Tell whether an attempt that fails now may be followed by another."""
     if not has_attempts_left(item, history.ran + 1):
@@ -81,9 +81,9 @@
 
 
 def may_go_on(
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
-    history: History,
+    history: AttemptHistory,
     error: errors.GatewayError,
 ) -> bool:
     """Decide on a further attempt after one without an answer."""
@@ -103,9 +103,9 @@
 
 
 def may_repeat(
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
-    history: History,
+    history: AttemptHistory,
 ) -> bool:
     """Decide whether a request that ran may run once more elsewhere."""
     if not has_attempts_left(item, history.ran):
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -65,7 +65,7 @@
         clock: clocks.Clock,
         random_source: random.Random,
         retry_percent: float,
-        options: failure_estimate.BeliefOptions,
+        options: failure_estimate.EstimateOptions,
         least_used_share: float = idle_threshold.LEAST_USED_SHARE,
     ) -> None:
         """Start without targets."""
@@ -74,7 +74,7 @@
         self.on_outcome: Callable[[bool], None] = _tell_nobody
         self.shares_zone = False
         self.lost_zones: frozenset[ids.ZoneName] = frozenset()
-        self._overlooked = exploration.Overlooked(clock, least_used_share)
+        self._overlooked = exploration.Explorer(clock, least_used_share)
         self._usual_bytes = 0.0
         self._hedge_delay = hedging.HedgeDelay(_HEDGE_PERCENTILE)
         # No floor: many daemons with a few requests each would use it, and
@@ -113,8 +113,8 @@
 
     async def acquire(
         self,
-        work: admission.Work,
-        wish: attempt_requirements.Wish,
+        work: admission.QueuedRequest,
+        wish: attempt_requirements.AttemptRequirements,
     ) -> target_record.TargetRecord:
         """Wait for a slot at a target that was not tried yet.
 
@@ -143,7 +143,7 @@
         return record
 
     def try_acquire(
-        self, wish: attempt_requirements.Wish
+        self, wish: attempt_requirements.AttemptRequirements
     ) -> target_record.TargetRecord | None:
         """Return a target with a free slot, None when a wait is needed."""
         target_id = self._choose(wish)
@@ -178,7 +178,7 @@
         grown_bytes = answer_bytes - self._usual_bytes
         self._usual_bytes += _USUAL_SMOOTHING * grown_bytes
         record.belief.answered(self._clock.monotonic_s())
-        record.belief_source = target_record.BeliefSource.OWN
+        record.belief_source = target_record.ObservationSource.OWN
         self._overlooked.recent.note(is_failure=False)
         record.has_turn = False
         self.on_outcome(True)
@@ -211,7 +211,7 @@
         else:
             is_early = taken_s < _EARLY_FACTOR * self.usual_s
             record.belief.failed(now_s, is_early=is_early)
-        record.belief_source = target_record.BeliefSource.OWN
+        record.belief_source = target_record.ObservationSource.OWN
         # Turns that failed don't count: where many of them do, they would
         # keep up the share of failures that brings them about. Nor do attempts
         # that were given up: the request was served, or is not missed.
@@ -254,7 +254,9 @@
             self._random,
         )
 
-    def _choose(self, wish: attempt_requirements.Wish) -> ids.TargetId | None:
+    def _choose(
+        self, wish: attempt_requirements.AttemptRequirements
+    ) -> ids.TargetId | None:
         now_s = self._clock.monotonic_s()
         closed = self.targets.closed()
         known = [one for one in self.targets.records() if one not in closed]
@@ -269,7 +271,7 @@
             if record.has_room(now_s)
             and not record.is_on_trial(now_s, self.usual_s)
         ]
-        situation = target_cost.Situation(
+        situation = target_cost.SelectionContext(
             self._zone,
             now_s,
             self.usual_s,
--- a/libraries/entry/src/sardinepier/entry/service_registry.py
+++ b/libraries/entry/src/sardinepier/entry/service_registry.py
@@ -35,7 +35,7 @@
 """What a message holds as a number, without its sign."""
 
 
-class Services:
+class ServiceRegistry:
     """Takes newer configurations and target lists, and never older ones."""
 
     def __init__(
@@ -44,7 +44,7 @@
         clock: clocks.Clock,
         random_source: random.Random,
         retry_percent: float,
-        options: failure_estimate.BeliefOptions,
+        options: failure_estimate.EstimateOptions,
         least_used_share: float = idle_threshold.LEAST_USED_SHARE,
         confirmed_within_s: float | None = None,
         leeway: fleet_limits.Leeway = fleet_limits.USUAL_LEEWAY,
@@ -77,7 +77,7 @@
         self._retry_burst = 0.0
         self._shares_zone = False
         self._lost_zones: frozenset[ids.ZoneName] = frozenset()
-        self._starts = incarnations.NewestStarts()
+        self._starts = incarnations.NewestIncarnations()
         self._has_table = asyncio.Event()
         self._table: route_table.RouteTable | None = None
         self._pools: dict[ids.ServiceName, service_pool.ServicePool] = {}
--- a/libraries/entry/src/sardinepier/entry/target_cost.py
+++ b/libraries/entry/src/sardinepier/entry/target_cost.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Situation:
+class SelectionContext:
     """Where and when a request is sent.
 
     ``zone`` is the sender's, ``usual_s`` the usual latency of the service
@@ -67,7 +67,9 @@
     return _CROSSING_COST + _CROSSING_COST_PER_BYTE * passed_bytes
 
 
-def cost(record: target_record.TargetRecord, situation: Situation) -> float:
+def cost(
+    record: target_record.TargetRecord, situation: SelectionContext
+) -> float:
     """Return what sending a request to the target costs, 0 to about 1."""
     now_s = situation.now_s
     total = record.failure_chance(now_s, situation.usual_s)
@@ -85,7 +87,7 @@
     free: Iterable[target_record.TargetRecord],
     wanted: Iterable[target_record.TargetRecord],
     tolerance: float,
-    situation: Situation,
+    situation: SelectionContext,
     random_source: random.Random,
 ) -> target_record.TargetRecord | None:
     """Return the one among ``free`` with the least cost.
--- a/libraries/entry/src/sardinepier/entry/target_record.py
+++ b/libraries/entry/src/sardinepier/entry/target_record.py
@@ -42,7 +42,7 @@
 is seen how that one goes."""
 
 
-class BeliefSource(enum.Enum):
+class ObservationSource(enum.Enum):
     """Who saw the newest outcome that a belief rests on."""
 
     NOBODY = 'nobody'
@@ -75,11 +75,11 @@
     """
 
     listed: model.ListedTarget
-    belief: failure_estimate.TargetBelief
+    belief: failure_estimate.FailureEstimate
     url: yarl.URL
     known_since_s: float = 0.0
     distance: float = 0.0
-    belief_source: BeliefSource = BeliefSource.NOBODY
+    belief_source: ObservationSource = ObservationSource.NOBODY
     started_s: dict[int, float] = dataclasses.field(default_factory=dict)
     pace: float = 1.0
     warm_at_s: float = 0.0
@@ -92,7 +92,7 @@
     last_used_s: float = 0.0
     failed_connects: int = 0
     avoided_until_s: float = 0.0
-    stated_source: BeliefSource = BeliefSource.NOBODY
+    stated_source: ObservationSource = ObservationSource.NOBODY
     stated: target_statements.TargetStatements = dataclasses.field(
         default_factory=target_statements.TargetStatements,
     )
@@ -101,7 +101,7 @@
         """Tell whether anybody of whom this daemon hears gave it a request."""
         if self.was_used:
             return True
-        return self.belief_source is not BeliefSource.NOBODY
+        return self.belief_source is not ObservationSource.NOBODY
 
     def seen_used_s(self) -> float:
         """Return when it was last known to get, or to answer, a request."""
--- a/libraries/entry/src/sardinepier/entry/target_table.py
+++ b/libraries/entry/src/sardinepier/entry/target_table.py
@@ -30,7 +30,7 @@
         self,
         clock: clocks.Clock,
         random_source: random.Random,
-        options: failure_estimate.BeliefOptions,
+        options: failure_estimate.EstimateOptions,
     ) -> None:
         """Start without targets."""
         self._clock = clock
@@ -93,7 +93,7 @@
         record: target_record.TargetRecord,
         told: statements.Statement,
         heard_s: float,
-        source: target_record.BeliefSource,
+        source: target_record.ObservationSource,
     ) -> bool:
         """Go by what a target told ``source``; tell whether that is new."""
         is_new = record.stated.hear(told, heard_s)
@@ -145,7 +145,7 @@
             return record
         return target_record.TargetRecord(
             listed,
-            failure_estimate.TargetBelief(self._options, now_s),
+            failure_estimate.FailureEstimate(self._options, now_s),
             yarl.URL.build(scheme='http', host=listed.ip, port=listed.port),
             known_since_s=now_s,
             distance=self._random.random(),
--- a/libraries/entry/tests/conftest.py
+++ b/libraries/entry/tests/conftest.py
@@ -24,12 +24,12 @@
 @pytest.fixture
 async def entry():
     clock = clocks.SystemClock()
-    held = service_registry.Services(
+    held = service_registry.ServiceRegistry(
         given.ZONE,
         clock,
         random.Random(7),
         50.0,
-        failure_estimate.BeliefOptions(),
+        failure_estimate.EstimateOptions(),
     )
     shared = context.EntryContext(
         clock=clock,
@@ -37,10 +37,10 @@
         client=clients.TargetClient(),
         services=held,
         quarantine=quarantine.Quarantine(clock),
-        activity=active_requests.InHand(),
-        decisions=decision_log.Decisions(held, clock),
-        measures=request_metrics.Measures(),
-        held_bytes=buffer_budget.HeldBytes(),
+        activity=active_requests.ActiveRequests(),
+        decisions=decision_log.DecisionLog(held, clock),
+        measures=request_metrics.RequestMetrics(),
+        held_bytes=buffer_budget.BufferBudget(),
     )
     shared.services.set_retry_burst(10)
     shared.services.offer_configuration(given.configuration())
--- a/libraries/entry/tests/cover/test_entry_choice.py
+++ b/libraries/entry/tests/cover/test_entry_choice.py
@@ -24,7 +24,7 @@
             self.clock,
             random.Random(3),
             20.0,
-            failure_estimate.BeliefOptions(),
+            failure_estimate.EstimateOptions(),
         )
         self.pool.targets.set(
             [
@@ -35,7 +35,7 @@
 
     def wish(self, tried=(), since_s=None, is_last=False, patient_s=0.3):
         now_s = self.clock.monotonic_s() if since_s is None else since_s
-        return attempt_requirements.Wish(
+        return attempt_requirements.AttemptRequirements(
             tried, 0, now_s, now_s + patient_s, is_last
         )
 
@@ -293,7 +293,9 @@
     for _ in range(3):
         bench.pool.try_acquire(bench.wish())
         numbers.append(bench.pool.started(record))
-    work = admission.Work(1, bench.clock.monotonic_s() + 5.0, takes_any=True)
+    work = admission.QueuedRequest(
+        1, bench.clock.monotonic_s() + 5.0, takes_any=True
+    )
     waiting = asyncio.create_task(bench.pool.acquire(work, bench.wish()))
     await asyncio.sleep(0)
     assert not waiting.done()
@@ -303,7 +305,7 @@
 
 async def test_without_targets_a_request_is_refused_at_once(bench):
     bench.pool.set_targets([])
-    work = admission.Work(1, bench.clock.monotonic_s() + 5.0)
+    work = admission.QueuedRequest(1, bench.clock.monotonic_s() + 5.0)
     with pytest.raises(refusals.NoTargetError) as caught:
         await bench.pool.acquire(work, bench.wish())
     assert caught.value.retry_after_s > 0
--- a/libraries/entry/tests/cover/test_entry_customers.py
+++ b/libraries/entry/tests/cover/test_entry_customers.py
@@ -262,12 +262,12 @@
 
 
 def test_services_without_customers_have_no_table():
-    held = service_registry.Services(
+    held = service_registry.ServiceRegistry(
         given.ZONE,
         clocks.ManualClock(),
         random.Random(1),
         50.0,
-        failure_estimate.BeliefOptions(),
+        failure_estimate.EstimateOptions(),
     )
     held.offer_configuration(given.configuration())
     assert held.customers is None
--- a/libraries/entry/tests/cover/test_entry_idle_targets.py
+++ b/libraries/entry/tests/cover/test_entry_idle_targets.py
@@ -63,7 +63,7 @@
             self.clock,
             random.Random(seed),
             20.0,
-            failure_estimate.BeliefOptions(),
+            failure_estimate.EstimateOptions(),
         )
         names = [f't{number}' for number in range(TARGETS)]
         self.pool.targets.set([given.listed(name) for name in names])
@@ -79,7 +79,9 @@
         while self.ends and self.ends[0][0] <= now_s:
             self._end(*heapq.heappop(self.ends))
         record = self.pool.try_acquire(
-            attempt_requirements.Wish((), 0, now_s, now_s + 0.3, is_last=True),
+            attempt_requirements.AttemptRequirements(
+                (), 0, now_s, now_s + 0.3, is_last=True
+            ),
         )
         self.asked += 1
         if record is None:
@@ -149,7 +151,7 @@
         clock,
         random.Random(1),
         20.0,
-        failure_estimate.BeliefOptions(),
+        failure_estimate.EstimateOptions(),
     )
     pool.usual_s = WORK_S
     pool.targets.set([given.listed(name) for name in names])
@@ -159,7 +161,9 @@
 def take_last(pool, clock):
     """Return who gets a request whose failure would be final."""
     now_s = clock.monotonic_s()
-    wish = attempt_requirements.Wish((), 0, now_s, now_s + 0.3, is_last=True)
+    wish = attempt_requirements.AttemptRequirements(
+        (), 0, now_s, now_s + 0.3, is_last=True
+    )
     record = pool.try_acquire(wish)
     pool.finished(record, pool.started(record))
     return record
@@ -196,12 +200,12 @@
 
 
 def test_the_installation_s_share_reaches_each_service():
-    held = service_registry.Services(
+    held = service_registry.ServiceRegistry(
         given.ZONE,
         clocks.ManualClock(100.0),
         random.Random(1),
         20.0,
-        failure_estimate.BeliefOptions(),
+        failure_estimate.EstimateOptions(),
         0.5,
     )
     bound = held.pool(given.SERVICE)._overlooked._bound
@@ -228,11 +232,11 @@
     for record in pool.targets.records():
         record.belief.answered(now_s - 2)
     pool.targets.find('t0').belief.take(0.9, now_s - 2)
-    situation = target_cost.Situation(given.ZONE, now_s, WORK_S, 0.0)
+    situation = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
     for out_of_reach, is_spared in ((0, True), (4, True), (6, False)):
         for number in range(out_of_reach):
             pool.targets.find(f't{number + 1}').not_reached(now_s)
-        bound = idle_threshold.IdleBound(LEAST_USED)
+        bound = idle_threshold.IdleThreshold(LEAST_USED)
         chance = bound.chance(pool.targets.records(), situation)
         doubted = pool.targets.find('t0').failure_chance(now_s, WORK_S)
         assert (doubted >= chance) == is_spared
@@ -261,8 +265,8 @@
         for name in names[:5]:
             pool.targets.find(name).belief.failed(clock.monotonic_s())
         now_s = clock.monotonic_s() + 3.0
-        situation = target_cost.Situation(given.ZONE, now_s, WORK_S, 0.0)
-        bound = idle_threshold.IdleBound(least_used_share)
+        situation = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
+        bound = idle_threshold.IdleThreshold(least_used_share)
         for place, name in enumerate(names):
             # Told apart by when they failed.
             if place < 5:
--- a/libraries/entry/tests/cover/test_entry_incarnations.py
+++ b/libraries/entry/tests/cover/test_entry_incarnations.py
@@ -22,12 +22,12 @@
 
 
 def serving():
-    return service_registry.Services(
+    return service_registry.ServiceRegistry(
         given.ZONE,
         clocks.ManualClock(100.0),
         random.Random(1),
         20.0,
-        failure_estimate.BeliefOptions(),
+        failure_estimate.EstimateOptions(),
     )
 
 
--- a/libraries/entry/tests/cover/test_entry_large_answers.py
+++ b/libraries/entry/tests/cover/test_entry_large_answers.py
@@ -228,7 +228,7 @@
 
 
 def test_the_more_is_held_the_less_is_held_whole():
-    held = buffer_budget.HeldBytes(4_000_000)
+    held = buffer_budget.BufferBudget(4_000_000)
     bounds = [held.bound()]
     holders = [Holder() for _ in range(20)]
     for holder in holders:
@@ -244,5 +244,5 @@
 
 
 def test_no_answer_is_held_whole_beyond_its_own_bound():
-    held = buffer_budget.HeldBytes(10**12)
+    held = buffer_budget.BufferBudget(10**12)
     assert held.bound() == buffer_budget.MOST_WHOLE_BYTES
--- a/libraries/entry/tests/cover/test_entry_lines.py
+++ b/libraries/entry/tests/cover/test_entry_lines.py
@@ -144,7 +144,7 @@
     entry,
     lines,
 ):
-    told = decision_log.Decisions(entry.shared.services, entry.shared.clock)
+    told = decision_log.DecisionLog(entry.shared.services, entry.shared.clock)
     end = decision_log.End(events.Outcome.REFUSED, 503, 'NoTargetError', 'none')
     allowed = [told._sent.allows() for _ in range(121)]
     assert not allowed[-1]
--- a/libraries/entry/tests/cover/test_entry_routes.py
+++ b/libraries/entry/tests/cover/test_entry_routes.py
@@ -68,12 +68,12 @@
 
 
 def make_services():
-    return service_registry.Services(
+    return service_registry.ServiceRegistry(
         given.ZONE,
         clocks.ManualClock(),
         random.Random(1),
         20.0,
-        failure_estimate.BeliefOptions(),
+        failure_estimate.EstimateOptions(),
     )
 
 
--- a/libraries/entry/tests/cover/test_entry_statements.py
+++ b/libraries/entry/tests/cover/test_entry_statements.py
@@ -287,7 +287,7 @@
         record,
         statements.Statement(rests_until_s=now_s + 9),
         now_s,
-        target_record.BeliefSource.OWN,
+        target_record.ObservationSource.OWN,
     )
     await given.until(lambda: any(one.done() for one in asking))
     statuses = [one.result()[0] for one in asking if one.done()]
--- a/libraries/entry/tests/cover/test_entry_zone_affinity.py
+++ b/libraries/entry/tests/cover/test_entry_zone_affinity.py
@@ -69,7 +69,7 @@
             self.clock,
             random.Random(zone),
             20.0,
-            failure_estimate.BeliefOptions(),
+            failure_estimate.EstimateOptions(),
         )
         pool.targets.set(listed)
         for record in pool.targets.records():
@@ -85,7 +85,7 @@
     def _send(self, zone, since_s):
         now_s = self.clock.monotonic_s()
         pool = self.pools[zone]
-        wish = attempt_requirements.Wish(
+        wish = attempt_requirements.AttemptRequirements(
             (), 0, since_s, since_s + PATIENCE_S, is_last=True
         )
         record = pool.try_acquire(wish)
--- a/libraries/gateway/src/sardinepier/gateway/active_requests.py
+++ b/libraries/gateway/src/sardinepier/gateway/active_requests.py
@@ -5,7 +5,7 @@
 from typing import Self
 
 
-class InHand:
+class ActiveRequests:
     """Counts work in hand, and all that was begun.
 
     ``passed_bytes`` are those of requests and answers, each counted once by
--- a/libraries/gateway/src/sardinepier/gateway/activity.py
+++ b/libraries/gateway/src/sardinepier/gateway/activity.py
@@ -13,7 +13,7 @@
 _RETRY_AFTER_S: Final = 1.0
 
 
-class Activity(active_requests.InHand):
+class Activity(active_requests.ActiveRequests):
     """Counts work in hand, and the memory that bodies take.
 
     A keyed request counts twice while its caller waits: once for the caller
--- a/libraries/gateway/src/sardinepier/gateway/caller_request.py
+++ b/libraries/gateway/src/sardinepier/gateway/caller_request.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
-class Work:
+class CallerRequest:
     """A request with the snapshot it started with.
 
     ``target_path`` is the path and query as the target gets it, byte for
--- a/libraries/gateway/src/sardinepier/gateway/exchange.py
+++ b/libraries/gateway/src/sardinepier/gateway/exchange.py
@@ -29,11 +29,11 @@
 _FIRST_FAILURE_STATUS: Final = 500
 
 _ENDS: Final = (
-    (errors.ShedError, evidence.AttemptEnd.SHED),
-    (errors.ConnectFailedError, evidence.AttemptEnd.CONNECT_FAILED),
-    (errors.ConnectionLostError, evidence.AttemptEnd.CONNECTION_LOST),
-    (errors.BadAnswerError, evidence.AttemptEnd.WRONG),
-    (errors.AnswerOverdueError, evidence.AttemptEnd.TIMED_OUT),
+    (errors.ShedError, evidence.AttemptOutcome.SHED),
+    (errors.ConnectFailedError, evidence.AttemptOutcome.CONNECT_FAILED),
+    (errors.ConnectionLostError, evidence.AttemptOutcome.CONNECTION_LOST),
+    (errors.BadAnswerError, evidence.AttemptOutcome.WRONG),
+    (errors.AnswerOverdueError, evidence.AttemptOutcome.TIMED_OUT),
 )
 
 
@@ -51,7 +51,7 @@
     def __init__(
         self,
         context: contexts.GatewayContext,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         target_id: ids.TargetId,
     ) -> None:
         """Take over the reserved slot."""
@@ -172,12 +172,12 @@
         runtime.queue.observe_service(latency_ms / _MS_PER_S)
         if status >= _FIRST_FAILURE_STATUS:
             self._context.quarantine.released(self._item.fingerprint)
-            self._end(evidence.AttemptEnd.FAILED, None)
+            self._end(evidence.AttemptOutcome.FAILED, None)
             return
         runtime.losses.answered(self._target_id)
         runtime.hedge_delay(self._item.route.name).observe(latency_ms)
         self._note_good_answer()
-        self._end(evidence.AttemptEnd.ANSWERED, latency_ms)
+        self._end(evidence.AttemptOutcome.ANSWERED, latency_ms)
 
     def _note_good_answer(self) -> None:
         self._context.quarantine.answered(
@@ -189,13 +189,13 @@
         """Take in how the rest of a long answer ended."""
         if error is None:
             self._note_good_answer()
-            self._end(evidence.AttemptEnd.ANSWERED, None)
+            self._end(evidence.AttemptOutcome.ANSWERED, None)
         else:
             self._end_by(error)
 
     def _end_by(self, error: BaseException) -> None:
         end = _end_of(error)
-        if end is evidence.AttemptEnd.CONNECTION_LOST:
+        if end is evidence.AttemptOutcome.CONNECTION_LOST:
             end = self._suspect_crash()
         else:
             self._context.quarantine.released(self._item.fingerprint)
@@ -203,7 +203,7 @@
             self._item.runtime.slots.shed(self._target_id)
         self._end(end, None)
 
-    def _suspect_crash(self) -> evidence.AttemptEnd:
+    def _suspect_crash(self) -> evidence.AttemptOutcome:
         quarantine = self._context.quarantine
         held = quarantine.crashed(
             self._item.fingerprint,
@@ -216,9 +216,9 @@
             ),
         )
         if not held:
-            return evidence.AttemptEnd.CONNECTION_LOST
+            return evidence.AttemptOutcome.CONNECTION_LOST
         self._tell_of_quarantine()
-        return evidence.AttemptEnd.CRASH_SUSPECT
+        return evidence.AttemptOutcome.CRASH_SUSPECT
 
     def _tell_of_quarantine(self) -> None:
         item = self._item
@@ -235,7 +235,7 @@
 
     def _end(
         self,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float | None,
     ) -> None:
         if not self._is_open:
@@ -256,8 +256,8 @@
         return taken_s * _MS_PER_S
 
 
-def _end_of(error: BaseException) -> evidence.AttemptEnd:
+def _end_of(error: BaseException) -> evidence.AttemptOutcome:
     for kind, end in _ENDS:
         if isinstance(error, kind):
             return end
-    return evidence.AttemptEnd.CANCELLED
+    return evidence.AttemptOutcome.CANCELLED
--- a/libraries/gateway/src/sardinepier/gateway/forwarding.py
+++ b/libraries/gateway/src/sardinepier/gateway/forwarding.py
@@ -53,7 +53,7 @@
         self._context = context
 
     async def forward(
-        self, item: caller_request.Work
+        self, item: caller_request.CallerRequest
     ) -> target_answer.TargetAnswer:
         """Return a target's answer.
 
@@ -81,7 +81,7 @@
 
     async def _attempts(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         history: _History,
     ) -> target_answer.TargetAnswer:
         while True:
@@ -102,7 +102,7 @@
 
     async def _admit(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         history: _History,
     ) -> ids.TargetId:
         """Wait until an attempt may start, and reserve a slot for it."""
@@ -120,7 +120,7 @@
             raise
 
     def _avoid_crashed(
-        self, item: caller_request.Work, history: _History
+        self, item: caller_request.CallerRequest, history: _History
     ) -> None:
         """Keep the request off targets that it crashed, if others are left.
 
@@ -132,11 +132,11 @@
 
     async def _wait_for_slot(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         history: _History,
     ) -> ids.TargetId:
         target_id = await item.runtime.queue.acquire(
-            admission.Work(
+            admission.QueuedRequest(
                 item.route.priority,
                 item.deadline_s,
                 takes_any=item.route.idempotent and not history.tried,
@@ -149,7 +149,7 @@
 
     async def _attempt(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         target_id: ids.TargetId,
         history: _History,
     ) -> target_answer.TargetAnswer:
@@ -166,7 +166,7 @@
 
     def _reserve_or_give_up(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         history: _History,
     ) -> ids.TargetId | None:
         """Return ``NO_TARGET`` once no target can take the request any more.
@@ -180,7 +180,7 @@
 
     def _reserve(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         history: _History,
     ) -> ids.TargetId | None:
         runtime = item.runtime
@@ -198,7 +198,7 @@
             history.tried.add(target_id)
 
     def _suits(
-        self, item: caller_request.Work, target_id: ids.TargetId
+        self, item: caller_request.CallerRequest, target_id: ids.TargetId
     ) -> bool:
         # A newer file may have targets that the request's own has not.
         if target_id not in item.snapshot.targets:
@@ -210,7 +210,7 @@
 
     def _has_target(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         tried: Collection[ids.TargetId],
     ) -> bool:
         stated = item.runtime.stated
@@ -223,7 +223,7 @@
 
     def _may_go_on(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         history: _History,
         error: errors.GatewayError,
     ) -> bool:
@@ -248,14 +248,16 @@
             and item.runtime.retry_budget.try_spend()
         )
 
-    def _has_room(self, item: caller_request.Work, history: _History) -> bool:
+    def _has_room(
+        self, item: caller_request.CallerRequest, history: _History
+    ) -> bool:
         if history.attempts >= _MOST_ATTEMPTS:
             return False
         return self._has_target(item, history.tried)
 
     def _may_improve(
         self,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         history: _History,
         answer: target_answer.TargetAnswer,
     ) -> bool:
@@ -267,7 +269,7 @@
         return item.runtime.retry_budget.try_spend()
 
 
-def _no_target(item: caller_request.Work) -> refusals.NoTargetError:
+def _no_target(item: caller_request.CallerRequest) -> refusals.NoTargetError:
     return refusals.NoTargetError(
         f'Service {item.snapshot.settings.name} has no target that may take '
         'this request',
--- a/libraries/gateway/src/sardinepier/gateway/hedged.py
+++ b/libraries/gateway/src/sardinepier/gateway/hedged.py
@@ -23,7 +23,7 @@
     def __init__(
         self,
         context: contexts.GatewayContext,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         reserve: Callable[[], ids.TargetId | None],
         tried: set[ids.TargetId],
     ) -> None:
--- a/libraries/gateway/src/sardinepier/gateway/intake.py
+++ b/libraries/gateway/src/sardinepier/gateway/intake.py
@@ -29,7 +29,7 @@
 
     async def read(
         self, request: web_request.BaseRequest
-    ) -> caller_request.Work:
+    ) -> caller_request.CallerRequest:
         """Return the request as work.
 
         It is bound to the settings in force at this moment and keeps them.
@@ -55,7 +55,7 @@
                 context.clock,
                 deadline_s,
             )
-        return caller_request.Work(
+        return caller_request.CallerRequest(
             snapshot,
             runtime,
             route,
--- a/libraries/gateway/src/sardinepier/gateway/keyed.py
+++ b/libraries/gateway/src/sardinepier/gateway/keyed.py
@@ -43,7 +43,7 @@
     async def handle(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
     ) -> web_response.StreamResponse:
         """Run, join, repeat or pass on the request that ``item`` is."""
         key = _key(request)
@@ -60,7 +60,7 @@
     async def _start(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         record: records.Record,
     ) -> web_response.StreamResponse:
         # The request goes on to its end in a task of its own, even when the
@@ -82,7 +82,7 @@
     async def _run(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         record: records.Record,
     ) -> web_response.StreamResponse:
         with self._context.activity:
@@ -98,7 +98,7 @@
     async def _run_recorded(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         record: records.Record,
     ) -> web_response.StreamResponse:
         answer = await self._forwarding.forward(item)
@@ -115,7 +115,7 @@
     async def _stream(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         record: records.Record,
         answer: target_answers.TargetAnswer,
     ) -> web_response.StreamResponse:
--- a/libraries/gateway/src/sardinepier/gateway/pipeline.py
+++ b/libraries/gateway/src/sardinepier/gateway/pipeline.py
@@ -74,7 +74,7 @@
     async def _answer(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
     ) -> web_response.StreamResponse:
         if not item.route.idempotent:
             return await self._keyed.handle(request, item)
--- a/libraries/gateway/src/sardinepier/gateway/reading.py
+++ b/libraries/gateway/src/sardinepier/gateway/reading.py
@@ -14,7 +14,7 @@
 
 async def read(
     response: client_reqrep.ClientResponse,
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     on_end: target_answer.OnEnd,
 ) -> target_answer.TargetAnswer:
     """Return the answer: whole, or its beginning when it is a long one.
@@ -55,7 +55,7 @@
 
 async def _read(
     response: client_reqrep.ClientResponse,
-    item: caller_request.Work,
+    item: caller_request.CallerRequest,
     on_end: target_answer.OnEnd,
 ) -> target_answer.TargetAnswer:
     _require_frame(response, item.method)
--- a/libraries/gateway/src/sardinepier/gateway/relaying.py
+++ b/libraries/gateway/src/sardinepier/gateway/relaying.py
@@ -35,7 +35,7 @@
     async def relay(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         home: ids.InstanceId,
     ) -> web_response.StreamResponse:
         """Return the home's answer; raise ``HomeUnreachableError``."""
@@ -79,7 +79,7 @@
     async def _open(
         self,
         request: web_request.BaseRequest,
-        item: caller_request.Work,
+        item: caller_request.CallerRequest,
         member: members.Member,
     ) -> client_reqrep.ClientResponse:
         origin = snapshots.origin(member.http_ip, member.http_port)
--- a/libraries/gateway/src/sardinepier/gateway/stated_targets.py
+++ b/libraries/gateway/src/sardinepier/gateway/stated_targets.py
@@ -111,14 +111,14 @@
     def opening(
         self,
         targets: Collection[ids.TargetId],
-    ) -> wait_queue.Opening:
+    ) -> wait_queue.CapacityForecast:
         """Return when one of them wants requests again, and how many."""
         now_s = self._clock.monotonic_s()
         if not self._known or not targets:
-            return wait_queue.OPEN
+            return wait_queue.AVAILABLE_NOW
         opens_at_s = min(self._opens_at_s(one, now_s) for one in targets)
         if opens_at_s <= now_s or math.isinf(opens_at_s):
-            return wait_queue.OPEN
+            return wait_queue.AVAILABLE_NOW
         # Whoever is closed asked for something.
         return target_statements.opening(
             (self._known[one] for one in targets),
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -40,7 +40,7 @@
 def opening(
     closed: Iterable['TargetStatements'],
     now_s: float,
-) -> wait_queue.Opening:
+) -> wait_queue.CapacityForecast:
     """Return when targets of which none wants a request now want some again."""
     first_s = math.inf
     any_s = math.inf
@@ -52,7 +52,9 @@
         else:
             first_s = min(first_s, wait_s)
             per_s += stated.own_per_s
-    return wait_queue.Opening(first_s, 1 / per_s if per_s else 0.0, any_s)
+    return wait_queue.CapacityForecast(
+        first_s, 1 / per_s if per_s else 0.0, any_s
+    )
 
 
 class TargetStatements:
--- a/libraries/health/src/sardinepier/health/evidence.py
+++ b/libraries/health/src/sardinepier/health/evidence.py
@@ -14,7 +14,7 @@
 from sardinepier.core import ids
 
 
-class AttemptEnd(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How one attempt at a target ended, as the gateway saw it."""
 
     ANSWERED = 'answered'
@@ -33,7 +33,7 @@
     """The connection broke under a request that broke others before."""
 
 
-class Sign(enum.Enum):
+class HealthSignal(enum.Enum):
     """What one finished or overdue attempt says about its target."""
 
     GOOD = 'good'
@@ -45,24 +45,24 @@
 
 
 _FAILURES: Final = {
-    AttemptEnd.FAILED: Sign.FAILED,
-    AttemptEnd.WRONG: Sign.WRONG,
-    AttemptEnd.CONNECT_FAILED: Sign.FAILED,
-    AttemptEnd.CONNECTION_LOST: Sign.LOST_CONNECTION,
+    AttemptOutcome.FAILED: HealthSignal.FAILED,
+    AttemptOutcome.WRONG: HealthSignal.WRONG,
+    AttemptOutcome.CONNECT_FAILED: HealthSignal.FAILED,
+    AttemptOutcome.CONNECTION_LOST: HealthSignal.LOST_CONNECTION,
 }
 
 
-def sign_of(end: AttemptEnd, slow: bool) -> Sign | None:
+def sign_of(end: AttemptOutcome, slow: bool) -> HealthSignal | None:
     """Return the sign that an attempt leaves, or None when it says nothing.
 
     ``slow`` says that the attempt took far longer than its route does at the
     other targets. A timeout of a request that was given too little time is
     no evidence; shed, cancelled and crash-suspect attempts never are.
     """
-    if end is AttemptEnd.ANSWERED:
-        return Sign.SLOW if slow else Sign.GOOD
-    if end is AttemptEnd.TIMED_OUT:
-        return Sign.HUNG if slow else None
+    if end is AttemptOutcome.ANSWERED:
+        return HealthSignal.SLOW if slow else HealthSignal.GOOD
+    if end is AttemptOutcome.TIMED_OUT:
+        return HealthSignal.HUNG if slow else None
     return _FAILURES.get(end)
 
 
--- a/libraries/health/src/sardinepier/health/failure_estimate.py
+++ b/libraries/health/src/sardinepier/health/failure_estimate.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BeliefOptions:
+class EstimateOptions:
     """What is assumed of the targets of a fleet.
 
     ``failing_share`` is the long-run share of time in which a target fails,
@@ -37,7 +37,7 @@
     sound_hung_share: float = 0.015
 
 
-class TargetBelief:
+class FailureEstimate:
     """The belief about one target.
 
     For example::
@@ -50,7 +50,7 @@
 
     __slots__ = ('_failing', '_options', '_updated_s')
 
-    def __init__(self, options: BeliefOptions, now_s: float) -> None:
+    def __init__(self, options: EstimateOptions, now_s: float) -> None:
         """Start with the long-run share."""
         self._options = options
         self._failing = options.failing_share
--- a/libraries/health/src/sardinepier/health/internal/attempt_recording.py
+++ b/libraries/health/src/sardinepier/health/internal/attempt_recording.py
@@ -22,7 +22,7 @@
     FAILED = 'failed'
 
 
-class Intake:
+class AttemptRecorder:
     """Turns ends of attempts into windows; learns the route medians."""
 
     def __init__(self, options: health_options.HealthOptions) -> None:
@@ -32,7 +32,7 @@
 
     def started(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         route: ids.RouteName,
         attempt: int,
         now_s: float,
@@ -43,30 +43,30 @@
 
     def finished(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         route: ids.RouteName,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float | None,
         now_s: float,
-    ) -> evidence.Sign | None:
+    ) -> evidence.HealthSignal | None:
         """Count an end; return its sign, None when it is no evidence."""
         position = self._position(one, route, end, latency_ms)
         slow = position is not None and position >= baseline.SLOW_RESIDUAL
         sign = evidence.sign_of(end, slow)
         if sign is None or one.state in _UNJUDGED:
-            if sign is evidence.Sign.GOOD:
+            if sign is evidence.HealthSignal.GOOD:
                 one.warmed = True
             return sign
         one.last_traffic_s = now_s
         if one.window.attempts() < _MOST_IN_WINDOW:
             _count(one.window, sign, position)
-        if sign is evidence.Sign.GOOD:
+        if sign is evidence.HealthSignal.GOOD:
             one.last_good_s = now_s
         return sign
 
     def probed(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         good: bool,
         latency_ms: float | None,
         now_s: float,
@@ -93,16 +93,16 @@
 
     def _position(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         route: ids.RouteName,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float | None,
     ) -> int | None:
         if latency_ms is None or end not in _TIMED:
             return None
         log_value = baseline.log_latency(latency_ms)
         median = self._medians.get(route)
-        answered = end is evidence.AttemptEnd.ANSWERED
+        answered = end is evidence.AttemptOutcome.ANSWERED
         if answered and _may_teach(one):
             self._medians.observe(route, log_value)
         if median is None:
@@ -121,14 +121,14 @@
 
 
 def trial_result(
-    one: tracked_target.Tracked,
-    sign: evidence.Sign | None,
+    one: tracked_target.TrackedTarget,
+    sign: evidence.HealthSignal | None,
     options: health_options.HealthOptions,
 ) -> TrialOutcome:
     """Count a trial; enough good ones in a row pass, a bad one fails."""
     if sign is None:
         return TrialOutcome.GOING_ON
-    if sign is not evidence.Sign.GOOD:
+    if sign is not evidence.HealthSignal.GOOD:
         return TrialOutcome.FAILED
     way_back = one.way_back
     way_back.good_trials += 1
@@ -141,18 +141,18 @@
     (targets.TargetState.COLD, targets.TargetState.LEAVING),
 )
 _TIMED: Final = frozenset(
-    (evidence.AttemptEnd.ANSWERED, evidence.AttemptEnd.TIMED_OUT),
+    (evidence.AttemptOutcome.ANSWERED, evidence.AttemptOutcome.TIMED_OUT),
 )
 
 
-def _may_teach(one: tracked_target.Tracked) -> bool:
+def _may_teach(one: tracked_target.TrackedTarget) -> bool:
     return (
         one.state is targets.TargetState.IN_SERVICE
         and one.suspicion.score() < scoring.ABOVE_SUSPICION
     )
 
 
-def _traffic_speaks(one: tracked_target.Tracked, now_s: float) -> bool:
+def _traffic_speaks(one: tracked_target.TrackedTarget, now_s: float) -> bool:
     if one.last_traffic_s is None:
         return False
     return now_s - one.last_traffic_s < _TRAFFIC_SPEAKS_S
@@ -160,18 +160,20 @@
 
 def _count(
     window: tracked_target.Window,
-    sign: evidence.Sign,
+    sign: evidence.HealthSignal,
     position: int | None,
 ) -> None:
     if position is not None:
         window.residuals.append(position)
     if sign in _SUCCESSES:
         window.successes += 1
-        window.good += sign is evidence.Sign.GOOD
-    elif sign is evidence.Sign.WRONG:
+        window.good += sign is evidence.HealthSignal.GOOD
+    elif sign is evidence.HealthSignal.WRONG:
         window.wrong += 1
     else:
         window.failures += 1
 
 
-_SUCCESSES: Final = frozenset((evidence.Sign.GOOD, evidence.Sign.SLOW))
+_SUCCESSES: Final = frozenset(
+    (evidence.HealthSignal.GOOD, evidence.HealthSignal.SLOW)
+)
--- a/libraries/health/src/sardinepier/health/internal/choices.py
+++ b/libraries/health/src/sardinepier/health/internal/choices.py
@@ -18,7 +18,7 @@
 
     def refresh(
         self,
-        listed: target_list.Roster,
+        listed: target_list.TargetList,
         in_flight: Mapping[ids.TargetId, int],
         options: health_options.HealthOptions,
         now_s: float,
--- a/libraries/health/src/sardinepier/health/internal/engine.py
+++ b/libraries/health/src/sardinepier/health/internal/engine.py
@@ -34,8 +34,8 @@
     ) -> None:
         """Start without targets and without peers."""
         self.options = options
-        self.listed = target_list.Roster(options)
-        self.intake = attempt_recording.Intake(options)
+        self.listed = target_list.TargetList(options)
+        self.intake = attempt_recording.AttemptRecorder(options)
         self.peers = peer_evidence.PeerEvidence(observer, options, clock)
         self.reports = reporting.Reports(self.listed, options)
         self.verdicts = verdict.Verdicts(
@@ -123,7 +123,7 @@
 
     def trial_ended(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         outcome: attempt_recording.TrialOutcome,
     ) -> None:
         """Act on the last good trial or on a bad one."""
--- a/libraries/health/src/sardinepier/health/internal/floor.py
+++ b/libraries/health/src/sardinepier/health/internal/floor.py
@@ -24,7 +24,7 @@
 
 
 def fitting(
-    listed: target_list.Roster,
+    listed: target_list.TargetList,
     group: group_scores.Group,
     now_s: float,
     options: health_options.HealthOptions,
@@ -48,7 +48,7 @@
 
 
 def _wanted(
-    listed: target_list.Roster,
+    listed: target_list.TargetList,
     group: group_scores.Group,
     now_s: float,
 ) -> list[ejection.Wanted]:
@@ -65,7 +65,7 @@
 
 
 def _counts(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     now_s: float,
     options: health_options.HealthOptions,
 ) -> bool:
--- a/libraries/health/src/sardinepier/health/internal/group_scores.py
+++ b/libraries/health/src/sardinepier/health/internal/group_scores.py
@@ -67,7 +67,7 @@
 
 
 def update(
-    tracked_targets: Sequence[tracked_target.Tracked],
+    tracked_targets: Sequence[tracked_target.TrackedTarget],
     group: Group,
     now_s: float,
     limits: change_detection.Limits,
@@ -145,7 +145,9 @@
     return (level - _STAND_OUT * usual) / (threshold + usual)
 
 
-def doubts_itself(tracked_targets: Sequence[tracked_target.Tracked]) -> bool:
+def doubts_itself(
+    tracked_targets: Sequence[tracked_target.TrackedTarget],
+) -> bool:
     """Return whether most targets look bad to this daemon alone."""
     active = [
         one
@@ -157,7 +159,7 @@
 
 
 def peers_ejecting(
-    one: tracked_target.Tracked, group: Group, now_s: float
+    one: tracked_target.TrackedTarget, group: Group, now_s: float
 ) -> int:
     """Return how many peers have this incarnation ejected."""
     count = 0
@@ -169,7 +171,7 @@
     return count
 
 
-def rank(one: tracked_target.Tracked, group: Group) -> float:
+def rank(one: tracked_target.TrackedTarget, group: Group) -> float:
     """Return the score by which daemons order ejections.
 
     An ejection in force keeps the score it was made with, so that the order
@@ -184,7 +186,7 @@
 
 
 def overdue_by_observer(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     group: Group,
 ) -> dict[ids.InstanceId, float]:
     """Return each observer's evidence of requests overdue in flight."""
@@ -201,7 +203,7 @@
 
 
 def _levels(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     group: Group,
     now_s: float,
     limits: change_detection.Limits,
@@ -269,7 +271,7 @@
     return total
 
 
-def _overdue_ms(one: tracked_target.Tracked, group: Group) -> float:
+def _overdue_ms(one: tracked_target.TrackedTarget, group: Group) -> float:
     ages_ms = [one.suspicion.overdue_ms]
     for peer in group.accusing.values():
         if one.target_id in peer.overdue:
--- a/libraries/health/src/sardinepier/health/internal/probing.py
+++ b/libraries/health/src/sardinepier/health/internal/probing.py
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        listed: target_list.Roster,
+        listed: target_list.TargetList,
         options: health_options.HealthOptions,
         random_source: random.Random,
     ) -> None:
@@ -41,7 +41,7 @@
             due.append(one.target_id)
         return tuple(due)
 
-    def _due_s(self, one: tracked_target.Tracked) -> float:
+    def _due_s(self, one: tracked_target.TrackedTarget) -> float:
         calm = one.suspicion.since_s is None
         if calm and one.state is _States.IN_SERVICE:
             return one.probing.due_s
--- a/libraries/health/src/sardinepier/health/internal/reporting.py
+++ b/libraries/health/src/sardinepier/health/internal/reporting.py
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        listed: target_list.Roster,
+        listed: target_list.TargetList,
         options: health_options.HealthOptions,
     ) -> None:
         """Report on the targets of ``listed``."""
@@ -49,7 +49,7 @@
         )
 
 
-def _row(one: tracked_target.Tracked) -> evidence.TargetEvidence:
+def _row(one: tracked_target.TrackedTarget) -> evidence.TargetEvidence:
     return evidence.TargetEvidence(
         target_id=one.target_id,
         incarnation=one.identity.incarnation,
@@ -63,7 +63,7 @@
 
 
 def _ejections(
-    listed: Iterable[tracked_target.Tracked],
+    listed: Iterable[tracked_target.TrackedTarget],
     now_s: float,
 ) -> Iterable[evidence.EjectionNotice]:
     for one in listed:
@@ -77,7 +77,7 @@
 
 
 def absorb(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     increment: peer_evidence.Increment,
     now_s: float,
 ) -> None:
@@ -95,7 +95,7 @@
 
 
 def vote(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     observer: ids.InstanceId,
     attempts: int,
     good: int,
@@ -118,7 +118,7 @@
 
 
 def status(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     weight: float,
     now_s: float,
 ) -> targets.TargetStatus:
--- a/libraries/health/src/sardinepier/health/internal/scoring.py
+++ b/libraries/health/src/sardinepier/health/internal/scoring.py
@@ -38,7 +38,7 @@
 
     def score(
         self,
-        tracked_targets: Sequence[tracked_target.Tracked],
+        tracked_targets: Sequence[tracked_target.TrackedTarget],
         now_s: float,
         doubts_itself: bool,
     ) -> None:
@@ -76,7 +76,7 @@
 
     def _fade(
         self,
-        tracked_targets: Sequence[tracked_target.Tracked],
+        tracked_targets: Sequence[tracked_target.TrackedTarget],
         now_s: float,
     ) -> None:
         last_s = now_s if self._last_s is None else self._last_s
@@ -101,7 +101,7 @@
 
     def _score_window(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         shift: int,
         usual_share: float,
         doubts_itself: bool,
@@ -138,7 +138,7 @@
 
     def _score_flights(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         shift: int,
         now_s: float,
     ) -> None:
--- a/libraries/health/src/sardinepier/health/internal/state_events.py
+++ b/libraries/health/src/sardinepier/health/internal/state_events.py
@@ -7,7 +7,7 @@
 from sardinepier.health.internal import tracked_target
 
 
-class Announcer:
+class StateEvents:
     """Turns a change of a tracked target into an event."""
 
     def __init__(
@@ -21,7 +21,7 @@
 
     def changed(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         before: targets.TargetState,
     ) -> None:
         """Tell that ``one`` was in the state ``before`` until now."""
--- a/libraries/health/src/sardinepier/health/internal/target_list.py
+++ b/libraries/health/src/sardinepier/health/internal/target_list.py
@@ -12,25 +12,27 @@
 _MARKS_TOLD: Final = 256
 
 
-class Roster:
+class TargetList:
     """The tracked targets and the leaving marks, which outlive them."""
 
     def __init__(self, options: health_options.HealthOptions) -> None:
         """Start without targets."""
         self.options = options
-        self._tracked: dict[ids.TargetId, tracked_target.Tracked] = {}
+        self._tracked: dict[ids.TargetId, tracked_target.TrackedTarget] = {}
         self._leaving: dict[evidence.LeavingNotice, None] = {}
         self._was_filled = False
 
-    def __iter__(self) -> Iterator[tracked_target.Tracked]:
+    def __iter__(self) -> Iterator[tracked_target.TrackedTarget]:
         """Iterate over all tracked targets."""
         return iter(self._tracked.values())
 
-    def get(self, target_id: ids.TargetId) -> tracked_target.Tracked | None:
+    def get(
+        self, target_id: ids.TargetId
+    ) -> tracked_target.TrackedTarget | None:
         """Return the tracked target, or None when it is not listed."""
         return self._tracked.get(target_id)
 
-    def all(self) -> list[tracked_target.Tracked]:
+    def all(self) -> list[tracked_target.TrackedTarget]:
         """Return all tracked targets."""
         return list(self._tracked.values())
 
@@ -66,7 +68,7 @@
             self._drop_oldest_unlisted()
         return True
 
-    def is_leaving(self, one: tracked_target.Tracked) -> bool:
+    def is_leaving(self, one: tracked_target.TrackedTarget) -> bool:
         """Return whether this incarnation said that it is leaving."""
         return _notice(one) in self._leaving
 
@@ -78,7 +80,7 @@
 
     def _is_same(
         self,
-        known: tracked_target.Tracked,
+        known: tracked_target.TrackedTarget,
         identity: targets.TargetIdentity,
     ) -> bool:
         before = known.identity.incarnation
@@ -90,8 +92,8 @@
         self,
         identity: targets.TargetIdentity,
         now_s: float,
-    ) -> tracked_target.Tracked:
-        one = tracked_target.Tracked(identity)
+    ) -> tracked_target.TrackedTarget:
+        one = tracked_target.TrackedTarget(identity)
         if self._was_filled:
             one.state = targets.TargetState.COLD
             one.reason = targets.Reason.NEW_INCARNATION
@@ -106,7 +108,7 @@
                 return
 
 
-def _notice(one: tracked_target.Tracked) -> evidence.LeavingNotice:
+def _notice(one: tracked_target.TrackedTarget) -> evidence.LeavingNotice:
     return evidence.LeavingNotice(
         one.identity.target_id,
         one.identity.incarnation,
--- a/libraries/health/src/sardinepier/health/internal/tracked_target.py
+++ b/libraries/health/src/sardinepier/health/internal/tracked_target.py
@@ -179,7 +179,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tracked:
+class TrackedTarget:
     """One incarnation of one target."""
 
     identity: targets.TargetIdentity
@@ -197,8 +197,8 @@
     tally: Tally = dataclasses.field(default_factory=Tally)
     suspicion: Suspicion = dataclasses.field(default_factory=Suspicion)
     probing: Probing = dataclasses.field(default_factory=Probing)
-    way_back: readmission.Return = dataclasses.field(
-        default_factory=readmission.Return,
+    way_back: readmission.Readmission = dataclasses.field(
+        default_factory=readmission.Readmission,
     )
 
     @property
--- a/libraries/health/src/sardinepier/health/internal/verdict.py
+++ b/libraries/health/src/sardinepier/health/internal/verdict.py
@@ -22,7 +22,9 @@
 _QUIET_S: Final = 10.0
 
 _JUDGED: Final = frozenset((_States.IN_SERVICE, _States.SUSPECT))
-ChangeHandler = Callable[[tracked_target.Tracked, targets.TargetState], None]
+ChangeHandler = Callable[
+    [tracked_target.TrackedTarget, targets.TargetState], None
+]
 
 
 class Verdicts:
@@ -30,7 +32,7 @@
 
     def __init__(
         self,
-        listed: target_list.Roster,
+        listed: target_list.TargetList,
         own: ids.InstanceId,
         options: health_options.HealthOptions,
         random_source: random.Random,
@@ -45,7 +47,7 @@
 
     def move(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         state: targets.TargetState,
         reason: targets.Reason,
     ) -> None:
@@ -81,18 +83,18 @@
             elif one.state in _JUDGED:
                 self._settle(one, now_s)
 
-    def leave(self, one: tracked_target.Tracked) -> None:
+    def leave(self, one: tracked_target.TrackedTarget) -> None:
         """Take a leaving target out for good."""
         one.verdict = targets.Reason.NONE
         self.move(one, _States.LEAVING, targets.Reason.LEAVING)
 
-    def trial_failed(self, one: tracked_target.Tracked) -> None:
+    def trial_failed(self, one: tracked_target.TrackedTarget) -> None:
         """Want the target out again; ``enforce`` decides."""
         one.verdict = targets.Reason.OWN_EVIDENCE
 
     def trial_passed(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         now_s: float,
         threshold: float,
     ) -> None:
@@ -104,7 +106,7 @@
 
     def _advance(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         now_s: float,
         threshold: float,
     ) -> None:
@@ -120,7 +122,7 @@
 
     def _verdict(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         group: group_scores.Group,
         now_s: float,
         doubts: bool,
@@ -142,7 +144,7 @@
 
     def _upgraded(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         group: group_scores.Group,
     ) -> targets.Reason:
         own = one.verdict is targets.Reason.OWN_EVIDENCE
@@ -152,7 +154,7 @@
 
     def _group_says(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         group: group_scores.Group,
     ) -> bool:
         suspicion = one.suspicion
@@ -176,7 +178,7 @@
 
     def _peers_say(
         self,
-        one: tracked_target.Tracked,
+        one: tracked_target.TrackedTarget,
         group: group_scores.Group,
         now_s: float,
     ) -> bool:
@@ -190,18 +192,18 @@
             return False
         return one.way_back.may_follow
 
-    def _eject(self, one: tracked_target.Tracked, now_s: float) -> None:
+    def _eject(self, one: tracked_target.TrackedTarget, now_s: float) -> None:
         if one.state is not _States.EJECTED:
             one.way_back.may_follow = False
             one.ejected_score = one.suspicion.score()
             one.way_back.eject(now_s, self.options, self._random)
         self.move(one, _States.EJECTED, one.verdict)
 
-    def _hold(self, one: tracked_target.Tracked) -> None:
+    def _hold(self, one: tracked_target.TrackedTarget) -> None:
         if one.state not in {_States.COLD, _States.LEAVING}:
             self.move(one, _States.SUSPECT, targets.Reason.HELD_BY_FLOOR)
 
-    def _settle(self, one: tracked_target.Tracked, now_s: float) -> None:
+    def _settle(self, one: tracked_target.TrackedTarget, now_s: float) -> None:
         if _probes_say(one, now_s):
             self.move(one, _States.SUSPECT, targets.Reason.PROBES_FAILED)
             return
@@ -210,7 +212,7 @@
         self.move(one, state, targets.Reason.NONE)
 
 
-def _probes_say(one: tracked_target.Tracked, now_s: float) -> bool:
+def _probes_say(one: tracked_target.TrackedTarget, now_s: float) -> bool:
     if one.probing.bad_in_row < _PROBES_IN_ROW:
         return False
     return one.last_traffic_s is None or now_s - one.last_traffic_s > _QUIET_S
--- a/libraries/health/src/sardinepier/health/internal/voting.py
+++ b/libraries/health/src/sardinepier/health/internal/voting.py
@@ -23,7 +23,7 @@
 
 
 def vote(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     overdue: Set[ids.InstanceId],
     now_s: float,
@@ -52,7 +52,7 @@
 
 
 def _vote_on_hang(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     many_wait: bool,
     now_s: float,
 ) -> tracked_target.Vote:
@@ -115,7 +115,7 @@
 
 
 def _have_spoken(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     overdue: Set[ids.InstanceId],
 ) -> bool:
--- a/libraries/health/src/sardinepier/health/internal/weights.py
+++ b/libraries/health/src/sardinepier/health/internal/weights.py
@@ -12,7 +12,7 @@
 
 
 def weight(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     options: health_options.HealthOptions,
     now_s: float,
 ) -> float:
@@ -32,7 +32,7 @@
 
 
 def _cold_weight(
-    one: tracked_target.Tracked,
+    one: tracked_target.TrackedTarget,
     options: health_options.HealthOptions,
     now_s: float,
 ) -> float:
--- a/libraries/health/src/sardinepier/health/peer_evidence.py
+++ b/libraries/health/src/sardinepier/health/peer_evidence.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeardEjection:
+class PeerEjection:
     """A peer's ejection with its deadline on the local clock."""
 
     incarnation: ids.TargetIncarnation
@@ -47,7 +47,7 @@
     heard_s: float
     doubts_itself: bool
     rows: dict[ids.TargetId, evidence.TargetEvidence]
-    ejections: dict[ids.TargetId, HeardEjection]
+    ejections: dict[ids.TargetId, PeerEjection]
     overdue: frozenset[ids.TargetId]
     """Targets with requests overdue, none while it doubts itself."""
 
@@ -144,7 +144,7 @@
                 if row.overdue and not report.doubts_itself
             ),
             ejections={
-                notice.target_id: HeardEjection(
+                notice.target_id: PeerEjection(
                     notice.incarnation,
                     now_s + min(longest_s, notice.remaining_s),
                     notice.score,
--- a/libraries/health/src/sardinepier/health/readmission.py
+++ b/libraries/health/src/sardinepier/health/readmission.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Return:
+class Readmission:
     """Deadlines of one target on its way back."""
 
     doublings: int = 0
--- a/libraries/health/src/sardinepier/health/service_health.py
+++ b/libraries/health/src/sardinepier/health/service_health.py
@@ -54,7 +54,7 @@
             options,
             clock,
             random_source,
-            state_events.Announcer(service, on_event).changed,
+            state_events.StateEvents(service, on_event).changed,
         )
 
         self._probes = probing.ProbeSchedule(
@@ -105,7 +105,7 @@
         target_id: ids.TargetId,
         route: ids.RouteName,
         attempt: int,
-        sign_kind: evidence.AttemptEnd,
+        sign_kind: evidence.AttemptOutcome,
         latency_ms: float | None,
     ) -> None:
         """Note how an attempt ended, and after how many milliseconds.
@@ -118,7 +118,7 @@
             return
         now_s = self._clock.monotonic_s()
         flight = one.flights.pop(attempt, None)
-        timed_out = sign_kind is evidence.AttemptEnd.TIMED_OUT
+        timed_out = sign_kind is evidence.AttemptOutcome.TIMED_OUT
         if latency_ms is None and timed_out and flight is not None:
             latency_ms = (now_s - flight.started_s) * _MS_PER_S
         sign = self._engine.intake.finished(
--- a/libraries/health/tests/conftest.py
+++ b/libraries/health/tests/conftest.py
@@ -7,7 +7,7 @@
 from sardinepier.core import clock
 from sardinepier.health import evidence, options, service_health, targets
 
-_END = evidence.AttemptEnd
+_END = evidence.AttemptOutcome
 _STEP_S = 0.02
 
 
--- a/libraries/health/tests/cover/test_health_failure_estimate.py
+++ b/libraries/health/tests/cover/test_health_failure_estimate.py
@@ -6,11 +6,11 @@
 
 from sardinepier.health import failure_estimate
 
-OPTIONS = failure_estimate.BeliefOptions()
+OPTIONS = failure_estimate.EstimateOptions()
 
 
 def fresh(now_s=0.0):
-    return failure_estimate.TargetBelief(OPTIONS, now_s)
+    return failure_estimate.FailureEstimate(OPTIONS, now_s)
 
 
 def test_it_starts_with_the_long_run_share():
--- a/libraries/health/tests/cover/test_health_fault_cases.py
+++ b/libraries/health/tests/cover/test_health_fault_cases.py
@@ -4,7 +4,7 @@
 
 from sardinepier.health import evidence, targets
 
-_END = evidence.AttemptEnd
+_END = evidence.AttemptOutcome
 _WARM_UP_S = 12
 _FAULT_S = 4
 
--- a/libraries/health/tests/cover/test_health_floor.py
+++ b/libraries/health/tests/cover/test_health_floor.py
@@ -22,7 +22,7 @@
 
 _NAMES = [f't{place}' for place in range(6)]
 _NAME = st.sampled_from(_NAMES)
-_END = st.sampled_from(list(evidence.AttemptEnd))
+_END = st.sampled_from(list(evidence.AttemptOutcome))
 _STATES = targets.TargetState
 _ROW = st.builds(
     evidence.TargetEvidence,
@@ -107,15 +107,15 @@
                 self.attempt += 1
                 daemon.started(name, 'list', self.attempt)
                 daemon.finished(name, 'list', self.attempt, end, 40.0)
-            if end is evidence.AttemptEnd.ANSWERED:
+            if end is evidence.AttemptOutcome.ANSWERED:
                 self._good(place, name)
 
     @stateful.rule(bad=st.sets(_NAME, max_size=5), seconds=st.integers(1, 20))
     def some_fail_for_a_while(self, bad, seconds):
         for _ in range(seconds * 2):
             for name in _NAMES:
-                failed = evidence.AttemptEnd.FAILED
-                answered = evidence.AttemptEnd.ANSWERED
+                failed = evidence.AttemptOutcome.FAILED
+                answered = evidence.AttemptOutcome.ANSWERED
                 self.traffic(name, failed if name in bad else answered, 2)
             self.clock.advance(0.5)
             self.tick_all()
@@ -265,7 +265,7 @@
 
 
 def _fail(_random_source):
-    return evidence.AttemptEnd.FAILED, 5.0
+    return evidence.AttemptOutcome.FAILED, 5.0
 
 
 def test_two_sides_of_a_partition_converge_above_the_floor(bench):
--- a/libraries/health/tests/cover/test_health_reports.py
+++ b/libraries/health/tests/cover/test_health_reports.py
@@ -186,7 +186,7 @@
 def test_doubt_takes_a_majority_of_the_targets_in_use():
     def seen(level, attempts=9.0):
         identity = targets.TargetIdentity('t', 'a', 3)
-        one = tracked_target.Tracked(identity)
+        one = tracked_target.TrackedTarget(identity)
         one.recent.attempts = attempts
         one.suspicion.own_level = level
         return one
@@ -208,7 +208,7 @@
 def test_answers_heard_just_before_suspicion_veto_a_hang(
     good, elapsed_s, expected
 ):
-    one = tracked_target.Tracked(targets.TargetIdentity('t', 'a', 3))
+    one = tracked_target.TrackedTarget(targets.TargetIdentity('t', 'a', 3))
     reporting.vote(one, 'x~0', good, good, now_s=10.0)
     observers = [f'o{place}~0' for place in range(5)]
     peers = dict.fromkeys(observers)
--- a/libraries/routing/src/sardinepier/routing/admission.py
+++ b/libraries/routing/src/sardinepier/routing/admission.py
@@ -10,7 +10,7 @@
 from sardinepier.routing import errors, wait_queue
 from sardinepier.routing.internal import checks
 
-Work = wait_queue.Work
+QueuedRequest = wait_queue.QueuedRequest
 
 _RECHECK_INTERVAL_S: Final = 0.05
 
@@ -42,7 +42,9 @@
         length: int,
         random_source: random.Random,
         release: Callable[[ids.TargetId], None],
-        opening: Callable[[], wait_queue.Opening] = wait_queue.always_open,
+        opening: Callable[
+            [], wait_queue.CapacityForecast
+        ] = wait_queue.always_open,
         *,
         recheck_interval_s: float = _RECHECK_INTERVAL_S,
     ) -> None:
@@ -55,7 +57,7 @@
         """
         checks.positive('recheck_interval_s', recheck_interval_s)
         self._clock = local_clock
-        self._line = wait_queue.WaitingLine(
+        self._line = wait_queue.WaitQueue(
             local_clock,
             length,
             random_source,
@@ -75,7 +77,7 @@
 
     async def acquire(
         self,
-        work: wait_queue.Work,
+        work: wait_queue.QueuedRequest,
         choose: Callable[[], ids.TargetId | None],
     ) -> ids.TargetId:
         """Wait for a slot and return the target at which it was reserved.
@@ -137,7 +139,7 @@
 
     def __init__(
         self,
-        work: wait_queue.Work,
+        work: wait_queue.QueuedRequest,
         choose: Callable[[], ids.TargetId | None],
     ) -> None:
         """Wait in the running event loop."""
--- a/libraries/routing/src/sardinepier/routing/fleet_limits.py
+++ b/libraries/routing/src/sardinepier/routing/fleet_limits.py
@@ -70,7 +70,7 @@
         self._lower_at_s: dict[ids.CustomerName, float] = {}
         self._buckets: dict[ids.CustomerName, fleet_bucket.FleetBucket] = {}
         self._beside: dict[ids.CustomerName, fleet_bucket.FleetBucket] = {}
-        self._others = peer_liveness.OtherDaemons()
+        self._others = peer_liveness.PeerLiveness()
         self._newest_s = -math.inf
         self._changed: set[ids.CustomerName] = set()
 
--- a/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
+++ b/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
@@ -15,7 +15,7 @@
 heard to be taken for its successor."""
 
 
-class OtherDaemons:
+class PeerLiveness:
     """Knows who told when, and who is gone."""
 
     def __init__(self) -> None:
--- a/libraries/routing/src/sardinepier/routing/wait_queue.py
+++ b/libraries/routing/src/sardinepier/routing/wait_queue.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Work:
+class QueuedRequest:
     """What the line must know of a request.
 
     The lower ``priority``, the sooner its turn. ``deadline_s`` is a reading
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Opening:
+class CapacityForecast:
     """When targets that want no request now want one again.
 
     The first is wanted in ``first_s`` seconds, and each further one after
@@ -62,19 +62,19 @@
         return min(self.any_s, self.first_s + ahead * self.interval_s)
 
 
-OPEN: Final = Opening(0.0)
+AVAILABLE_NOW: Final = CapacityForecast(0.0)
 
 
-def always_open() -> Opening:
+def always_open() -> CapacityForecast:
     """Return that targets want requests at any time."""
-    return OPEN
+    return AVAILABLE_NOW
 
 
 class Waiter(Protocol):
     """A request in the line. It ends by exactly one grant or refusal."""
 
     @property
-    def work(self) -> Work:
+    def work(self) -> QueuedRequest:
         """Return its priority and deadline."""
         ...
 
@@ -99,7 +99,7 @@
     waiter: Waiter
 
 
-class WaitingLine:
+class WaitQueue:
     """The bounded, ordered line of one service in one daemon."""
 
     def __init__(
@@ -107,7 +107,7 @@
         local_clock: clock.Clock,
         length: int,
         random_source: random.Random,
-        opening: Callable[[], Opening] = always_open,
+        opening: Callable[[], CapacityForecast] = always_open,
     ) -> None:
         """Allow at most ``length`` waiters; 0 means that nobody waits.
 
@@ -132,7 +132,7 @@
         """Learn how long a target took for one request, in seconds."""
         self._estimate.observe_service(service_s)
 
-    def give_up_s(self, work: Work) -> float:
+    def give_up_s(self, work: QueuedRequest) -> float:
         """Return the local time from which ``work`` can't be finished."""
         return work.deadline_s - self._estimate.service_s
 
@@ -186,7 +186,7 @@
         if not self._places:
             self._estimate.emptied()
 
-    def _rank(self, work: Work, *, is_late: bool) -> _Rank:
+    def _rank(self, work: QueuedRequest, *, is_late: bool) -> _Rank:
         self._arrivals += 1
         return (is_late, work.priority, work.deadline_s, self._arrivals)
 
@@ -211,7 +211,7 @@
             self._expect_late(place)
         self._places.sort(key=_rank_of)
 
-    def _is_too_late(self, work: Work, ahead: int) -> bool:
+    def _is_too_late(self, work: QueuedRequest, ahead: int) -> bool:
         now_s = self._clock.monotonic_s()
         likely_s = _CAUTION * self._estimate.wait_s(ahead)
         least_s = self._opening().wait_behind_s(ahead)
@@ -252,7 +252,7 @@
     def _refuse_without_opening(self) -> None:
         """Refuse those who come too late, however soon a slot is free."""
         opening = self._opening()
-        if opening is OPEN:
+        if opening is AVAILABLE_NOW:
             return
         now_s = self._clock.monotonic_s()
         position = 0
--- a/libraries/routing/tests/cover/test_routing_capacity_forecast.py
+++ b/libraries/routing/tests/cover/test_routing_capacity_forecast.py
@@ -31,7 +31,7 @@
     def __init__(self, opening):
         self.clock = clocks.ManualClock(100.0)
         self.opening = opening
-        self.line = wait_queue.WaitingLine(
+        self.line = wait_queue.WaitQueue(
             self.clock,
             100,
             random.Random(1),
@@ -40,7 +40,9 @@
 
     def enter(self, priority=1, deadline_in_s=3.0):
         waiter = Waiter(
-            wait_queue.Work(priority, self.clock.monotonic_s() + deadline_in_s),
+            wait_queue.QueuedRequest(
+                priority, self.clock.monotonic_s() + deadline_in_s
+            ),
         )
         self.line.enter(waiter)
         return waiter
@@ -48,7 +50,7 @@
 
 def test_whoever_comes_too_late_in_the_line_is_refused_at_once():
     """Guards against requests that wait for room that others will have."""
-    line = Line(wait_queue.Opening(0.5, 1.0))
+    line = Line(wait_queue.CapacityForecast(0.5, 1.0))
     waiters = [line.enter() for _ in range(6)]
     assert not any(one.error for one in waiters[:3])
     assert all(one.error for one in waiters[3:])
@@ -58,12 +60,12 @@
 
 def test_a_rest_that_ends_soon_is_room_for_all():
     """Guards against a limit of one target that counts for those that only rest."""
-    line = Line(wait_queue.Opening(0.5, 1.0, any_s=1.2))
+    line = Line(wait_queue.CapacityForecast(0.5, 1.0, any_s=1.2))
     assert not any(line.enter().error for _ in range(6))
 
 
 def test_an_urgent_request_goes_before_those_that_wait():
-    line = Line(wait_queue.Opening(0.5, 1.0))
+    line = Line(wait_queue.CapacityForecast(0.5, 1.0))
     waiters = [line.enter() for _ in range(3)]
     urgent = line.enter(priority=0)
     line.line.serve()
@@ -74,14 +76,14 @@
 @pytest.mark.parametrize('wait_s', [3.0, 30.0, float('inf')])
 def test_those_who_wait_are_refused_when_targets_close(wait_s):
     """Guards against requests that were queued before the targets asked for less."""
-    line = Line(wait_queue.OPEN)
+    line = Line(wait_queue.AVAILABLE_NOW)
     waiter = line.enter()
     assert waiter.error is None
-    line.opening = wait_queue.Opening(wait_s)
+    line.opening = wait_queue.CapacityForecast(wait_s)
     line.line.serve()
     assert 0 < waiter.error.retry_after_s < float('inf')
 
 
 def test_while_targets_are_open_only_slots_count():
-    line = Line(wait_queue.OPEN)
+    line = Line(wait_queue.AVAILABLE_NOW)
     assert not any(line.enter().error for _ in range(50))
--- a/libraries/routing/tests/cover/test_routing_late_waiters.py
+++ b/libraries/routing/tests/cover/test_routing_late_waiters.py
@@ -36,7 +36,7 @@
 class Line:
     def __init__(self, length=100):
         self.clock = clocks.ManualClock(100.0)
-        self.line = wait_queue.WaitingLine(
+        self.line = wait_queue.WaitQueue(
             self.clock,
             length,
             random.Random(1),
@@ -46,7 +46,7 @@
 
     def enter(self, priority=1, best_in_s=1.0, deadline_in_s=5.0):
         now_s = self.clock.monotonic_s()
-        work = wait_queue.Work(
+        work = wait_queue.QueuedRequest(
             priority,
             now_s + deadline_in_s,
             takes_any=True,
--- a/libraries/routing/tests/cover/test_routing_slot_queue.py
+++ b/libraries/routing/tests/cover/test_routing_slot_queue.py
@@ -97,7 +97,7 @@
         self._settle()
         self.arrived += 1
         deadline_s = self.clock.monotonic_s() + remaining_s
-        work = admission.Work(priority, deadline_s, takes_any)
+        work = admission.QueuedRequest(priority, deadline_s, takes_any)
         before = sorted(self.waiting, key=lambda one: one.rank)
         caller = _Caller(self, self.arrived, work)
         self.waiting.append(caller)
@@ -221,7 +221,10 @@
     _, queue, choose = _queue(0, [])
     queue.observe_service(2.0)
     ends = await asyncio.gather(
-        *(queue.acquire(admission.Work(0, 9.0), choose) for _ in range(50)),
+        *(
+            queue.acquire(admission.QueuedRequest(0, 9.0), choose)
+            for _ in range(50)
+        ),
         return_exceptions=True,
     )
     assert all(_is_full(end) for end in ends)
@@ -232,7 +235,9 @@
 async def test_work_that_can_not_be_done_in_time_is_refused_while_waiting():
     manual, queue, choose = _queue(3, [])
     queue.observe_service(1.0)
-    waiting = asyncio.create_task(queue.acquire(admission.Work(0, 2.5), choose))
+    waiting = asyncio.create_task(
+        queue.acquire(admission.QueuedRequest(0, 2.5), choose)
+    )
     await asyncio.sleep(0)
     manual.advance(1.4)
     queue.wake()
@@ -247,16 +252,16 @@
 async def test_a_free_slot_is_used_even_if_the_estimate_says_too_late():
     _, queue, choose = _queue(3, ['t1'])
     queue.observe_service(60.0)
-    assert await queue.acquire(admission.Work(0, 2.5), choose) == 't1'
+    assert await queue.acquire(admission.QueuedRequest(0, 2.5), choose) == 't1'
     with pytest.raises(errors.QueueDeadlineError):
-        await queue.acquire(admission.Work(0, 2.5), choose)
+        await queue.acquire(admission.QueuedRequest(0, 2.5), choose)
 
 
 async def test_a_slot_that_comes_free_by_time_alone_is_found():
     free = []
     _, queue, choose = _queue(3, free, recheck_interval_s=0.001)
     waiting = asyncio.create_task(
-        queue.acquire(admission.Work(0, 60.0), choose)
+        queue.acquire(admission.QueuedRequest(0, 60.0), choose)
     )
     await asyncio.sleep(0)
     free.append('t1')
@@ -267,9 +272,11 @@
     free = []
     _, queue, choose = _queue(3, free)
     picky = asyncio.create_task(
-        queue.acquire(admission.Work(0, 60.0), lambda: None)
+        queue.acquire(admission.QueuedRequest(0, 60.0), lambda: None)
+    )
+    other = asyncio.create_task(
+        queue.acquire(admission.QueuedRequest(1, 60.0), choose)
     )
-    other = asyncio.create_task(queue.acquire(admission.Work(1, 60.0), choose))
     await asyncio.sleep(0)
     free.append('t1')
     queue.wake()
@@ -287,8 +294,12 @@
         if free:
             raise LookupError(free[0])
 
-    faulty = asyncio.create_task(queue.acquire(admission.Work(0, 60.0), fail))
-    other = asyncio.create_task(queue.acquire(admission.Work(1, 60.0), choose))
+    faulty = asyncio.create_task(
+        queue.acquire(admission.QueuedRequest(0, 60.0), fail)
+    )
+    other = asyncio.create_task(
+        queue.acquire(admission.QueuedRequest(1, 60.0), choose)
+    )
     await asyncio.sleep(0)
     free.append('t1')
     queue.wake()
@@ -300,7 +311,7 @@
         await faulty
     free.append('t1')
     with pytest.raises(LookupError):
-        await queue.acquire(admission.Work(0, 60.0), fail)
+        await queue.acquire(admission.QueuedRequest(0, 60.0), fail)
     assert not len(queue)
 
 
--- a/libraries/workbench/src/sardinepier/workbench/detection/cost.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/cost.py
@@ -96,7 +96,7 @@
                 target_id,
                 route,
                 self._attempt,
-                evidence.AttemptEnd.ANSWERED,
+                evidence.AttemptOutcome.ANSWERED,
                 self._random.lognormvariate(4, 0.5),
             )
 
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/exchange.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/exchange.py
@@ -18,7 +18,7 @@
 
 SentHandler = Callable[[float, int, int], None]
 
-_End = evidence.AttemptEnd
+_End = evidence.AttemptOutcome
 _MS_PER_S: Final = 1000
 _MOST_TRIES: Final = 10
 _WAITING_LIMIT: Final = 64
@@ -143,7 +143,7 @@
         self,
         moment_s: float,
         work: target_model.Work,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
     ) -> None:
         self._agenda.at(moment_s, functools.partial(self._end, work, end))
 
@@ -180,7 +180,7 @@
         self,
         target: target_model.TargetModel,
         work: target_model.Work,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
     ) -> None:
         target.running -= 1
         self._end(work, end)
@@ -189,7 +189,9 @@
             if not waiting.ended:
                 self._begin(target, waiting)
 
-    def _end(self, work: target_model.Work, end: evidence.AttemptEnd) -> None:
+    def _end(
+        self, work: target_model.Work, end: evidence.AttemptOutcome
+    ) -> None:
         if work.ended:
             return
         work.ended = True
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/faults.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/faults.py
@@ -81,34 +81,34 @@
         self,
         work: target_model.Work,
         now_s: float,
-    ) -> evidence.AttemptEnd:
+    ) -> evidence.AttemptOutcome:
         """Return how the request will end at its target."""
         effect = self._fault.effect
         if not work.target and self.is_on(now_s):
             if effect is _Effect.HANG:
-                return evidence.AttemptEnd.TIMED_OUT
+                return evidence.AttemptOutcome.TIMED_OUT
             if self._random.random() < self._fault.amount:
                 if effect is _Effect.FAIL:
-                    return evidence.AttemptEnd.FAILED
+                    return evidence.AttemptOutcome.FAILED
                 if effect is _Effect.WRONG:
-                    return evidence.AttemptEnd.WRONG
+                    return evidence.AttemptOutcome.WRONG
         if self._random.random() < self._service.failure_share:
-            return evidence.AttemptEnd.FAILED
-        return evidence.AttemptEnd.ANSWERED
+            return evidence.AttemptOutcome.FAILED
+        return evidence.AttemptOutcome.ANSWERED
 
     def as_seen(
         self,
         work: target_model.Work,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float,
         now_s: float,
-    ) -> tuple[evidence.AttemptEnd, float]:
+    ) -> tuple[evidence.AttemptOutcome, float]:
         """Return the end as the daemon sees it; a gray one sees badly."""
         gray = self._fault.effect is _Effect.GRAY_DAEMON and not work.daemon
         if not gray or not self.is_on(now_s):
             return end, latency_ms
         if self._random.random() < _GRAY_FAILURES:
-            return evidence.AttemptEnd.FAILED, latency_ms
+            return evidence.AttemptOutcome.FAILED, latency_ms
         return end, latency_ms * _GRAY_FACTOR
 
     def probe_is_good(self, daemon: int, target: int, now_s: float) -> bool:
--- a/libraries/workbench/src/sardinepier/workbench/detection/judge.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/judge.py
@@ -30,7 +30,7 @@
         target: int,
         route: int,
         number: int,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float,
     ) -> None:
         """The attempt ended."""
--- a/libraries/workbench/src/sardinepier/workbench/detection/measures.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/measures.py
@@ -14,7 +14,7 @@
 """Daemons that eject a target within this time count as one ejection."""
 
 _FLOOR_SHARE: Final = 0.5
-_GOOD_ENDS: Final = frozenset((evidence.AttemptEnd.ANSWERED,))
+_GOOD_ENDS: Final = frozenset((evidence.AttemptOutcome.ANSWERED,))
 
 
 @dataclasses.dataclass(slots=True)
@@ -78,7 +78,7 @@
     def ended(
         self,
         now_s: float,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         slowness: float,
     ) -> None:
         """Count a request that ended, ``slowness`` times its median late."""
--- a/libraries/workbench/src/sardinepier/workbench/detection/panel.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/panel.py
@@ -48,7 +48,7 @@
         target: int,
         route: int,
         number: int,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float,
     ) -> None:
         """Show an end to all."""
--- a/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
@@ -68,7 +68,7 @@
         target: int,
         route: int,
         number: int,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float,
     ) -> None:
         """Pass it on."""
--- a/libraries/workbench/src/sardinepier/workbench/detection/rules.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/rules.py
@@ -17,15 +17,15 @@
 _FEWEST_TARGETS: Final = 3
 _FAILED: Final = frozenset(
     (
-        evidence.AttemptEnd.FAILED,
-        evidence.AttemptEnd.WRONG,
-        evidence.AttemptEnd.TIMED_OUT,
-        evidence.AttemptEnd.CONNECT_FAILED,
-        evidence.AttemptEnd.CONNECTION_LOST,
+        evidence.AttemptOutcome.FAILED,
+        evidence.AttemptOutcome.WRONG,
+        evidence.AttemptOutcome.TIMED_OUT,
+        evidence.AttemptOutcome.CONNECT_FAILED,
+        evidence.AttemptOutcome.CONNECTION_LOST,
     ),
 )
 _SILENT: Final = frozenset(
-    (evidence.AttemptEnd.SHED, evidence.AttemptEnd.CANCELLED),
+    (evidence.AttemptOutcome.SHED, evidence.AttemptOutcome.CANCELLED),
 )
 
 
@@ -190,7 +190,7 @@
         target: int,
         route: int,
         number: int,
-        end: evidence.AttemptEnd,
+        end: evidence.AttemptOutcome,
         latency_ms: float,
     ) -> None:
         """Count the end."""
--- a/libraries/workbench/src/sardinepier/workbench/load/cost.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/cost.py
@@ -147,7 +147,7 @@
 
 
 def _queue(size: int, random_source: random.Random) -> _Act:
-    line = wait_queue.WaitingLine(
+    line = wait_queue.WaitQueue(
         clock.SystemClock(),
         size + 1,
         random_source,
@@ -158,7 +158,7 @@
 
 
 def _pass_through(
-    line: wait_queue.WaitingLine,
+    line: wait_queue.WaitQueue,
     random_source: random.Random,
 ) -> None:
     waiter = _Waiter(random_source)
@@ -193,7 +193,7 @@
     def __init__(self, random_source: random.Random) -> None:
         """Draw a priority and a deadline far away."""
         deadline_s = time.monotonic() + _LONG_S + random_source.random()
-        self.work = wait_queue.Work(
+        self.work = wait_queue.QueuedRequest(
             random_source.randrange(_PRIORITIES),
             deadline_s,
             takes_any=True,
--- a/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
@@ -64,7 +64,7 @@
             setup.slot_options,
         )
         self.retries = budget.RetryBudget(events, setup.retry_budget_percent)
-        self.line = wait_queue.WaitingLine(
+        self.line = wait_queue.WaitQueue(
             events,
             setup.queue_length,
             random_source,
@@ -243,7 +243,7 @@
         is_retry: bool,
     ) -> None:
         """Wait at ``daemon``."""
-        self.work = wait_queue.Work(
+        self.work = wait_queue.QueuedRequest(
             arrival.caller_class.priority,
             arrival.deadline_s,
             takes_any=not is_retry,
--- a/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
@@ -82,19 +82,19 @@
         """Know all targets, and nothing of what they are like."""
         clock = virtual_loop.VirtualClock(asyncio.get_running_loop())
         own = view.own
-        held = service_registry.Services(
+        held = service_registry.ServiceRegistry(
             own.zone,
             clock,
             random_source,
             setup.retry_percent,
-            failure_estimate.BeliefOptions(),
+            failure_estimate.EstimateOptions(),
         )
-        activity = active_requests.InHand()
+        activity = active_requests.ActiveRequests()
         self._sharing = sharing.ZoneSharing(
             hub.network(messages.Sender(own.instance_id, own.peer_address)),
             carriers.Carriers(view, clock),
             held,
-            expired_entries.LapseGuard(clock),
+            expired_entries.ExpiredEntryGuard(clock),
             zone_load.ZoneLoad(clock, activity),
             clock,
             random_source,
@@ -117,14 +117,16 @@
                 services=held,
                 quarantine=quarantine.Quarantine(clock),
                 activity=activity,
-                decisions=decision_log.Decisions(held, clock),
-                measures=entry_metrics.Measures(),
-                held_bytes=buffer_budget.HeldBytes(),
+                decisions=decision_log.DecisionLog(held, clock),
+                measures=entry_metrics.RequestMetrics(),
+                held_bytes=buffer_budget.BufferBudget(),
             ),
         )
         self._beats = asyncio.ensure_future(self._sharing.run())
 
-    async def forward(self, item: caller_request.Work) -> answers.Answer:
+    async def forward(
+        self, item: caller_request.CallerRequest
+    ) -> answers.Answer:
         """Return a target's answer, or raise what the caller is told."""
         with self._activity:
             return await self._forwarding.forward(item)
--- a/libraries/workbench/src/sardinepier/workbench/policy/play.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/play.py
@@ -229,12 +229,12 @@
     one: scenario.RequestClass,
     sent_s: float,
     work_s: float,
-) -> caller_request.Work:
+) -> caller_request.CallerRequest:
     kind = model.RouteKind.NON_IDEMPOTENT
     if one.repeatable:
         kind = model.RouteKind.IDEMPOTENT
     service = ids.ServiceName(one.service)
-    return caller_request.Work(
+    return caller_request.CallerRequest(
         request_id='',
         method='GET',
         path='/',
--- a/libraries/workbench/tests/cover/test_detection_driver.py
+++ b/libraries/workbench/tests/cover/test_detection_driver.py
@@ -20,7 +20,7 @@
 from sardinepier.workbench.detection.internal import case_tables
 
 _NAMED = {fault.name: fault for fault in scenario.FAULTS}
-_END = evidence.AttemptEnd
+_END = evidence.AttemptOutcome
 
 
 def _plan(fault, seed=3, at_s=14.0, end_s=18.0):
--- a/libraries/zones/src/sardinepier/zones/availability.py
+++ b/libraries/zones/src/sardinepier/zones/availability.py
@@ -16,7 +16,7 @@
 since nobody reaches what is lost, does so seldom."""
 
 
-class Fitness:
+class Availability:
     """What this daemon heard from, and of, those that may carry its zone."""
 
     def __init__(self, clock: clocks.Clock) -> None:
--- a/libraries/zones/src/sardinepier/zones/carriers.py
+++ b/libraries/zones/src/sardinepier/zones/carriers.py
@@ -22,7 +22,7 @@
 
     def __init__(self, fleet: view.View, clock: clocks.Clock) -> None:
         """Name one carrier a zone until another number is set."""
-        self.fitness = availability.Fitness(clock)
+        self.fitness = availability.Availability(clock)
         self.own_id = fleet.own.instance_id
         self._fleet = fleet
         self._count = 1
--- a/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
@@ -30,7 +30,7 @@
 _MS_PER_S: Final = 1000
 
 
-class Confirming:
+class ConfirmationSharing:
     """Keeps the confirmation of one daemon young, and tells it to others.
 
     For example::
@@ -43,7 +43,7 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         clock: clocks.Clock,
         random_source: random.Random,
     ) -> None:
--- a/libraries/zones/src/sardinepier/zones/estimate_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_sharing.py
@@ -29,14 +29,14 @@
 which one goes out."""
 
 
-class BeliefTelling:
+class EstimateSharing:
     """Sends beliefs to carriers, and takes in what is sent to this daemon."""
 
     def __init__(
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         clock: clocks.Clock,
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
@@ -50,14 +50,14 @@
         self._other_stated = statements.for_other_zones(held, clock)
         self._other_news_due_s = clock.monotonic_s()
         self._sign_due_s = clock.monotonic_s()
-        self.lost_zones = unreachable_zones.LostZones(clock)
+        self.lost_zones = unreachable_zones.UnreachableZones(clock)
         peer_network.subscribe(messages.BeliefReport, self._on_report)
 
-    def for_own_zone(self) -> tuple[messages.BeliefNews, ...]:
+    def for_own_zone(self) -> tuple[messages.TargetEstimate, ...]:
         """Return what is new for the own zone; each is returned once."""
         return self._zone_news.take()
 
-    def stated_for_own_zone(self) -> tuple[messages.StatedNews, ...]:
+    def stated_for_own_zone(self) -> tuple[messages.StatementUpdate, ...]:
         """Return what targets said anew; each is returned once."""
         return self._zone_stated.take()
 
@@ -66,7 +66,7 @@
         told: messages.ZoneBeat | messages.BeliefReport,
     ) -> None:
         """Take in what another daemon of the zone saw."""
-        self._take_in(told, target_record.BeliefSource.ZONE)
+        self._take_in(told, target_record.ObservationSource.ZONE)
 
     def to_carriers(self) -> None:
         """Tell the carriers of the own zone what is new, if anything is."""
@@ -94,7 +94,7 @@
     def _due_for_other_zones(
         self,
         now_s: float,
-    ) -> tuple[messages.BeliefNews, ...]:
+    ) -> tuple[messages.TargetEstimate, ...]:
         if now_s < self._other_news_due_s:
             return ()
         self._other_news_due_s = now_s + _OTHER_ZONES_S
@@ -121,12 +121,12 @@
     ) -> None:
         if zone is not None:
             self.lost_zones.heard(zone)
-        self._take_in(report, target_record.BeliefSource.OTHER_ZONE)
+        self._take_in(report, target_record.ObservationSource.OTHER_ZONE)
 
     def _take_in(
         self,
         told: messages.ZoneBeat | messages.BeliefReport,
-        source: target_record.BeliefSource,
+        source: target_record.ObservationSource,
     ) -> None:
         estimate_updates.take_in(self._held, self._clock, told.beliefs, source)
         statements.take_in(self._held, self._clock, told.stated, source)
--- a/libraries/zones/src/sardinepier/zones/estimate_updates.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_updates.py
@@ -8,7 +8,7 @@
 from sardinepier.health import failure_estimate
 from sardinepier.zones import messages
 
-_Source = target_record.BeliefSource
+_Source = target_record.ObservationSource
 _MS_PER_S: Final = 1000
 _WORTH_TELLING: Final = 0.1
 """Change of the chance that a target fails which other zones are told of:
@@ -17,7 +17,7 @@
 _OLDEST_NEWS_S: Final = 5.0
 
 
-class BeliefNews:
+class EstimateUpdates:
     """Tells what became known since it last told, to one audience.
 
     What comes from some of the ``sources`` only is told, so that nothing goes
@@ -26,9 +26,9 @@
 
     def __init__(
         self,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         clock: clocks.Clock,
-        sources: frozenset[target_record.BeliefSource],
+        sources: frozenset[target_record.ObservationSource],
         least_change: float = 0.0,
     ) -> None:
         """Tell of changes by ``least_change`` and more."""
@@ -38,9 +38,9 @@
         self._least_change = least_change
         self._began_s = clock.monotonic_s()
         self._told_s: dict[ids.TargetId, float] = {}
-        self._told: dict[ids.TargetId, failure_estimate.TargetBelief] = {}
+        self._told: dict[ids.TargetId, failure_estimate.FailureEstimate] = {}
 
-    def take(self) -> tuple[messages.BeliefNews, ...]:
+    def take(self) -> tuple[messages.TargetEstimate, ...]:
         """Return the news; each is returned once."""
         now_s = self._clock.monotonic_s()
         told_before_s = self._told_s
@@ -56,7 +56,7 @@
                     news.append(_news_of(record, now_s))
         return tuple(one for one in news if self._is_new(one))
 
-    def _is_new(self, news: messages.BeliefNews) -> bool:
+    def _is_new(self, news: messages.TargetEstimate) -> bool:
         """Tell whether others believe otherwise by now.
 
         What they were told fades with time, so that a target which fails
@@ -65,7 +65,7 @@
         now_s = self._clock.monotonic_s()
         told = self._told.get(news.target_id)
         if told is None:
-            told = failure_estimate.TargetBelief(
+            told = failure_estimate.FailureEstimate(
                 self._held.belief_options, now_s
             )
             self._told[news.target_id] = told
@@ -76,11 +76,11 @@
 
 
 def for_own_zone(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-) -> BeliefNews:
+) -> EstimateUpdates:
     """Return news for the own zone, also what other zones reported here."""
-    return BeliefNews(
+    return EstimateUpdates(
         held,
         clock,
         frozenset((_Source.OWN, _Source.OTHER_ZONE)),
@@ -88,11 +88,11 @@
 
 
 def for_other_zones(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-) -> BeliefNews:
+) -> EstimateUpdates:
     """Return news that only has what matters to other zones."""
-    return BeliefNews(
+    return EstimateUpdates(
         held,
         clock,
         frozenset((_Source.OWN, _Source.ZONE)),
@@ -101,10 +101,10 @@
 
 
 def take_in(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-    news: tuple[messages.BeliefNews, ...],
-    source: target_record.BeliefSource,
+    news: tuple[messages.TargetEstimate, ...],
+    source: target_record.ObservationSource,
 ) -> None:
     """Believe what others saw later than this daemon."""
     now_s = clock.monotonic_s()
@@ -126,8 +126,8 @@
 def _news_of(
     record: target_record.TargetRecord,
     now_s: float,
-) -> messages.BeliefNews:
-    return messages.BeliefNews(
+) -> messages.TargetEstimate:
+    return messages.TargetEstimate(
         record.listed.target_id,
         round(record.belief.failing(now_s), 3),
         round((now_s - record.belief.updated_s) * _MS_PER_S),
--- a/libraries/zones/src/sardinepier/zones/expired_entries.py
+++ b/libraries/zones/src/sardinepier/zones/expired_entries.py
@@ -29,7 +29,7 @@
 after three heartbeats of a second and a half."""
 
 
-class LapseGuard:
+class ExpiredEntryGuard:
     """Knows how old the list of targets is, and keeps those that only lapsed.
 
     A list is as old as the moment at which the platform was asked for it:
--- a/libraries/zones/src/sardinepier/zones/handover.py
+++ b/libraries/zones/src/sardinepier/zones/handover.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         chosen: carriers.Carriers,
         clock: clocks.Clock,
     ) -> None:
--- a/libraries/zones/src/sardinepier/zones/limit_parts.py
+++ b/libraries/zones/src/sardinepier/zones/limit_parts.py
@@ -14,7 +14,7 @@
 
     def __init__(
         self,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         chosen: carriers.Carriers,
     ) -> None:
         """Decide by the carriers that are ``chosen``."""
--- a/libraries/zones/src/sardinepier/zones/messages.py
+++ b/libraries/zones/src/sardinepier/zones/messages.py
@@ -7,7 +7,7 @@
 from sardinepier.wire import messages
 
 
-class BeliefNews(msgspec.Struct, frozen=True, array_like=True):
+class TargetEstimate(msgspec.Struct, frozen=True, array_like=True):
     """What the sender believes of one target.
 
     ``failing`` is the chance, 0 to 1, that it fails now, ``age_ms`` how long
@@ -19,7 +19,7 @@
     age_ms: int
 
 
-class StatedNews(msgspec.Struct, frozen=True, array_like=True):
+class StatementUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What a target said of itself, ``age_ms`` ago.
 
     ``limit_per_s`` is None when it named no limit. One that leaves stays so.
@@ -61,11 +61,11 @@
     targets_revision: int
     targets_digest: int
     reading_age_ms: int | None = None
-    beliefs: tuple[BeliefNews, ...] = ()
+    beliefs: tuple[TargetEstimate, ...] = ()
     hands_over: bool = False
     load: Load = Load()
     carriers: int = 1
-    stated: tuple[StatedNews, ...] = ()
+    stated: tuple[StatementUpdate, ...] = ()
 
 
 class BeliefReport(messages.Message, frozen=True):
@@ -76,9 +76,9 @@
     that a report came from when a neighbour passes it on.
     """
 
-    beliefs: tuple[BeliefNews, ...]
+    beliefs: tuple[TargetEstimate, ...]
     of_zone: ids.ZoneName | None = None
-    stated: tuple[StatedNews, ...] = ()
+    stated: tuple[StatementUpdate, ...] = ()
 
 
 class ConfirmationRequest(messages.Message, frozen=True):
--- a/libraries/zones/src/sardinepier/zones/order.py
+++ b/libraries/zones/src/sardinepier/zones/order.py
@@ -11,7 +11,7 @@
         self,
         fleet: view.View,
         ranked: ranking.Ranking,
-        known: availability.Fitness,
+        known: availability.Availability,
     ) -> None:
         """Start from the order ``ranked``, and what is ``known``."""
         self._fleet = fleet
--- a/libraries/zones/src/sardinepier/zones/platform_reader.py
+++ b/libraries/zones/src/sardinepier/zones/platform_reader.py
@@ -59,15 +59,15 @@
 _NO_AGE: Final = -1
 
 
-class PlatformReading:
+class PlatformReader:
     """Reads the platform while this daemon has to."""
 
     def __init__(
         self,
         source: platform_state.PublishedState,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         chosen: carriers.Carriers,
-        guard: expired_entries.LapseGuard,
+        guard: expired_entries.ExpiredEntryGuard,
         shared: sharing.ZoneSharing,
         clock: clocks.Clock,
         random_source: random.Random,
@@ -80,7 +80,7 @@
         self._shared = shared
         self._clock = clock
         self._random = random_source
-        self.passed_over = unusable_entries.PassedOver()
+        self.passed_over = unusable_entries.UnusableEntries()
         self._failures = 0
         meets_s = random_source.uniform(*_MEETS_S)
         self._met_s = clock.monotonic_s() + meets_s
--- a/libraries/zones/src/sardinepier/zones/role.py
+++ b/libraries/zones/src/sardinepier/zones/role.py
@@ -14,7 +14,7 @@
 
     def __init__(
         self,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         chosen: carriers.Carriers,
         load: zone_load.ZoneLoad,
         clock: clocks.Clock,
--- a/libraries/zones/src/sardinepier/zones/sharing.py
+++ b/libraries/zones/src/sardinepier/zones/sharing.py
@@ -53,8 +53,8 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: service_registry.Services,
-        guard: expired_entries.LapseGuard,
+        held: service_registry.ServiceRegistry,
+        guard: expired_entries.ExpiredEntryGuard,
         load: zone_load.ZoneLoad,
         clock: clocks.Clock,
         random_source: random.Random,
@@ -64,7 +64,7 @@
         self._carriers = chosen
         self._held = held
         self._clock = clock
-        self._news = zone_updates.ZoneNews(
+        self._news = zone_updates.ZoneUpdates(
             peer_network,
             chosen,
             held,
@@ -72,13 +72,13 @@
             clock,
             on_configuration,
         )
-        self._telling = estimate_sharing.BeliefTelling(
+        self._telling = estimate_sharing.EstimateSharing(
             peer_network,
             chosen,
             held,
             clock,
         )
-        self._confirming = confirmation_sharing.Confirming(
+        self._confirming = confirmation_sharing.ConfirmationSharing(
             peer_network,
             chosen,
             held,
--- a/libraries/zones/src/sardinepier/zones/statements.py
+++ b/libraries/zones/src/sardinepier/zones/statements.py
@@ -8,7 +8,7 @@
 from sardinepier.gateway import statements
 from sardinepier.zones import messages
 
-_Source = target_record.BeliefSource
+_Source = target_record.ObservationSource
 _MS_PER_S: Final = 1000
 _AGAIN_S: Final = 1.0
 """Pace at which a statement that goes on is passed on again: it must not lapse
@@ -17,7 +17,7 @@
 _OLDEST_NEWS_S: Final = 5.0
 
 
-class StatementNews:
+class StatementUpdates:
     """Tells what targets said since it last told, to one audience.
 
     What came from one of the ``sources`` is told, again and again while it goes
@@ -27,11 +27,11 @@
 
     def __init__(
         self,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         clock: clocks.Clock,
-        sources: frozenset[target_record.BeliefSource],
+        sources: frozenset[target_record.ObservationSource],
         *,
-        relayed: frozenset[target_record.BeliefSource],
+        relayed: frozenset[target_record.ObservationSource],
     ) -> None:
         """Start without having told anything."""
         self._held = held
@@ -40,7 +40,7 @@
         self._relayed = relayed
         self._told: dict[ids.TargetId, _Told] = {}
 
-    def take(self) -> tuple[messages.StatedNews, ...]:
+    def take(self) -> tuple[messages.StatementUpdate, ...]:
         """Return the news; each is returned once."""
         now_s = self._clock.monotonic_s()
         before = self._told
@@ -102,11 +102,11 @@
 
 
 def for_own_zone(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-) -> StatementNews:
+) -> StatementUpdates:
     """Return news for the own zone, also what others reported here."""
-    return StatementNews(
+    return StatementUpdates(
         held,
         clock,
         frozenset((_Source.OWN, _Source.OTHER_ZONE)),
@@ -115,19 +115,19 @@
 
 
 def for_other_zones(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-) -> StatementNews:
+) -> StatementUpdates:
     """Return news for other zones of what was heard in this one."""
     sources = frozenset((_Source.OWN, _Source.ZONE))
-    return StatementNews(held, clock, sources, relayed=frozenset())
+    return StatementUpdates(held, clock, sources, relayed=frozenset())
 
 
 def take_in(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-    news: tuple[messages.StatedNews, ...],
-    source: target_record.BeliefSource,
+    news: tuple[messages.StatementUpdate, ...],
+    source: target_record.ObservationSource,
 ) -> None:
     """Go by what others heard later than this daemon."""
     if not news:
@@ -153,7 +153,7 @@
 
 
 def _with_statements(
-    held: service_registry.Services,
+    held: service_registry.ServiceRegistry,
 ) -> list[target_record.TargetRecord]:
     return [
         record
@@ -165,8 +165,8 @@
 def _news_of(
     record: target_record.TargetRecord,
     now_s: float,
-) -> messages.StatedNews:
-    return messages.StatedNews(
+) -> messages.StatementUpdate:
+    return messages.StatementUpdate(
         record.listed.target_id,
         round((now_s - record.stated.heard_s) * _MS_PER_S),
         record.stated.newest.limit_per_s,
--- a/libraries/zones/src/sardinepier/zones/unreachable_zones.py
+++ b/libraries/zones/src/sardinepier/zones/unreachable_zones.py
@@ -16,7 +16,7 @@
 within another."""
 
 
-class LostZones:
+class UnreachableZones:
     """Notes whom this daemon hears, and names those it hears no more."""
 
     def __init__(self, clock: clocks.Clock) -> None:
--- a/libraries/zones/src/sardinepier/zones/unusable_entries.py
+++ b/libraries/zones/src/sardinepier/zones/unusable_entries.py
@@ -18,7 +18,7 @@
 """Of a key and of a reason: both hold what somebody else wrote."""
 
 
-class PassedOver:
+class UnusableEntries:
     """Tells what changes among the entries that can't be read.
 
     ``entries`` is how many of the newest reading were passed over.
--- a/libraries/zones/src/sardinepier/zones/updates.py
+++ b/libraries/zones/src/sardinepier/zones/updates.py
@@ -30,7 +30,7 @@
 to a question is a whole list, which takes a weak link a hundredth of a second."""
 
 
-class ZoneNews:
+class ZoneUpdates:
     """Takes in what is newer, from the platform or from others of the zone.
 
     ``on_configuration`` is told of each configuration that came into force.
@@ -40,8 +40,8 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: service_registry.Services,
-        guard: expired_entries.LapseGuard,
+        held: service_registry.ServiceRegistry,
+        guard: expired_entries.ExpiredEntryGuard,
         clock: clocks.Clock,
         on_configuration: Callable[[model.ServedConfiguration], None],
     ) -> None:
--- a/libraries/zones/src/sardinepier/zones/usage_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/usage_sharing.py
@@ -29,7 +29,7 @@
         self,
         peer_network: network.PeerNetwork,
         chosen: carriers.Carriers,
-        held: service_registry.Services,
+        held: service_registry.ServiceRegistry,
         clock: clocks.Clock,
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
--- a/libraries/zones/tests/cover/test_zones_limits.py
+++ b/libraries/zones/tests/cover/test_zones_limits.py
@@ -20,7 +20,7 @@
         record_of(daemon),
         statements.Statement(is_leaving=is_leaving, limit_per_s=limit_per_s),
         daemon.clock.monotonic_s(),
-        target_record.BeliefSource.OWN,
+        target_record.ObservationSource.OWN,
     )
 
 
--- a/libraries/zones/tests/cover/test_zones_non_carriers.py
+++ b/libraries/zones/tests/cover/test_zones_non_carriers.py
@@ -18,7 +18,9 @@
     """Return who gets a request that comes to a daemon now."""
     now_s = daemon.clock.monotonic_s()
     pool = daemon.held.pool(given.SERVICE)
-    wish = attempt_requirements.Wish((), 0, now_s, now_s + 0.3, is_last)
+    wish = attempt_requirements.AttemptRequirements(
+        (), 0, now_s, now_s + 0.3, is_last
+    )
     record = pool.try_acquire(wish)
     pool.release(record)
     return record.listed.target_id
@@ -70,5 +72,5 @@
     await zone.run(0.5)
     beside = next(one for one in zone.living())
     record = beside.held.pool(given.SERVICE).targets.find('new')
-    assert record.belief_source is target_record.BeliefSource.ZONE
+    assert record.belief_source is target_record.ObservationSource.ZONE
     assert chosen(beside, is_last=True) != 'new'
--- a/libraries/zones/tests/cover/test_zones_reading.py
+++ b/libraries/zones/tests/cover/test_zones_reading.py
@@ -149,7 +149,7 @@
 
 
 async def test_a_list_is_as_old_as_the_question_to_the_platform(zone):
-    guard = given.lapses.LapseGuard(zone.clock)
+    guard = given.lapses.ExpiredEntryGuard(zone.clock)
     guard.heard(0.4)
     assert guard.age_s() == pytest.approx(0.4)
     guard.heard(0.9)
--- a/libraries/zones/tests/cover/test_zones_unreachable_zone.py
+++ b/libraries/zones/tests/cover/test_zones_unreachable_zone.py
@@ -58,7 +58,9 @@
     now_s = daemon.clock.monotonic_s()
     pool = daemon.held.pool(given.SERVICE)
     record = pool.try_acquire(
-        attempt_requirements.Wish((), 0, now_s, now_s + 0.3, is_last=True),
+        attempt_requirements.AttemptRequirements(
+            (), 0, now_s, now_s + 0.3, is_last=True
+        ),
     )
     pool.release(record)
     return record.listed.target_id
--- a/libraries/zones/tests/zones_support.py
+++ b/libraries/zones/tests/zones_support.py
@@ -135,7 +135,7 @@
         self._platform.fresh_calls += not allow_stale
         if self._name in self._platform.refused:
             raise errors.PlatformUnavailableError('turned away', 'wait')
-        reading = platform_state.Reading(
+        reading = platform_state.PlatformSnapshot(
             self._platform.configuration,
             self._platform.targets,
             self._platform.unusable,
@@ -157,12 +157,12 @@
         self.passed_bytes = 0
         self.per_s = 0
         self.clock = zone.clock
-        self.held = service_registry.Services(
+        self.held = service_registry.ServiceRegistry(
             own.zone,
             zone.clock,
             random.Random(own.instance_id),
             20.0,
-            failure_estimate.BeliefOptions(),
+            failure_estimate.EstimateOptions(),
         )
         self.network = zone.hub.network(
             messages.Sender(own.instance_id, own.peer_address),
@@ -171,7 +171,7 @@
             View(zone.fleet, own),
             zone.clock,
         )
-        self.guard = expired_entries.LapseGuard(zone.clock)
+        self.guard = expired_entries.ExpiredEntryGuard(zone.clock)
         self.sharing = sharing.ZoneSharing(
             self.network,
             self.carriers,
@@ -182,7 +182,7 @@
             random.Random(own.instance_id),
             lambda taken: None,
         )
-        self.reading = platform_reader.PlatformReading(
+        self.reading = platform_reader.PlatformReader(
             zone.platform.for_daemon(own.daemon_id),
             self.held,
             self.carriers,
