--- a/libraries/daemon/src/sardinepier/daemon/entry_process.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_process.py
@@ -70,7 +70,7 @@
     ready_path: str = '/v1/ready'
     metrics_path: str = '/metrics'
     encode_addresses: Callable[[Sequence[str], float], bytes] = (
-        pages.plain_addresses
+        pages.encode_addresses
     )
 
 
@@ -155,7 +155,7 @@
             self._random,
         )
         self._services.on_outcome = self._outcome_seen
-        self._services.confirmation.on_wait = self._sharing.stir
+        self._services.confirmation.on_wait = self._sharing.request_early_beat
 
     def stop(self) -> None:
         """Begin the graceful exit; a second call changes nothing."""
@@ -178,7 +178,7 @@
         counted = self._network.counters()
         logs.tell(
             entry_events.Stopped(
-                in_hand=self._activity.in_hand,
+                in_hand=self._activity.in_flight,
                 peer_messages_sent=counted.messages_sent,
                 peer_bytes_sent=counted.bytes_sent,
             ),
@@ -194,16 +194,16 @@
             self._clock,
         )
         stack.push_async_callback(shared.client.close)
-        self._start_tasks(shared.decisions)
+        self._start_tasks(shared.decision_log)
         answering = pipeline.Pipeline(shared)
         front = caller_server.HttpServer(
             answering.handle,
             self._bounds,
-            answering.begin_early,
+            answering.start_pipelined,
         )
         await front.start(self._settings.front.ip, self._settings.front.port)
         figures = entry_figures.EntryFigures(
-            shared.measures,
+            shared.metrics,
             self._services,
             self._activity,
             self._guard,
@@ -266,7 +266,7 @@
         until_s = self._clock.monotonic_s() + self._settings.bounds.grace_s
         logs.tell(
             entry_events.Stopping(
-                in_hand=self._activity.in_hand,
+                in_hand=self._activity.in_flight,
                 grace_s=self._settings.bounds.grace_s,
             ),
         )
@@ -287,7 +287,7 @@
     async def _upkeep(self, told: decision_log.DecisionLog) -> None:
         while True:
             self._share_burst()
-            told.tell_dropped()
+            told.log_dropped()
             await asyncio.sleep(_UPKEEP_S)
 
     def _share_burst(self) -> None:
@@ -295,13 +295,13 @@
         part = self._burst.part(
             is_carrier=self._carriers.is_carrier(),
             count=self._carriers.count,
-            living=1 + len(self._carriers.neighbours()),
+            living=1 + len(self._carriers.zone_peers()),
         )
         self._services.set_retry_burst(part)
 
     def _outcome_seen(self, is_good: bool) -> None:
         if not is_good:
-            self._sharing.stir()
+            self._sharing.request_early_beat()
 
     def _addresses(self, zone: ids.ZoneName) -> Sequence[str]:
         return [
--- a/libraries/daemon/src/sardinepier/daemon/entry_settings.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_settings.py
@@ -32,7 +32,7 @@
     zones: int = 1
     least_used_share: float = idle_threshold.LEAST_USED_SHARE
     revocation_s: float | None = None
-    leeway: fleet_limits.Leeway = fleet_limits.USUAL_LEEWAY
+    leeway: fleet_limits.Leeway = fleet_limits.DEFAULT_LEEWAY
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libraries/daemon/src/sardinepier/daemon/internal/departure.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/departure.py
@@ -44,7 +44,7 @@
         self.record(
             daemon_events.DaemonDraining(
                 reason,
-                self.activity.in_hand,
+                self.activity.in_flight,
                 fleet.shutdown_grace_s,
             ),
         )
@@ -52,7 +52,7 @@
         self.server.begin_draining()
         served_s = fleet.addresses_valid_s + _NEWS_S
         await asyncio.sleep(min(served_s, fleet.shutdown_grace_s))
-        in_hand = self.activity.in_hand
+        in_hand = self.activity.in_flight
         left_s = max(0.0, deadline_s - self.clock.monotonic_s())
         unfinished = await self.server.close(left_s)
         self.show_state(status_document.DaemonState.STOPPED)
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_figures.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_figures.py
@@ -14,7 +14,7 @@
 class EntryFigures:
     """Where the figures come from."""
 
-    measures: request_metrics.RequestMetrics
+    metrics: request_metrics.RequestMetrics
     services: service_registry.ServiceRegistry
     activity: active_requests.ActiveRequests
     guard: expired_entries.ExpiredEntryGuard
@@ -27,7 +27,7 @@
         age_s = self.guard.age_s()
         confirmed_age_s = self.services.confirmation.age_s()
         gauges = (
-            exposition.Gauge('requests_in_hand', self.activity.in_hand),
+            exposition.Gauge('requests_in_hand', self.activity.in_flight),
             exposition.Gauge(
                 'targets_age_s',
                 math.inf if age_s is None else age_s,
@@ -40,10 +40,10 @@
             exposition.Gauge('is_carrier', self.carriers.is_carrier()),
             exposition.Gauge(
                 'unusable_entries',
-                self.reading.passed_over.entries,
+                self.reading.unusable_entries.count,
             ),
             exposition.Gauge('members', len(self.membership.members())),
         )
-        return await self.measures.text(
-            (*request_metrics.of_services(self.services), *gauges),
+        return await self.metrics.text(
+            (*request_metrics.service_gauges(self.services), *gauges),
         )
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
@@ -75,9 +75,9 @@
         services=held,
         quarantine=quarantine.Quarantine(clock),
         activity=counted,
-        decisions=decision_log.DecisionLog(held, clock),
-        measures=request_metrics.RequestMetrics(),
-        held_bytes=buffer_budget.BufferBudget(),
+        decision_log=decision_log.DecisionLog(held, clock),
+        metrics=request_metrics.RequestMetrics(),
+        buffer_budget=buffer_budget.BufferBudget(),
     )
 
 
--- a/libraries/daemon/src/sardinepier/daemon/internal/groups.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/groups.py
@@ -156,8 +156,8 @@
         if report is None:
             return
         self._learn_incarnations(runtime, received)
-        runtime.health.heard(observer, report)
-        runtime.slots.heard(
+        runtime.health.receive_report(observer, report)
+        runtime.slots.receive_report(
             observer,
             {row.target_id: row.in_flight for row in report.evidence},
         )
--- a/libraries/daemon/src/sardinepier/daemon/internal/quarantine_exchange.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/quarantine_exchange.py
@@ -65,4 +65,4 @@
         sender: messages.Sender,
         received: group_messages.QuarantineNotice,
     ) -> None:
-        self._quarantine.heard(sender.instance_id, received.report)
+        self._quarantine.receive_report(sender.instance_id, received.report)
--- a/libraries/daemon/tests/cover/test_daemon_groups.py
+++ b/libraries/daemon/tests/cover/test_daemon_groups.py
@@ -73,7 +73,7 @@
     second.quarantine.crashed(7, 't2', target_healthy_otherwise=True)
     fleet.hub.deliver()
     for daemon in fleet.daemons:
-        held = [mark.fingerprint for mark in daemon.quarantine.held()]
+        held = [mark.fingerprint for mark in daemon.quarantine.quarantined()]
         assert held == [7]
 
 
--- a/libraries/entry/src/sardinepier/entry/answer_stream.py
+++ b/libraries/entry/src/sardinepier/entry/answer_stream.py
@@ -39,7 +39,7 @@
 
         Raises ``TruncatedAnswerError`` when they end before the answer does.
         """
-        while piece := await next_piece(self._response):
+        while piece := await read_chunk(self._response):
             yield piece
 
     def close(self) -> None:
@@ -50,7 +50,7 @@
         self.ending.close()
 
 
-async def next_piece(response: client_reqrep.ClientResponse) -> bytes:
+async def read_chunk(response: client_reqrep.ClientResponse) -> bytes:
     """Return what has come of an answer, nothing at its end.
 
     Raises ``TruncatedAnswerError`` when it ended before it was whole.
--- a/libraries/entry/src/sardinepier/entry/answers.py
+++ b/libraries/entry/src/sardinepier/entry/answers.py
@@ -22,14 +22,14 @@
 class Answer:
     """What a target answered.
 
-    ``body`` is all of it, unless there is a ``rest``.
+    ``body`` is all of it, unless there is a ``stream``.
     """
 
     status: int
     reason: str | None
     headers: headers.Pairs
     body: bytes
-    rest: answer_stream.AnswerStream | None = None
+    stream: answer_stream.AnswerStream | None = None
 
     @property
     def is_good(self) -> bool:
@@ -39,14 +39,14 @@
     @property
     def length_bytes(self) -> int:
         """Return the length of the whole answer, as far as it is known."""
-        if self.rest is None or self.rest.length_bytes is None:
+        if self.stream is None or self.stream.length_bytes is None:
             return len(self.body)
-        return self.rest.length_bytes
+        return self.stream.length_bytes
 
     def close(self) -> None:
         """Give the answer up; it is not passed on."""
-        if self.rest is not None:
-            self.rest.close()
+        if self.stream is not None:
+            self.stream.close()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,10 +65,10 @@
 async def read(
     response: client_reqrep.ClientResponse,
     names: header_names.HeaderNames,
-    most_bytes: int,
+    max_bytes: int,
     deadline_s: float,
 ) -> Answer:
-    """Return the answer, whole if it has no more than ``most_bytes``.
+    """Return the answer, whole if it has no more than ``max_bytes``.
 
     The rest of a longer one may be read until ``deadline_s``, a time of the
     event loop. Raises ``ShedError`` and ``OtherTargetError`` when the target
@@ -76,7 +76,7 @@
     answer is not whole and ``BadAnswerError`` when it is not the target's
     own, or tells of a failure at great length.
     """
-    body, is_whole = await _beginning(response, most_bytes)
+    body, is_whole = await _beginning(response, max_bytes)
     _refuse_not_run(response, names)
     is_success = response.status < _FIRST_OTHER
     if is_success and names.signature not in response.headers:
@@ -87,7 +87,7 @@
     if not is_whole and response.status >= _FIRST_FAILURE:
         raise errors.BadAnswerError(
             f'The target failed with {response.status} and over '
-            f'{most_bytes} bytes',
+            f'{max_bytes} bytes',
             'Let the target tell of failures in few words',
         )
     return Answer(
@@ -101,18 +101,18 @@
 
 async def _beginning(
     response: client_reqrep.ClientResponse,
-    most_bytes: int,
+    max_bytes: int,
 ) -> tuple[bytes, bool]:
     """Return the first bytes, and whether that is all."""
     parts = bytearray()
-    while piece := await answer_stream.next_piece(response):
+    while piece := await answer_stream.read_chunk(response):
         parts += piece
-        if len(parts) > most_bytes:
+        if len(parts) > max_bytes:
             return bytes(parts), False
     return bytes(parts), True
 
 
-def load_of(
+def reported_load(
     response: client_reqrep.ClientResponse,
     names: header_names.HeaderNames,
 ) -> Load | None:
--- a/libraries/entry/src/sardinepier/entry/attempt.py
+++ b/libraries/entry/src/sardinepier/entry/attempt.py
@@ -38,11 +38,11 @@
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
-        is_beside: bool,
+        is_hedge: bool,
     ) -> None:
         """Take over the reserved slot.
 
-        ``is_beside`` says that another attempt of ``item`` is still open.
+        ``is_hedge`` says that another attempt of ``item`` is still open.
         """
         self._shared = shared
         self._item = item
@@ -51,14 +51,14 @@
         self._number = pool.started(record)
         self._started_s = shared.clock.monotonic_s()
         self._is_sent = False
-        reason = _reason(item, record, is_beside=is_beside)
-        shared.measures.attempt_begun(item.service, reason)
+        reason = _reason(item, record, is_hedge=is_hedge)
+        shared.metrics.attempt_begun(item.service, reason)
         item.attempts += 1
-        self._choice = shared.decisions.sent(
+        self._choice = shared.decision_log.log_attempt(
             item,
             record,
             reason,
-            pool.usual_s,
+            pool.typical_latency_s,
         )
 
     async def run(self) -> answers.Answer:
@@ -78,16 +78,16 @@
                 self._given_up()
                 raise
             self._judge(answer)
-            if answer.rest is not None:
+            if answer.stream is not None:
                 # The target works on it until its last byte is out.
-                answer.rest.ending = slot.pop_all()
+                answer.stream.ending = slot.pop_all()
         return answer
 
     def _judge(self, answer: answers.Answer) -> None:
         taken_s = self._taken_s()
         if answer.is_good:
             self._pool.answered(self._record, taken_s, len(answer.body))
-            self._shared.measures.attempt_ended(
+            self._shared.metrics.attempt_ended(
                 self._item.service,
                 _OK,
                 taken_s,
@@ -102,7 +102,7 @@
                 return await self._exchange()
         except TimeoutError as error:
             if not self._is_sent:
-                self._item.require_time(self._shared.clock)
+                self._item.require_time_left(self._shared.clock)
             raise errors.AnswerOverdueError(
                 'The target did not answer before the time ran out',
                 'Find out whether the request ran before sending it anew',
@@ -123,19 +123,19 @@
                 self._record.known_since_s,
             ),
         )
-        self._record.reached()
+        self._record.mark_reachable()
         self._hear(response)
         try:
             answer = await answers.read(
                 response,
                 self._shared.names,
-                self._shared.held_bytes.bound(),
+                self._shared.buffer_budget.answer_limit_bytes(),
                 self._read_until_s(),
             )
         except BaseException:
             response.close()
             raise
-        self._shared.held_bytes.hold(answer, len(answer.body))
+        self._shared.buffer_budget.charge(answer, len(answer.body))
         return answer
 
     def _read_until_s(self) -> float:
@@ -151,7 +151,7 @@
             *item.headers,
             (names.attempt_id, item.request_id),
             (names.deadline_ms, str(max(1, int(left_s * _MS_PER_S)))),
-            (names.expected_target, self._record.listed.own_name),
+            (names.expected_target, self._record.listed.stable_name),
         ]
 
     def _permit(self) -> None:
@@ -161,9 +161,9 @@
         of a second, and longer on a busy instance: of the two seconds that
         the users allow from a target's leaving to its last request.
         """
-        self._item.require_time(self._shared.clock)
-        self._pool.targets.require(self._record)
-        self._shared.quarantine.require_free(self._item.fingerprint)
+        self._item.require_time_left(self._shared.clock)
+        self._pool.targets.require_accepting(self._record)
+        self._shared.quarantine.raise_if_quarantined(self._item.fingerprint)
         self._is_sent = True
         self._item.was_sent = True
 
@@ -180,35 +180,37 @@
         if response.status == http.HTTPStatus.MISDIRECTED_REQUEST:
             return
         shared = self._shared
-        load = answers.load_of(response, shared.names)
+        load = answers.reported_load(response, shared.names)
         if load is not None:
-            self._record.heard_load(
+            self._record.record_load(
                 load.running,
                 load.waiting,
                 shared.clock.monotonic_s(),
             )
-        told = statements.read(
+        statement = statements.read(
             response.status,
             response.headers,
             shared.names,
             shared.clock,
         )
-        self._record.stated.answered(told)
-        is_new = self._pool.targets.hear(
+        self._record.statements.answered(statement)
+        is_new = self._pool.targets.apply_statement(
             self._record,
-            told,
+            statement,
             shared.clock.monotonic_s(),
             target_record.ObservationSource.OWN,
         )
         if is_new:
-            shared.decisions.stated(self._item, self._record, told)
+            shared.decision_log.log_statement(
+                self._item, self._record, statement
+            )
 
     def _blame(self, error: errors.GatewayError) -> None:
         """Take in what an attempt without an answer says of the target."""
         if isinstance(error, answers.OtherTargetError):
-            self._pool.targets.drop(self._record.listed.target_id)
+            self._pool.targets.remove(self._record.listed.target_id)
         elif isinstance(error, errors.ShedError):
-            self._pool.full(self._record)
+            self._pool.mark_full(self._record)
         elif isinstance(error, _NOT_TO_BLAME):
             return
         elif isinstance(error, errors.AnswerOverdueError):
@@ -218,7 +220,7 @@
 
     def _failed(self, error: errors.GatewayError) -> None:
         if isinstance(error, errors.ConnectTimeoutError):
-            self._record.not_reached(self._shared.clock.monotonic_s())
+            self._record.mark_unreachable(self._shared.clock.monotonic_s())
         else:
             self._pool.failed(self._record, self._taken_s())
 
@@ -236,13 +238,13 @@
         A route may allow less time than its work usually takes.
         """
         taken_s = self._taken_s()
-        if target_record.is_overlong(taken_s, self._pool.usual_s):
+        if target_record.is_hang(taken_s, self._pool.typical_latency_s):
             self._pool.failed(self._record, 0)
 
     def _failed_by(self, how: str, what: str) -> None:
         taken_s = self._taken_s()
-        self._shared.measures.attempt_ended(self._item.service, how, taken_s)
-        self._shared.decisions.attempt_failed(
+        self._shared.metrics.attempt_ended(self._item.service, how, taken_s)
+        self._shared.decision_log.log_attempt_failed(
             self._item,
             self._choice,
             f'{how}: {what}',
@@ -257,10 +259,10 @@
     item: caller_request.CallerRequest,
     record: target_record.TargetRecord,
     *,
-    is_beside: bool,
+    is_hedge: bool,
 ) -> events.Reason:
-    if is_beside:
+    if is_hedge:
         return events.Reason.BESIDE
     if item.attempts:
         return events.Reason.AGAIN
-    return events.Reason.TURN if record.has_turn else events.Reason.FIRST
+    return events.Reason.TURN if record.is_exploration else events.Reason.FIRST
--- a/libraries/entry/src/sardinepier/entry/buffer_budget.py
+++ b/libraries/entry/src/sardinepier/entry/buffer_budget.py
@@ -9,14 +9,14 @@
 import weakref
 from typing import Final
 
-DEFAULT_BYTES: Final = 33_554_432
+DEFAULT_BUDGET_BYTES: Final = 33_554_432
 """Of all answers held whole: a sixth of the memory of the smallest instances,
 which have two hundred megabytes and use some sixty."""
 
-MOST_WHOLE_BYTES: Final = 1_048_576
+MAX_BUFFERED_ANSWER_BYTES: Final = 1_048_576
 """Of one answer: twice the longest of the documents that are asked for."""
 
-LEAST_WHOLE_BYTES: Final = 65_536
+MIN_BUFFERED_ANSWER_BYTES: Final = 65_536
 """Of one answer when much is held: what its connection buffers anyway."""
 
 _SHARE: Final = 8
@@ -29,26 +29,26 @@
     For example::
 
         most_bytes = held.bound()
-        held.hold(answer, len(answer.body))  # until ``answer`` is gone
+        held.charge(answer, len(answer.body))  # until ``answer`` is gone
     """
 
-    def __init__(self, most_bytes: int = DEFAULT_BYTES) -> None:
-        """Hold up to about ``most_bytes``."""
-        self.held_bytes = 0
-        self._most_bytes = most_bytes
+    def __init__(self, max_bytes: int = DEFAULT_BUDGET_BYTES) -> None:
+        """Hold up to about ``max_bytes``."""
+        self.buffered_bytes = 0
+        self._most_bytes = max_bytes
 
-    def bound(self) -> int:
+    def answer_limit_bytes(self) -> int:
         """Return how many bytes of the next answer may be read whole."""
-        left_bytes = max(0, self._most_bytes - self.held_bytes)
+        left_bytes = max(0, self._most_bytes - self.buffered_bytes)
         return max(
-            LEAST_WHOLE_BYTES,
-            min(MOST_WHOLE_BYTES, left_bytes // _SHARE),
+            MIN_BUFFERED_ANSWER_BYTES,
+            min(MAX_BUFFERED_ANSWER_BYTES, left_bytes // _SHARE),
         )
 
-    def hold(self, holder: object, held_bytes: int) -> None:
+    def charge(self, holder: object, held_bytes: int) -> None:
         """Count ``held_bytes`` for as long as ``holder`` lives."""
-        self.held_bytes += held_bytes
+        self.buffered_bytes += held_bytes
         weakref.finalize(holder, self._release, held_bytes)
 
     def _release(self, held_bytes: int) -> None:
-        self.held_bytes -= held_bytes
+        self.buffered_bytes -= held_bytes
--- a/libraries/entry/src/sardinepier/entry/caller_request.py
+++ b/libraries/entry/src/sardinepier/entry/caller_request.py
@@ -42,7 +42,7 @@
         """Return the seconds until the request is given up, not below 0."""
         return max(0.0, self.deadline_s - clock.monotonic_s())
 
-    def require_time(self, clock: clocks.Clock) -> None:
+    def require_time_left(self, clock: clocks.Clock) -> None:
         """Raise ``TimeUpError`` when there is none left."""
         if self.left_s(clock) <= 0:
             raise refusals.TimeUpError(
--- a/libraries/entry/src/sardinepier/entry/caller_server.py
+++ b/libraries/entry/src/sardinepier/entry/caller_server.py
@@ -37,14 +37,14 @@
     """One connection of a caller.
 
     Requests that a caller sends before it has the answer to an earlier one
-    are begun at once where ``begin_early`` takes them; answers still go out
+    are begun at once where ``start_pipelined`` takes them; answers still go out
     in the order of the requests.
     """
 
     def __init__(self, server: 'HttpServer', **options: Any) -> None:
         """Answer by the handler of ``server``."""
         super().__init__(server, **options)
-        self._begin_early = server.begin_early
+        self._begin_early = server.start_pipelined
         self._early: dict[int, asyncio.Task[web_response.StreamResponse]] = {}
 
     def data_received(self, data: bytes) -> None:
@@ -64,7 +64,7 @@
             task.add_done_callback(_give_up)
         self._early.clear()
 
-    def early_answer(
+    def pipelined_response(
         self,
         request: web_request.BaseRequest,
     ) -> 'asyncio.Task[web_response.StreamResponse] | None':
@@ -95,7 +95,7 @@
                 f'The request is not valid HTTP: {message}',
                 'Send a valid HTTP/1.1 request',
             )
-        response = responses.of_error(error)
+        response = responses.from_error(error)
         response.force_close()
         return response
 
@@ -131,15 +131,15 @@
         self,
         handler: Any,
         bounds: BoundsGetter,
-        begin_early: StartPipelined | None = None,
+        start_pipelined: StartPipelined | None = None,
     ) -> None:
         """Answer requests by ``handler``, which is cancelled on a hang-up.
 
-        ``begin_early`` may begin the answer to a request whose turn has not
+        ``start_pipelined`` may begin the answer to a request whose turn has not
         come, and returns None for one that has to wait.
         """
         super().__init__(handler, handler_cancellation=True)
-        self.begin_early = begin_early
+        self.start_pipelined = start_pipelined
         self._bounds = bounds
         self._listener: asyncio.Server | None = None
 
@@ -190,14 +190,14 @@
         return
     response = task.result()
     if isinstance(response, responses.RelayedResponse):
-        response.give_up()
+        response.abort()
 
 
-def early_answer(
+def pipelined_response(
     request: web_request.BaseRequest,
 ) -> 'asyncio.Task[web_response.StreamResponse] | None':
     """Return the answer that was begun before its turn, if there is one."""
     connection = request.protocol
     if isinstance(connection, CallerConnection):
-        return connection.early_answer(request)
+        return connection.pipelined_response(request)
     return None
--- a/libraries/entry/src/sardinepier/entry/capacity_forecast.py
+++ b/libraries/entry/src/sardinepier/entry/capacity_forecast.py
@@ -14,7 +14,7 @@
 """After which slots came free, or a list of targets may have changed."""
 
 
-def earliest_s(
+def next_accepting_s(
     table: target_table.TargetTable,
     tried: Collection[ids.TargetId],
     now_s: float,
@@ -26,23 +26,23 @@
     opens_at_s = math.inf
     for record in table.records():
         if record.listed.target_id not in tried:
-            opens_at_s = min(opens_at_s, record.stated.opens_at_s(now_s))
+            opens_at_s = min(opens_at_s, record.statements.opens_at_s(now_s))
             if opens_at_s <= now_s:
                 # Mostly the first one: few targets ask for anything.
                 return now_s
     return opens_at_s
 
 
-def opening(
+def forecast(
     table: target_table.TargetTable,
     now_s: float,
 ) -> wait_queue.CapacityForecast:
     """Return when the targets want requests again, and how many."""
-    if earliest_s(table, (), now_s) <= now_s or not table.records():
+    if next_accepting_s(table, (), now_s) <= now_s or not table.records():
         return wait_queue.AVAILABLE_NOW
     # Whoever is closed asked for something.
-    return target_statements.opening(
-        (record.stated for record in table.asking()),
+    return target_statements.forecast(
+        (record.statements for record in table.with_statements()),
         now_s,
     )
 
@@ -54,7 +54,7 @@
 ) -> float:
     """Return when a new try makes sense, at this daemon or another one."""
     return target_statements.retry_after_s(
-        (record.stated.wait_s(now_s) for record in records),
+        (record.statements.wait_s(now_s) for record in records),
         _RETRY_AFTER_S,
         random_source,
     )
--- a/libraries/entry/src/sardinepier/entry/confirmation.py
+++ b/libraries/entry/src/sardinepier/entry/confirmation.py
@@ -28,7 +28,7 @@
     For example::
 
         confirmation = Confirmation(clock, bound_s=5.0)
-        confirmation.note(asked_s)
+        confirmation.confirm(asked_s)
         if not await confirmation.wait(0.3):
             refuse()
     """
@@ -67,14 +67,14 @@
             return None
         return self._clock.boot_s() - self._asked_s
 
-    def note(self, asked_s: float) -> None:
-        """Take in that a question of ``asked_s`` confirmed the configuration."""
+    def confirm(self, requested_s: float) -> None:
+        """Take in that a question of ``requested_s`` confirmed the configuration."""
         if self._bound_s is None:
             return
-        if self._asked_s is not None and asked_s <= self._asked_s:
+        if self._asked_s is not None and requested_s <= self._asked_s:
             return
-        self._asked_s = asked_s
-        self._valid_until_s = asked_s + self._bound_s
+        self._asked_s = requested_s
+        self._valid_until_s = requested_s + self._bound_s
         self._hopeless_until_s = -math.inf
         self._noted.set()
 
@@ -86,7 +86,7 @@
             return False
         return self._clock.boot_s() < self._valid_until_s
 
-    def waited_s(self) -> float | None:
+    def longest_wait_s(self) -> float | None:
         """Return how long requests have waited, None while none waits."""
         if not self._waiting:
             return None
--- a/libraries/entry/src/sardinepier/entry/context.py
+++ b/libraries/entry/src/sardinepier/entry/context.py
@@ -19,8 +19,8 @@
     """The collaborators of the request path.
 
     ``services`` holds the newest configuration with the targets in use,
-    ``decisions`` writes the log lines and ``measures`` keeps the numbers.
-    ``held_bytes`` bounds what is kept of answers.
+    ``decision_log`` writes the log lines and ``metrics`` keeps the numbers.
+    ``buffer_budget`` bounds what is kept of answers.
     """
 
     clock: clocks.Clock
@@ -29,6 +29,6 @@
     services: service_registry.ServiceRegistry
     quarantine: quarantine.Quarantine
     activity: active_requests.ActiveRequests
-    decisions: decision_log.DecisionLog
-    measures: request_metrics.RequestMetrics
-    held_bytes: buffer_budget.BufferBudget
+    decision_log: decision_log.DecisionLog
+    metrics: request_metrics.RequestMetrics
+    buffer_budget: buffer_budget.BufferBudget
--- a/libraries/entry/src/sardinepier/entry/credentials.py
+++ b/libraries/entry/src/sardinepier/entry/credentials.py
@@ -24,7 +24,7 @@
         ...
 
 
-def digest_of(key: str) -> bytes:
+def key_digest(key: str) -> bytes:
     """Return what stands for ``key``; 16 bytes."""
     return hashlib.blake2b(
         key.encode(errors='surrogateescape'),
@@ -54,7 +54,7 @@
         raise unknown_key('credentials without a usable key', names)
     if any(character.isspace() or character == ',' for character in key):
         raise unknown_key('credentials with more than one word', names)
-    return digest_of(key)
+    return key_digest(key)
 
 
 def unknown_key(
--- a/libraries/entry/src/sardinepier/entry/customers.py
+++ b/libraries/entry/src/sardinepier/entry/customers.py
@@ -30,7 +30,7 @@
         return self._by_digest.get(digest)
 
 
-def require_distinct(customers: Iterable[model.Customer]) -> None:
+def require_distinct_keys(customers: Iterable[model.Customer]) -> None:
     """Raise ``SharedKeyError`` where two customers hold the same key.
 
     A request with that key could be taken for either's.
@@ -46,7 +46,7 @@
                 )
 
 
-def limits_of(
+def rate_limits(
     customers: Iterable[model.Customer],
 ) -> dict[ids.CustomerName, fleet_bucket.Limit]:
     """Return the limits of those that have one."""
--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -48,12 +48,12 @@
         self._sent = _budget(clock, _SENT_PER_S)
         self._failed = _budget(clock, _FAILED_PER_S)
 
-    def sent(
+    def log_attempt(
         self,
         item: caller_request.CallerRequest,
         record: target_record.TargetRecord,
         reason: events.Reason,
-        usual_s: float,
+        typical_latency_s: float,
     ) -> events.Choice:
         """Tell that an attempt begins, and return what it rests on."""
         now_s = self._clock.monotonic_s()
@@ -62,8 +62,10 @@
             reason=reason,
             target=record.listed.target_id,
             target_zone=record.listed.zone,
-            chance=round(record.failure_chance(now_s, usual_s), 3),
-            belief_age_ms=_ms(now_s - record.belief.updated_s),
+            chance=round(
+                record.failure_probability(now_s, typical_latency_s), 3
+            ),
+            belief_age_ms=_ms(now_s - record.estimate.updated_s),
             belief_source=record.belief_source,
             in_flight=record.in_flight(now_s),
         )
@@ -71,30 +73,32 @@
             logs.tell(self._sent_line(item, choice, now_s), is_routine=True)
         return choice
 
-    def stated(
+    def log_statement(
         self,
         item: caller_request.CallerRequest,
         record: target_record.TargetRecord,
-        told: statements.Statement,
+        statement: statements.Statement,
     ) -> None:
         """Tell what a target said of itself."""
         if not self._failed.allows():
             return
-        rest_s = told.rests_until_s - self._clock.monotonic_s()
+        rest_s = statement.backoff_until_s - self._clock.monotonic_s()
         logs.tell(
             events.TargetStated(
                 request_id=item.request_id,
                 service=item.service,
                 target=record.listed.target_id,
-                is_leaving=told.is_leaving,
+                is_leaving=statement.is_leaving,
                 limit_per_s=(
-                    _NO_LIMIT if told.limit_per_s is None else told.limit_per_s
+                    _NO_LIMIT
+                    if statement.limit_per_s is None
+                    else statement.limit_per_s
                 ),
                 rest_ms=_ms(max(0.0, rest_s)),
             ),
         )
 
-    def attempt_failed(
+    def log_attempt_failed(
         self,
         item: caller_request.CallerRequest,
         choice: events.Choice,
@@ -116,7 +120,7 @@
             ),
         )
 
-    def ended(
+    def log_ended(
         self,
         request_id: str,
         item: caller_request.CallerRequest | None,
@@ -129,7 +133,7 @@
         if self._failed.allows():
             logs.tell(self._ended_line(request_id, item, end))
 
-    def tell_dropped(self) -> None:
+    def log_dropped(self) -> None:
         """Tell how many lines were left out since the last call, if any."""
         sent = self._sent.take_dropped()
         failed = self._failed.take_dropped()
@@ -188,7 +192,7 @@
         if item is None:
             return 0, 0
         records = self._held.pool(item.service).targets.records()
-        return len(records), sum(one.has_room(now_s) for one in records)
+        return len(records), sum(one.has_free_slot(now_s) for one in records)
 
 
 def _customer_name(item: caller_request.CallerRequest | None) -> str:
--- a/libraries/entry/src/sardinepier/entry/exploration.py
+++ b/libraries/entry/src/sardinepier/entry/exploration.py
@@ -42,18 +42,20 @@
 """A target that fails more likely than not is no help."""
 
 
-def unused(
+def find_unused(
     free: Iterable[target_record.TargetRecord],
-    situation: target_cost.SelectionContext,
+    context: target_cost.SelectionContext,
 ) -> target_record.TargetRecord | None:
     """Return a target that waits for its first request.
 
     Like all that have a turn, it is of the own zone or of one that is lost.
     """
     for record in free:
-        if record.was_tried() or not situation.cares_for(record.listed.zone):
+        if record.was_ever_used() or not context.covers_zone(
+            record.listed.zone
+        ):
             continue
-        if situation.now_s > record.warm_at_s + _UNUSED_AFTER_S:
+        if context.now_s > record.warm_from_s + _UNUSED_AFTER_S:
             return record
     return None
 
@@ -69,17 +71,17 @@
     most_chance: float
 
 
-DOUBTED: Final = ExplorationRule(_DOUBTED_S, math.inf)
+SUSPECTED_RULE: Final = ExplorationRule(_DOUBTED_S, math.inf)
 """Whatever is believed of a target: for attempts that another may follow."""
 
-ANY: Final = ExplorationRule(_LONGEST_IDLE_S, math.inf)
+ANY_TARGET_RULE: Final = ExplorationRule(_LONGEST_IDLE_S, math.inf)
 """Whatever is believed of a target, for attempts whose failure is final, while
 many fail: it counts as sound two seconds after it failed."""
 
 
-def neglected(
+def find_longest_idle(
     free: Iterable[target_record.TargetRecord],
-    situation: target_cost.SelectionContext,
+    context: target_cost.SelectionContext,
     due: ExplorationRule,
 ) -> target_record.TargetRecord | None:
     """Return the target of the own zone that has been idle for longest.
@@ -87,18 +89,19 @@
     Whoever of the zone used it counts. One to which the way was lost has no
     turn: a try would cost a third of a second, and it is no sound target.
     """
-    now_s = situation.now_s
+    now_s = context.now_s
     idle = [
         record
         for record in free
-        if situation.cares_for(record.listed.zone)
+        if context.covers_zone(record.listed.zone)
         and not record.is_avoided(now_s)
-        and now_s - record.seen_used_s() > due.idle_s
-        and record.failure_chance(now_s, situation.usual_s) < due.most_chance
+        and now_s - record.last_known_use_s() > due.idle_s
+        and record.failure_probability(now_s, context.typical_latency_s)
+        < due.most_chance
     ]
     return min(
         idle,
-        key=target_record.TargetRecord.seen_used_s,
+        key=target_record.TargetRecord.last_known_use_s,
         default=None,
     )
 
@@ -118,30 +121,33 @@
         self,
         free: Sequence[target_record.TargetRecord],
         known: Iterable[target_record.TargetRecord],
-        wish: attempt_requirements.AttemptRequirements,
-        situation: target_cost.SelectionContext,
+        requirements: attempt_requirements.AttemptRequirements,
+        context: target_cost.SelectionContext,
     ) -> target_record.TargetRecord | None:
         """Return one of the ``free`` targets of those ``known``, or None.
 
         A second attempt of a request goes to the surest.
         """
-        if wish.tried:
+        if requirements.tried:
             return None
-        found = unused(free, situation)
-        for due in self._turns(known, wish, situation):
-            found = found or neglected(free, situation, due)
+        found = find_unused(free, context)
+        for due in self._turns(known, requirements, context):
+            found = found or find_longest_idle(free, context, due)
         return found
 
     def _turns(
         self,
         known: Iterable[target_record.TargetRecord],
-        wish: attempt_requirements.AttemptRequirements,
-        situation: target_cost.SelectionContext,
+        requirements: attempt_requirements.AttemptRequirements,
+        context: target_cost.SelectionContext,
     ) -> tuple[ExplorationRule, ...]:
         """Return when targets have their turn, the first to go by first."""
-        if not wish.is_last:
-            return (DOUBTED, ExplorationRule(_IDLE_TRIAL_S, _MOST_CHANCE))
-        if self.recent.are_many():
-            return (ANY,)
-        most_chance = self._bound.chance(known, situation)
+        if not requirements.is_final_attempt:
+            return (
+                SUSPECTED_RULE,
+                ExplorationRule(_IDLE_TRIAL_S, _MOST_CHANCE),
+            )
+        if self.recent.exceed_limit():
+            return (ANY_TARGET_RULE,)
+        most_chance = self._bound.chance(known, context)
         return (ExplorationRule(_LONGEST_IDLE_S, most_chance),)
--- a/libraries/entry/src/sardinepier/entry/final_failure.py
+++ b/libraries/entry/src/sardinepier/entry/final_failure.py
@@ -7,7 +7,7 @@
 from sardinepier.routing import errors as routing_errors
 
 
-def last_resort(
+def answer_or_raise(
     answer: answers.Answer | None,
     failure: errors.UnknownFateError | None,
     error: core_errors.SardinepierError,
--- a/libraries/entry/src/sardinepier/entry/forwarding.py
+++ b/libraries/entry/src/sardinepier/entry/forwarding.py
@@ -52,9 +52,9 @@
         try:
             return await self._attempts(item, pool, history)
         except core_errors.SardinepierError as error:
-            if history.has_nothing():
+            if history.nothing_ran():
                 pool.refused()
-            return history.ended_by(error, pool.retry_after_s())
+            return history.resolve(error, pool.retry_after_s())
 
     async def _attempts(
         self,
@@ -68,12 +68,12 @@
             try:
                 answer = await self._run(item, pool, record, history)
             except errors.GatewayError as error:
-                history.note(error)
-                if not retries.may_go_on(item, pool, history, error):
+                history.record_failure(error)
+                if not retries.may_retry_after(item, pool, history, error):
                     raise
                 continue
             history.ran += 1
-            if answer.is_good or not retries.may_repeat(item, pool, history):
+            if answer.is_good or not retries.may_retry(item, pool, history):
                 return answer
             history.answer = answer
 
@@ -83,19 +83,23 @@
         pool: service_pool.ServicePool,
         history: retries.AttemptHistory,
     ) -> target_record.TargetRecord:
-        item.require_time(self._shared.clock)
+        item.require_time_left(self._shared.clock)
         self._shared.quarantine.admit(item.fingerprint)
         # Crashing a target twice takes it down twice and tells nothing new.
-        lost_on = self._shared.quarantine.lost_on(item.fingerprint)
-        if lost_on and pool.has_target_beside(history.tried | lost_on):
-            history.tried |= lost_on
+        crashed_targets = self._shared.quarantine.crashed_targets(
+            item.fingerprint
+        )
+        if crashed_targets and pool.has_other_target(
+            history.tried | crashed_targets
+        ):
+            history.tried |= crashed_targets
         try:
             return await pool.acquire(
                 admission.QueuedRequest(
                     item.priority,
                     item.deadline_s,
-                    takes_any=not history.tried,
-                    best_begun_by_s=_best_begun_by_s(item, pool),
+                    accepts_any_target=not history.tried,
+                    preferred_start_by_s=_best_begun_by_s(item, pool),
                 ),
                 _wish(item, pool, history),
             )
@@ -130,7 +134,7 @@
         """Return a second attempt, None where it may not or can't begin."""
         if not retries.has_attempts_left(item, history.ran + 1):
             return None
-        if item.left_s(self._shared.clock) <= pool.usual_s:
+        if item.left_s(self._shared.clock) <= pool.typical_latency_s:
             return None
         record = pool.try_acquire(_wish(item, pool, history))
         if record is None:
@@ -140,7 +144,7 @@
             return None
         history.tried.add(record.listed.target_id)
         history.ran += 1
-        return self._attempt(item, pool, record, is_beside=True)
+        return self._attempt(item, pool, record, is_hedge=True)
 
     async def _attempt(
         self,
@@ -148,25 +152,25 @@
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
-        is_beside: bool = False,
+        is_hedge: bool = False,
     ) -> answers.Answer:
         quarantine = self._shared.quarantine
         now_s = self._shared.clock.monotonic_s()
-        is_fine = record.belief.failing(now_s) < _DOUBTFUL
+        is_fine = record.estimate.failing_probability(now_s) < _DOUBTFUL
         try:
             answer = await attempt.Attempt(
                 self._shared,
                 item,
                 pool,
                 record,
-                is_beside=is_beside,
+                is_hedge=is_hedge,
             ).run()
         except errors.ConnectionLostError:
             target_id = record.listed.target_id
             quarantine.crashed(
                 item.fingerprint,
                 target_id,
-                is_fine or quarantine.accounts_for(target_id),
+                is_fine or quarantine.has_suspect_request_on(target_id),
             )
             raise
         except BaseException:
@@ -187,7 +191,7 @@
         len(item.body),
         item.arrived_s,
         item.arrived_s + patience_s,
-        is_last=not retries.may_follow(item, pool, history),
+        is_final_attempt=not retries.could_retry(item, pool, history),
     )
 
 
@@ -201,4 +205,4 @@
     less is taken to need half of what it aims at.
     """
     aim_s = item.route.target_latency_s
-    return item.arrived_s + aim_s - min(pool.usual_s, aim_s / 2)
+    return item.arrived_s + aim_s - min(pool.typical_latency_s, aim_s / 2)
--- a/libraries/entry/src/sardinepier/entry/idle_threshold.py
+++ b/libraries/entry/src/sardinepier/entry/idle_threshold.py
@@ -48,29 +48,31 @@
     def chance(
         self,
         records: Iterable[target_record.TargetRecord],
-        situation: target_cost.SelectionContext,
+        context: target_cost.SelectionContext,
     ) -> float:
         """Return the bound for the targets of the whole service."""
-        if situation.now_s >= self._due_s:
-            self._due_s = situation.now_s + _IDLE_FROM_KEPT_S
-            self._chance = self._found(records, situation)
+        if context.now_s >= self._due_s:
+            self._due_s = context.now_s + _IDLE_FROM_KEPT_S
+            self._chance = self._found(records, context)
         return self._chance
 
     def _found(
         self,
         records: Iterable[target_record.TargetRecord],
-        situation: target_cost.SelectionContext,
+        context: target_cost.SelectionContext,
     ) -> float:
-        now_s = situation.now_s
+        now_s = context.now_s
         sound = 0
         doubted: list[float] = []
         for record in records:
             if record.is_avoided(now_s):
                 continue
-            chance = record.failure_chance(now_s, situation.usual_s)
+            chance = record.failure_probability(
+                now_s, context.typical_latency_s
+            )
             if chance < _LEAST_CHANCE:
                 sound += 1
-            elif now_s - record.belief.updated_s >= _SOUND_AFTER_S:
+            elif now_s - record.estimate.updated_s >= _SOUND_AFTER_S:
                 sound += 1
                 doubted.append(chance)
         spared = int(self._spare_share * sound)
--- a/libraries/entry/src/sardinepier/entry/incarnations.py
+++ b/libraries/entry/src/sardinepier/entry/incarnations.py
@@ -29,7 +29,7 @@
             collections.OrderedDict()
         )
 
-    def newest_of(
+    def keep_newest(
         self,
         listed: Iterable[model.ListedTarget],
     ) -> list[model.ListedTarget]:
@@ -40,12 +40,12 @@
         return [one for one in found if self._is_newest(one)]
 
     def _is_newest(self, target: model.ListedTarget) -> bool:
-        return target.born_ms >= self._born_ms.get(target.own_name, 0)
+        return target.born_ms >= self._born_ms.get(target.stable_name, 0)
 
     def _note(self, target: model.ListedTarget) -> None:
         if not target.born_ms:
             return
-        name = target.own_name
+        name = target.stable_name
         known_ms = self._born_ms.pop(name, 0)
         self._born_ms[name] = max(known_ms, target.born_ms)
         if len(self._born_ms) > _MOST_NAMES:
--- a/libraries/entry/src/sardinepier/entry/model.py
+++ b/libraries/entry/src/sardinepier/entry/model.py
@@ -149,12 +149,12 @@
     born_ms: int = 0
 
     @property
-    def own_name(self) -> str:
+    def stable_name(self) -> str:
         """Return what the target calls itself, whichever start it is."""
         return self.name or self.target_id
 
 
-REVISIONS_PER_ERA: Final = 1_000_000_000_000
+REVISIONS_PER_EPOCH: Final = 1_000_000_000_000
 """More than a platform makes before it is restored from a copy, after which it
 gives revisions out again. A revision here is the era times this, and the
 platform's own: it only grows."""
@@ -167,6 +167,6 @@
     targets: tuple[ListedTarget, ...]
 
     @property
-    def era(self) -> int:
+    def epoch(self) -> int:
         """Return how often the platform was restored from a copy before."""
-        return self.revision // REVISIONS_PER_ERA
+        return self.revision // REVISIONS_PER_EPOCH
--- a/libraries/entry/src/sardinepier/entry/outcome_recorder.py
+++ b/libraries/entry/src/sardinepier/entry/outcome_recorder.py
@@ -67,13 +67,13 @@
     def _end(self, end: decision_log.End, answer_bytes: int = 0) -> None:
         names = self._shared.names
         body_bytes = len(self.item.body) if self.item else 0
-        passed_bytes = _HEAD_BYTES + body_bytes + answer_bytes
-        self._shared.activity.passed_bytes += passed_bytes
+        forwarded_bytes = _HEAD_BYTES + body_bytes + answer_bytes
+        self._shared.activity.forwarded_bytes += forwarded_bytes
         request_id = self._request.headers.get(names.attempt_id, '')
-        self._shared.decisions.ended(request_id, self.item, end)
+        self._shared.decision_log.log_ended(request_id, self.item, end)
         if end.error:
-            self._shared.measures.answered_itself(end.error)
-        self._shared.measures.request_ended(
+            self._shared.metrics.local_answer(end.error)
+        self._shared.metrics.request_ended(
             self.item.service if self.item else '',
             end.outcome,
             self._shared.clock.monotonic_s() - self._began_s,
--- a/libraries/entry/src/sardinepier/entry/pages.py
+++ b/libraries/entry/src/sardinepier/entry/pages.py
@@ -109,7 +109,7 @@
         )
 
 
-def plain_addresses(addresses: Sequence[str], good_for_s: float) -> bytes:
+def encode_addresses(addresses: Sequence[str], good_for_s: float) -> bytes:
     """Return the project's own form of a directory answer.
 
     ``{"addresses": ["10.0.0.7:8080"], "good_for_s": 1.0}``
--- a/libraries/entry/src/sardinepier/entry/pipeline.py
+++ b/libraries/entry/src/sardinepier/entry/pipeline.py
@@ -34,7 +34,7 @@
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
         """Return the answer to a request."""
-        early = caller_server.early_answer(request)
+        early = caller_server.pipelined_response(request)
         if early is None:
             response = await self._counted(request)
         else:
@@ -43,7 +43,7 @@
             response.force_close()
         return response
 
-    def begin_early(
+    def start_pipelined(
         self,
         request: web_request.BaseRequest,
     ) -> 'asyncio.Task[web_response.StreamResponse] | None':
@@ -73,7 +73,7 @@
             answer = await self._within_limit(account.item)
         except core_errors.SardinepierError as error:
             account.refused(error)
-            return responses.of_error(error)
+            return responses.from_error(error)
         except asyncio.CancelledError:
             account.abandoned()
             raise
@@ -84,9 +84,9 @@
                 'Find out whether the request ran before sending it anew',
             )
             account.refused(internal)
-            return responses.of_error(internal)
+            return responses.from_error(internal)
         account.answered(answer)
-        return responses.of_target(answer)
+        return responses.from_target(answer)
 
     async def _within_limit(
         self, item: caller_request.CallerRequest
@@ -111,7 +111,7 @@
         except (refusals.NotRunError, asyncio.CancelledError) as error:
             is_refused = isinstance(error, refusals.NotRunError)
             if is_refused or not item.attempts:
-                limits.give_back(item.customer.name)
+                limits.refund(item.customer.name)
             raise
 
     async def _forward(
--- a/libraries/entry/src/sardinepier/entry/recent_failures.py
+++ b/libraries/entry/src/sardinepier/entry/recent_failures.py
@@ -28,13 +28,13 @@
         self._failures = 0.0
         self._updated_s = clock.monotonic_s()
 
-    def note(self, *, is_failure: bool) -> None:
+    def record(self, *, is_failure: bool) -> None:
         """Take in how one attempt ended."""
         self._fade()
         self._attempts += 1
         self._failures += is_failure
 
-    def are_many(self) -> bool:
+    def exceed_limit(self) -> bool:
         """Tell whether enough fail to use every target that may do."""
         self._fade()
         if self._attempts < _ENOUGH:
--- a/libraries/entry/src/sardinepier/entry/request_metrics.py
+++ b/libraries/entry/src/sardinepier/entry/request_metrics.py
@@ -65,7 +65,7 @@
                 service=service,
             ).record(taken_s * _MS_PER_S)
 
-    def answered_itself(self, error: str) -> None:
+    def local_answer(self, error: str) -> None:
         """Count a request that the daemon answered itself, by the reason."""
         self._metrics.counter('own_answers', error=error).add()
 
@@ -91,14 +91,14 @@
         return exposition.text(snapshot, gauges, HELP_TEXTS)
 
 
-def of_services(
+def service_gauges(
     held: service_registry.ServiceRegistry,
 ) -> tuple[exposition.Gauge, ...]:
     """Return what is known of the configuration and the targets."""
     configuration = held.configuration
     version = configuration.version if configuration else 0
     targets = sum(len(pool.targets.records()) for pool in held.pools())
-    closed = sum(len(pool.targets.closed()) for pool in held.pools())
+    closed = sum(len(pool.targets.not_accepting()) for pool in held.pools())
     budgets = [pool.retry_budget for pool in held.pools()]
     granted = sum(one.granted for one in budgets)
     denied = sum(one.denied for one in budgets)
--- a/libraries/entry/src/sardinepier/entry/request_reader.py
+++ b/libraries/entry/src/sardinepier/entry/request_reader.py
@@ -56,7 +56,7 @@
         ``BadRequestError``.
         """
         arrived_s = self._shared.clock.monotonic_s()
-        await self._shared.services.configured(_FIRST_S)
+        await self._shared.services.wait_until_configured(_FIRST_S)
         await self._authenticator.await_confirmation()
         routes = self._shared.services.routes()
         route = _route(routes, request)
--- a/libraries/entry/src/sardinepier/entry/responses.py
+++ b/libraries/entry/src/sardinepier/entry/responses.py
@@ -48,7 +48,7 @@
         self._answer = answer
         self._rest = rest
 
-    def give_up(self) -> None:
+    def abort(self) -> None:
         """End the exchange with the target: the caller is gone."""
         self._rest.close()
 
@@ -75,10 +75,10 @@
             self._req.transport.abort()
 
 
-def of_target(answer: answers.Answer) -> web_response.StreamResponse:
+def from_target(answer: answers.Answer) -> web_response.StreamResponse:
     """Return a target's answer unchanged."""
-    if answer.rest is not None:
-        return RelayedResponse(answer, answer.rest)
+    if answer.stream is not None:
+        return RelayedResponse(answer, answer.stream)
     response = web_response.Response(
         status=answer.status,
         reason=answer.reason,
@@ -90,7 +90,7 @@
     return response
 
 
-def of_error(error: core_errors.SardinepierError) -> web_response.Response:
+def from_error(error: core_errors.SardinepierError) -> web_response.Response:
     """Return what the caller is told of ``error``."""
     response = web_response.Response(
         status=refusals.status_of(error),
--- a/libraries/entry/src/sardinepier/entry/retries.py
+++ b/libraries/entry/src/sardinepier/entry/retries.py
@@ -34,7 +34,7 @@
     failure: errors.UnknownFateError | None = None
     answer: answers.Answer | None = None
 
-    def note(self, error: errors.GatewayError) -> None:
+    def record_failure(self, error: errors.GatewayError) -> None:
         """Take in an attempt that brought no answer."""
         if isinstance(error, errors.UnknownFateError):
             self.failure = error
@@ -43,11 +43,11 @@
         else:
             self.not_run += 1
 
-    def has_nothing(self) -> bool:
+    def nothing_ran(self) -> bool:
         """Tell whether no attempt ran, as far as is known."""
         return self.failure is None and self.answer is None
 
-    def ended_by(
+    def resolve(
         self,
         error: core_errors.SardinepierError,
         retry_after_s: float,
@@ -56,7 +56,7 @@
 
         ``retry_after_s`` is told where nothing ran for want of a target.
         """
-        return final_failure.last_resort(
+        return final_failure.answer_or_raise(
             self.answer,
             self.failure,
             error,
@@ -69,7 +69,7 @@
     return item.route.is_idempotent and ran < item.route.max_attempts
 
 
-def may_follow(
+def could_retry(
     item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
     history: AttemptHistory,
@@ -77,10 +77,10 @@
     """Tell whether an attempt that fails now may be followed by another."""
     if not has_attempts_left(item, history.ran + 1):
         return False
-    return pool.retry_budget.has_room()
+    return pool.retry_budget.can_spend()
 
 
-def may_go_on(
+def may_retry_after(
     item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
     history: AttemptHistory,
@@ -99,10 +99,10 @@
         return pool.retry_budget.try_spend()
     if history.lost >= _MOST_LOST:
         return False
-    return may_repeat(item, pool, history)
+    return may_retry(item, pool, history)
 
 
-def may_repeat(
+def may_retry(
     item: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
     history: AttemptHistory,
--- a/libraries/entry/src/sardinepier/entry/route_table.py
+++ b/libraries/entry/src/sardinepier/entry/route_table.py
@@ -30,7 +30,7 @@
             random_source.uniform(0, share.weight) for share in shares
         ]
 
-    def take(self) -> ids.ServiceName:
+    def next_service(self) -> ids.ServiceName:
         """Return the service of the next request."""
         for place, share in enumerate(self._shares):
             self._credit[place] += share.weight
@@ -82,4 +82,4 @@
         """Return the service that gets the next request of ``route``."""
         if len(route.shares) == 1:
             return route.shares[0].service
-        return self._rotation((route.host, route.prefix)).take()
+        return self._rotation((route.host, route.prefix)).next_service()
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -70,10 +70,10 @@
     ) -> None:
         """Start without targets."""
         self.name = name
-        self.usual_s = 0.0
+        self.typical_latency_s = 0.0
         self.on_outcome: Callable[[bool], None] = _tell_nobody
         self.shares_zone = False
-        self.lost_zones: frozenset[ids.ZoneName] = frozenset()
+        self.unreachable_zones: frozenset[ids.ZoneName] = frozenset()
         self._overlooked = exploration.Explorer(clock, least_used_share)
         self._usual_bytes = 0.0
         self._hedge_delay = hedging.HedgeDelay(_HEDGE_PERCENTILE)
@@ -100,7 +100,7 @@
             _QUEUE_LENGTH,
             random_source,
             self._give_back,
-            lambda: capacity_forecast.opening(
+            lambda: capacity_forecast.forecast(
                 self.targets,
                 clock.monotonic_s(),
             ),
@@ -114,7 +114,7 @@
     async def acquire(
         self,
         work: admission.QueuedRequest,
-        wish: attempt_requirements.AttemptRequirements,
+        requirements: attempt_requirements.AttemptRequirements,
     ) -> target_record.TargetRecord:
         """Wait for a slot at a target that was not tried yet.
 
@@ -126,16 +126,16 @@
         too long. The slot is reserved until ``started``, which must follow
         before anything else is awaited.
         """
-        opens_at_s = capacity_forecast.earliest_s(
+        opens_at_s = capacity_forecast.next_accepting_s(
             self.targets,
-            wish.tried,
+            requirements.tried,
             self._clock.monotonic_s(),
         )
         if opens_at_s >= work.deadline_s:
             raise _no_target(self)
         target_id = await self._queue.acquire(
             work,
-            lambda: self._choose(wish),
+            lambda: self._choose(requirements),
         )
         record = self.targets.find(target_id)
         if record is None:
@@ -143,10 +143,10 @@
         return record
 
     def try_acquire(
-        self, wish: attempt_requirements.AttemptRequirements
+        self, requirements: attempt_requirements.AttemptRequirements
     ) -> target_record.TargetRecord | None:
         """Return a target with a free slot, None when a wait is needed."""
-        target_id = self._choose(wish)
+        target_id = self._choose(requirements)
         return None if target_id is None else self.targets.find(target_id)
 
     def started(self, record: target_record.TargetRecord) -> int:
@@ -177,18 +177,20 @@
         """Take in a good answer."""
         grown_bytes = answer_bytes - self._usual_bytes
         self._usual_bytes += _USUAL_SMOOTHING * grown_bytes
-        record.belief.answered(self._clock.monotonic_s())
+        record.estimate.answered(self._clock.monotonic_s())
         record.belief_source = target_record.ObservationSource.OWN
-        self._overlooked.recent.note(is_failure=False)
-        record.has_turn = False
+        self._overlooked.recent.record(is_failure=False)
+        record.is_exploration = False
         self.on_outcome(True)
-        record.took(latency_s, self.usual_s)
-        self._queue.observe_service(latency_s)
+        record.record_latency(latency_s, self.typical_latency_s)
+        self._queue.observe_service_time(latency_s)
         self._hedge_delay.observe(latency_s * _MS_PER_S)
-        if self.usual_s:
-            self.usual_s += _USUAL_SMOOTHING * (latency_s - self.usual_s)
+        if self.typical_latency_s:
+            self.typical_latency_s += _USUAL_SMOOTHING * (
+                latency_s - self.typical_latency_s
+            )
         else:
-            self.usual_s = latency_s
+            self.typical_latency_s = latency_s
 
     def failed(
         self,
@@ -205,26 +207,29 @@
         """
         now_s = self._clock.monotonic_s()
         if is_given_up:
-            if taken_s < _HUNG_FACTOR * self.usual_s or not self.usual_s:
+            if (
+                taken_s < _HUNG_FACTOR * self.typical_latency_s
+                or not self.typical_latency_s
+            ):
                 return
-            record.belief.hung(now_s)
+            record.estimate.hung(now_s)
         else:
-            is_early = taken_s < _EARLY_FACTOR * self.usual_s
-            record.belief.failed(now_s, is_early=is_early)
+            is_early = taken_s < _EARLY_FACTOR * self.typical_latency_s
+            record.estimate.failed(now_s, is_early=is_early)
         record.belief_source = target_record.ObservationSource.OWN
         # Turns that failed don't count: where many of them do, they would
         # keep up the share of failures that brings them about. Nor do attempts
         # that were given up: the request was served, or is not missed.
-        if not record.has_turn and not is_given_up:
-            self._overlooked.recent.note(is_failure=True)
-        record.has_turn = False
+        if not record.is_exploration and not is_given_up:
+            self._overlooked.recent.record(is_failure=True)
+        record.is_exploration = False
         self.on_outcome(False)
 
     def refused(self) -> None:
         """Take in that a request was refused, since nothing could run it."""
-        self._overlooked.recent.note(is_failure=True)
+        self._overlooked.recent.record(is_failure=True)
 
-    def full(self, record: target_record.TargetRecord) -> None:
+    def mark_full(self, record: target_record.TargetRecord) -> None:
         """Take in that the target had no room for a request."""
         record.full_until_s = self._clock.monotonic_s() + _FULL_S
 
@@ -237,9 +242,9 @@
         delay_ms = self._hedge_delay.delay_ms()
         if delay_ms is not None:
             return delay_ms / _MS_PER_S
-        return _FIRST_HEDGE_FACTOR * self.usual_s or None
+        return _FIRST_HEDGE_FACTOR * self.typical_latency_s or None
 
-    def has_target_beside(self, tried: Collection[ids.TargetId]) -> bool:
+    def has_other_target(self, tried: Collection[ids.TargetId]) -> bool:
         """Tell whether any target is not among ``tried``."""
         return any(
             record.listed.target_id not in tried
@@ -255,50 +260,50 @@
         )
 
     def _choose(
-        self, wish: attempt_requirements.AttemptRequirements
+        self, requirements: attempt_requirements.AttemptRequirements
     ) -> ids.TargetId | None:
         now_s = self._clock.monotonic_s()
-        closed = self.targets.closed()
+        closed = self.targets.not_accepting()
         known = [one for one in self.targets.records() if one not in closed]
         wanted = [
             record
             for record in known
-            if record.listed.target_id not in wish.tried
+            if record.listed.target_id not in requirements.tried
         ]
         free = [
             record
             for record in wanted
-            if record.has_room(now_s)
-            and not record.is_on_trial(now_s, self.usual_s)
+            if record.has_free_slot(now_s)
+            and not record.awaits_trial(now_s, self.typical_latency_s)
         ]
-        situation = target_cost.SelectionContext(
+        context = target_cost.SelectionContext(
             self._zone,
             now_s,
-            self.usual_s,
-            target_cost.zone_cost(wish.body_bytes + self._usual_bytes),
+            self.typical_latency_s,
+            target_cost.zone_cost(requirements.body_bytes + self._usual_bytes),
             shares_zone=self.shares_zone,
-            lost_zones=self.lost_zones,
+            unreachable_zones=self.unreachable_zones,
         )
-        due = self._overlooked.find(free, known, wish, situation)
-        chosen = due or target_cost.surest(
+        due = self._overlooked.find(free, known, requirements, context)
+        chosen = due or target_cost.cheapest(
             free,
             wanted,
-            wish.tolerance(now_s),
-            situation,
+            requirements.tolerance(now_s),
+            context,
             self._random,
         )
         if chosen is None:
             return None
-        chosen.has_turn = chosen is due
+        chosen.is_exploration = chosen is due
         chosen.reserved += 1
-        chosen.stated.take(now_s)
+        chosen.statements.take(now_s)
         return chosen.listed.target_id
 
     def _give_back(self, target_id: ids.TargetId) -> None:
         record = self.targets.find(target_id)
         if record is not None:
             record.reserved -= 1
-            record.stated.give_back()
+            record.statements.refund()
 
 
 def _no_target(pool: ServicePool) -> refusals.NoTargetError:
--- a/libraries/entry/src/sardinepier/entry/service_registry.py
+++ b/libraries/entry/src/sardinepier/entry/service_registry.py
@@ -47,7 +47,7 @@
         options: failure_estimate.EstimateOptions,
         least_used_share: float = idle_threshold.LEAST_USED_SHARE,
         confirmed_within_s: float | None = None,
-        leeway: fleet_limits.Leeway = fleet_limits.USUAL_LEEWAY,
+        leeway: fleet_limits.Leeway = fleet_limits.DEFAULT_LEEWAY,
     ) -> None:
         """Start without a configuration and without targets.
 
@@ -123,7 +123,7 @@
         by_service: dict[ids.ServiceName, list[model.ListedTarget]] = {
             name: [] for name in self._pools
         }
-        for target in self._starts.newest_of(offered.targets):
+        for target in self._starts.keep_newest(offered.targets):
             by_service.setdefault(target.service, []).append(target)
         for name, listed in by_service.items():
             self.pool(name).set_targets(listed)
@@ -144,7 +144,7 @@
             )
             pool.retry_budget.set_burst(self._retry_burst)
             pool.shares_zone = self._shares_zone
-            pool.lost_zones = self._lost_zones
+            pool.unreachable_zones = self._lost_zones
             pool.on_outcome = self.on_outcome
             self._pools[name] = pool
         return pool
@@ -161,17 +161,17 @@
         for pool in self._pools.values():
             pool.shares_zone = shares_zone
 
-    def set_lost_zones(self, zones: frozenset[ids.ZoneName]) -> None:
+    def set_unreachable_zones(self, zones: frozenset[ids.ZoneName]) -> None:
         """Give targets of these zones their turn, too: nobody there does."""
         self._lost_zones = zones
         for pool in self._pools.values():
-            pool.lost_zones = zones
+            pool.unreachable_zones = zones
 
     def pools(self) -> Iterable[service_pool.ServicePool]:
         """Return the targets of all services."""
         return self._pools.values()
 
-    async def configured(self, within_s: float) -> None:
+    async def wait_until_configured(self, within_s: float) -> None:
         """Wait until there is a configuration, ``within_s`` at most."""
         if self._table is not None:
             return
@@ -201,7 +201,7 @@
         self.customers = None
         if offered is not None:
             self.customers = customers.CustomerTable(offered)
-        self.limits.set(customers.limits_of(offered or ()))
+        self.limits.set(customers.rate_limits(offered or ()))
 
     def _tell_changes(
         self,
--- a/libraries/entry/src/sardinepier/entry/target_cost.py
+++ b/libraries/entry/src/sardinepier/entry/target_cost.py
@@ -44,50 +44,50 @@
 class SelectionContext:
     """Where and when a request is sent.
 
-    ``zone`` is the sender's, ``usual_s`` the usual latency of the service
+    ``zone`` is the sender's, ``typical_latency_s`` the usual latency of the service
     and ``zone_cost`` what sending this request to another zone costs.
     ``shares_zone`` says that other daemons send for the zone, too. Targets of
-    ``lost_zones`` have no daemon of their own that gives them their turn.
+    ``unreachable_zones`` have no daemon of their own that gives them their turn.
     """
 
     zone: ids.ZoneName
     now_s: float
-    usual_s: float
+    typical_latency_s: float
     zone_cost: float
     shares_zone: bool = False
-    lost_zones: frozenset[ids.ZoneName] = frozenset()
+    unreachable_zones: frozenset[ids.ZoneName] = frozenset()
 
-    def cares_for(self, zone: ids.ZoneName) -> bool:
+    def covers_zone(self, zone: ids.ZoneName) -> bool:
         """Tell whether targets of ``zone`` have their turn here."""
-        return zone == self.zone or zone in self.lost_zones
+        return zone == self.zone or zone in self.unreachable_zones
 
 
-def zone_cost(passed_bytes: float) -> float:
+def zone_cost(forwarded_bytes: float) -> float:
     """Return what passing so many bytes to another zone and back costs."""
-    return _CROSSING_COST + _CROSSING_COST_PER_BYTE * passed_bytes
+    return _CROSSING_COST + _CROSSING_COST_PER_BYTE * forwarded_bytes
 
 
 def cost(
-    record: target_record.TargetRecord, situation: SelectionContext
+    record: target_record.TargetRecord, context: SelectionContext
 ) -> float:
     """Return what sending a request to the target costs, 0 to about 1."""
-    now_s = situation.now_s
-    total = record.failure_chance(now_s, situation.usual_s)
-    total += _SLOW_COST * max(0.0, record.pace - 1)
-    if record.listed.zone != situation.zone:
-        total += situation.zone_cost
-    if situation.shares_zone:
-        total += _DISTANCE_COST * record.distance
-    if now_s < record.warm_at_s:
+    now_s = context.now_s
+    total = record.failure_probability(now_s, context.typical_latency_s)
+    total += _SLOW_COST * max(0.0, record.latency_ratio - 1)
+    if record.listed.zone != context.zone:
+        total += context.zone_cost
+    if context.shares_zone:
+        total += _DISTANCE_COST * record.preference_offset
+    if now_s < record.warm_from_s:
         total += _COLD_COST
     return total
 
 
-def surest(
+def cheapest(
     free: Iterable[target_record.TargetRecord],
     wanted: Iterable[target_record.TargetRecord],
     tolerance: float,
-    situation: SelectionContext,
+    context: SelectionContext,
     random_source: random.Random,
 ) -> target_record.TargetRecord | None:
     """Return the one among ``free`` with the least cost.
@@ -95,7 +95,7 @@
     It costs at most ``tolerance`` more than the best one that is ``wanted``,
     whether free or not; those that are free are among them.
     """
-    costs = {record: cost(record, situation) for record in wanted}
+    costs = {record: cost(record, context) for record in wanted}
     most_cost = min(costs.values(), default=math.inf) + tolerance
     spread = [
         (costs[record] + random_source.uniform(0, _TIE_SPREAD), record)
--- a/libraries/entry/src/sardinepier/entry/target_table.py
+++ b/libraries/entry/src/sardinepier/entry/target_table.py
@@ -53,7 +53,7 @@
             is_ready = one.state is model.TargetState.READY
             if is_ready and one.target_id not in self._left:
                 record = self._record(one, now_s)
-                record.warm_at_s = now_s + one.warm_in_s
+                record.warm_from_s = now_s + one.warm_in_s
                 record.was_used |= is_first
                 kept[one.target_id] = record
         self._records = kept
@@ -67,7 +67,7 @@
         """Return what is known of a target that is in use."""
         return self._records.get(target_id)
 
-    def require(self, record: target_record.TargetRecord) -> None:
+    def require_accepting(self, record: target_record.TargetRecord) -> None:
         """Raise unless this start still wants a request.
 
         Raises ``TargetLeftError`` when it is out of use and
@@ -78,7 +78,7 @@
                 f'The target {record.listed.target_id} has just left',
                 'Send the request to another one',
             )
-        if record.stated.is_resting(self._clock.monotonic_s()):
+        if record.statements.is_backing_off(self._clock.monotonic_s()):
             raise errors.TargetRestsError(
                 f'The target {record.listed.target_id} asked for rest',
                 'Send the request to another one',
@@ -88,40 +88,40 @@
         """Return all targets in use."""
         return self._records.values()
 
-    def hear(
+    def apply_statement(
         self,
         record: target_record.TargetRecord,
-        told: statements.Statement,
-        heard_s: float,
+        statement: statements.Statement,
+        received_s: float,
         source: target_record.ObservationSource,
     ) -> bool:
         """Go by what a target told ``source``; tell whether that is new."""
-        is_new = record.stated.hear(told, heard_s)
-        record.stated_source = source
-        if told != statements.SILENT:
+        is_new = record.statements.apply(statement, received_s)
+        record.statements_source = source
+        if statement != statements.SILENT:
             self._asking[record.listed.target_id] = record
-        if told.is_leaving:
+        if statement.is_leaving:
             self._leave(record)
         return is_new
 
-    def asking(self) -> Iterable[target_record.TargetRecord]:
+    def with_statements(self) -> Iterable[target_record.TargetRecord]:
         """Return the targets in use that ever asked for anything."""
         return self._asking.values()
 
-    def closed(self) -> Collection[target_record.TargetRecord]:
+    def not_accepting(self) -> Collection[target_record.TargetRecord]:
         """Return the targets in use that want no request of this daemon now."""
         now_s = self._clock.monotonic_s()
         return {
             record
             for record in self._asking.values()
-            if record.stated.opens_at_s(now_s) > now_s
+            if record.statements.opens_at_s(now_s) > now_s
         }
 
-    def left(self) -> Collection[target_record.TargetRecord]:
+    def departed(self) -> Collection[target_record.TargetRecord]:
         """Return the targets that said that they leave, oldest first."""
         return self._left.values()
 
-    def drop(self, target_id: ids.TargetId) -> None:
+    def remove(self, target_id: ids.TargetId) -> None:
         """Give nothing more to a target that is leaving or gone."""
         self._records.pop(target_id, None)
         self._asking.pop(target_id, None)
@@ -132,7 +132,7 @@
         self._left.setdefault(target_id, record)
         if len(self._left) > _MOST_LEFT:
             self._left.pop(next(iter(self._left)))
-        self.drop(target_id)
+        self.remove(target_id)
 
     def _record(
         self,
@@ -148,5 +148,5 @@
             failure_estimate.FailureEstimate(self._options, now_s),
             yarl.URL.build(scheme='http', host=listed.ip, port=listed.port),
             known_since_s=now_s,
-            distance=self._random.random(),
+            preference_offset=self._random.random(),
         )
--- a/libraries/entry/tests/conftest.py
+++ b/libraries/entry/tests/conftest.py
@@ -48,7 +48,7 @@
     server = caller_server.HttpServer(
         answering.handle,
         lambda: shared.services.configuration.bounds,
-        answering.begin_early,
+        answering.start_pipelined,
     )
     port = await server.start(given.LOOPBACK, 0)
     made = given.Entry(shared, server, port)
--- a/libraries/entry/tests/cover/test_entry_callers.py
+++ b/libraries/entry/tests/cover/test_entry_callers.py
@@ -86,10 +86,10 @@
         writers.append(writer)
     # The slots of the target are taken; the fourth request waits.
     await given.until(lambda: target.ran == 3)
-    await given.until(lambda: entry.shared.activity.in_hand == 4)
+    await given.until(lambda: entry.shared.activity.in_flight == 4)
     for writer in writers:
         writer.close()
-    await given.until(lambda: entry.shared.activity.in_hand == 0)
+    await given.until(lambda: entry.shared.activity.in_flight == 0)
     target.gate.set()
     await asyncio.sleep(0.3)
     assert target.ran == 3
@@ -169,7 +169,7 @@
     records = entry.shared.services.pool(given.SERVICE).targets
     now_s = entry.shared.clock.monotonic_s()
     for _ in range(4):
-        records.find('t1').belief.answered(now_s)
-        records.find('t2').belief.failed(now_s, is_early=False)
+        records.find('t1').estimate.answered(now_s)
+        records.find('t2').estimate.failed(now_s, is_early=False)
     status, _, _ = await entry.ask('/once/7', 'POST')
     assert (status, deadly.ran, other.ran) == (200, 1, 1)
--- a/libraries/entry/tests/cover/test_entry_choice.py
+++ b/libraries/entry/tests/cover/test_entry_choice.py
@@ -33,14 +33,16 @@
             ],
         )
 
-    def wish(self, tried=(), since_s=None, is_last=False, patient_s=0.3):
+    def requirements(
+        self, tried=(), since_s=None, is_final_attempt=False, patient_s=0.3
+    ):
         now_s = self.clock.monotonic_s() if since_s is None else since_s
         return attempt_requirements.AttemptRequirements(
-            tried, 0, now_s, now_s + patient_s, is_last
+            tried, 0, now_s, now_s + patient_s, is_final_attempt
         )
 
     def take(self, **wished):
-        record = self.pool.try_acquire(self.wish(**wished))
+        record = self.pool.try_acquire(self.requirements(**wished))
         if record is None:
             return None
         self.pool.started(record)
@@ -51,7 +53,7 @@
 
     def good(self, *names):
         for name in names:
-            self.record(name).belief.answered(self.clock.monotonic_s())
+            self.record(name).estimate.answered(self.clock.monotonic_s())
 
 
 @pytest.fixture
@@ -74,14 +76,14 @@
 def test_a_sure_target_elsewhere_beats_a_failing_one_here(bench):
     bench.good('far')
     for name in ('t1', 't2', 't3'):
-        bench.record(name).belief.failed(bench.clock.monotonic_s())
+        bench.record(name).estimate.failed(bench.clock.monotonic_s())
     assert bench.take() == 'far'
 
 
 def test_a_failing_target_is_no_way_out_while_a_sure_one_is_busy(bench):
     bench.good('t1')
     for name in ('t2', 't3', 'far'):
-        bench.record(name).belief.failed(bench.clock.monotonic_s())
+        bench.record(name).estimate.failed(bench.clock.monotonic_s())
     assert [bench.take() for _ in range(3)] == ['t1', 't1', 't1']
     assert bench.take() is None
 
@@ -89,7 +91,7 @@
 def test_after_a_wait_a_doubtful_target_is_taken(bench):
     bench.good('t1')
     for name in ('t2', 't3', 'far'):
-        bench.record(name).belief.failed(bench.clock.monotonic_s())
+        bench.record(name).estimate.failed(bench.clock.monotonic_s())
     since_s = bench.clock.monotonic_s()
     for _ in range(3):
         bench.take()
@@ -145,25 +147,25 @@
 
 def test_while_requests_fail_no_sound_target_is_left_idle(bench):
     """Seen: four of six sound targets idle while a fifth of requests failed."""
-    bench.pool.usual_s = 0.1
+    bench.pool.typical_latency_s = 0.1
     taken = set()
     for _ in range(20):
         bench.clock.advance(0.1)
         stress(bench)
-        record = bench.pool.try_acquire(bench.wish())
+        record = bench.pool.try_acquire(bench.requirements())
         bench.pool.finished(record, bench.pool.started(record))
         taken.add(record.listed.target_id)
     assert taken >= {'t1', 't2', 't3'}
 
 
 def test_while_requests_fail_a_failing_target_stays_idle(bench):
-    bench.pool.usual_s = 0.1
+    bench.pool.typical_latency_s = 0.1
     taken = set()
     for _ in range(20):
         bench.clock.advance(0.1)
         stress(bench)
         bench.pool.failed(bench.record('t3'), 0)
-        record = bench.pool.try_acquire(bench.wish())
+        record = bench.pool.try_acquire(bench.requirements())
         bench.pool.finished(record, bench.pool.started(record))
         taken.add(record.listed.target_id)
     assert 't3' not in taken
@@ -174,7 +176,7 @@
     used = []
     for _ in range(seconds * 10):
         bench.clock.advance(0.1)
-        record = bench.pool.try_acquire(bench.wish(**wished))
+        record = bench.pool.try_acquire(bench.requirements(**wished))
         bench.pool.finished(record, bench.pool.started(record))
         bench.pool.answered(record, 0.1)
         now_s = bench.clock.monotonic_s()
@@ -192,15 +194,15 @@
 
 def test_while_all_goes_well_requests_that_run_once_stay_together(bench):
     """All but the one that each idle target gets in its time."""
-    names = [name for _, name in served(bench, 20, is_last=True)]
+    names = [name for _, name in served(bench, 20, is_final_attempt=True)]
     most = max(names.count(name) for name in ('t1', 't2', 't3'))
     assert most >= 0.75 * len(names)
 
 
-@pytest.mark.parametrize('is_last', [True, False])
-def test_no_target_of_the_zone_is_idle_for_two_seconds(bench, is_last):
+@pytest.mark.parametrize('is_final_attempt', [True, False])
+def test_no_target_of_the_zone_is_idle_for_two_seconds(bench, is_final_attempt):
     """Failures may come all at once, when it is too late to spread."""
-    used = served(bench, 20, is_last=is_last)
+    used = served(bench, 20, is_final_attempt=is_final_attempt)
     for name in ('t1', 't2', 't3'):
         assert longest_idle_s(used, name) < 2.0
     assert 'far' not in {name for _, name in used}
@@ -210,19 +212,21 @@
     for _ in range(30):
         bench.clock.advance(0.1)
         bench.good('t2', 't3')
-        record = bench.pool.try_acquire(bench.wish(is_last=True))
+        record = bench.pool.try_acquire(
+            bench.requirements(is_final_attempt=True)
+        )
         bench.pool.finished(record, bench.pool.started(record))
         bench.good(record.listed.target_id)
-    assert bench.record('t2').seen_used_s() == bench.clock.monotonic_s()
+    assert bench.record('t2').last_known_use_s() == bench.clock.monotonic_s()
 
 
 def test_a_doubted_target_is_tried_by_what_may_be_repeated(bench):
     """The sooner it is known to be sound again, the more slots there are."""
     bench.good('t1', 't2')
-    bench.record('t3').belief.failed(bench.clock.monotonic_s())
+    bench.record('t3').estimate.failed(bench.clock.monotonic_s())
     bench.clock.advance(1.1)
     bench.good('t1', 't2')
-    assert bench.take(is_last=True) in {'t1', 't2'}
+    assert bench.take(is_final_attempt=True) in {'t1', 't2'}
     assert bench.take() == 't3'
     assert bench.take() in {'t1', 't2'}
 
@@ -235,7 +239,7 @@
 
 def test_an_attempt_long_overdue_speaks_against_its_target(bench):
     bench.good('t1', 't2')
-    bench.pool.usual_s = 0.2
+    bench.pool.typical_latency_s = 0.2
     first = bench.take()
     bench.clock.advance(1.5)
     bench.good('t1', 't2')
@@ -245,16 +249,16 @@
 def test_daemons_that_share_a_zone_keep_apart(bench):
     """Among equals each prefers its own."""
     first = [bench.record(name) for name in ('t1', 't2', 't3')]
-    for record, distance in zip(first, (0.9, 0.1, 0.5), strict=True):
-        record.distance = distance
+    for record, preference_offset in zip(first, (0.9, 0.1, 0.5), strict=True):
+        record.preference_offset = preference_offset
     bench.good('t1', 't2', 't3')
     bench.pool.shares_zone = True
     assert bench.take() == 't2'
 
 
 def test_a_daemon_that_shares_its_zone_still_avoids_failing_targets(bench):
-    bench.record('t1').distance = 0.0
-    bench.record('t2').distance = 1.0
+    bench.record('t1').preference_offset = 0.0
+    bench.record('t2').preference_offset = 1.0
     bench.good('t2')
     bench.pool.shares_zone = True
     bench.pool.failed(bench.record('t1'), 0)
@@ -264,9 +268,12 @@
 def test_a_target_out_of_reach_is_avoided_and_not_blamed(bench):
     bench.good('t1', 'far')
     record = bench.record('t1')
-    believed = record.belief.failing(bench.clock.monotonic_s())
-    record.not_reached(bench.clock.monotonic_s())
-    assert record.belief.failing(bench.clock.monotonic_s()) == believed
+    believed = record.estimate.failing_probability(bench.clock.monotonic_s())
+    record.mark_unreachable(bench.clock.monotonic_s())
+    assert (
+        record.estimate.failing_probability(bench.clock.monotonic_s())
+        == believed
+    )
     assert bench.take() == 'far'
 
 
@@ -275,28 +282,30 @@
     pauses_s = []
     for _ in range(4):
         now_s = bench.clock.monotonic_s()
-        record.not_reached(now_s)
+        record.mark_unreachable(now_s)
         pauses_s.append(record.avoided_until_s - now_s)
     assert pauses_s == [1.0, 2.0, 4.0, 4.0]
-    record.reached()
+    record.mark_reachable()
     bench.good('t1')
     assert bench.take() == 't1'
 
 
 async def test_a_wait_ends_when_a_slot_comes_free(bench):
     for name in ('t2', 't3', 'far'):
-        bench.pool.targets.drop(ids.TargetId(name))
+        bench.pool.targets.remove(ids.TargetId(name))
     bench.good('t1')
     record = bench.record('t1')
     bench.clock.advance(1.0)
     numbers = []
     for _ in range(3):
-        bench.pool.try_acquire(bench.wish())
+        bench.pool.try_acquire(bench.requirements())
         numbers.append(bench.pool.started(record))
     work = admission.QueuedRequest(
-        1, bench.clock.monotonic_s() + 5.0, takes_any=True
+        1, bench.clock.monotonic_s() + 5.0, accepts_any_target=True
+    )
+    waiting = asyncio.create_task(
+        bench.pool.acquire(work, bench.requirements())
     )
-    waiting = asyncio.create_task(bench.pool.acquire(work, bench.wish()))
     await asyncio.sleep(0)
     assert not waiting.done()
     bench.pool.finished(record, numbers[0])
@@ -307,7 +316,7 @@
     bench.pool.set_targets([])
     work = admission.QueuedRequest(1, bench.clock.monotonic_s() + 5.0)
     with pytest.raises(refusals.NoTargetError) as caught:
-        await bench.pool.acquire(work, bench.wish())
+        await bench.pool.acquire(work, bench.requirements())
     assert caught.value.retry_after_s > 0
 
 
--- a/libraries/entry/tests/cover/test_entry_confirmation_model.py
+++ b/libraries/entry/tests/cover/test_entry_confirmation_model.py
@@ -56,10 +56,10 @@
     def take(self, version, confirmed_s):
         """Take in a version that was the newest at a moment."""
         if version > self.version and self.mutation is Mutation.ANY_VERSION:
-            self.held.note(confirmed_s)
+            self.held.confirm(confirmed_s)
             return
         self.version = max(self.version, version)
-        self.held.note(confirmed_s)
+        self.held.confirm(confirmed_s)
 
 
 class World:
--- a/libraries/entry/tests/cover/test_entry_customers.py
+++ b/libraries/entry/tests/cover/test_entry_customers.py
@@ -27,7 +27,7 @@
 def customer(name, *keys, **limits):
     return model.Customer(
         ids.CustomerName(name),
-        tuple(credentials.digest_of(key) for key in keys),
+        tuple(credentials.key_digest(key) for key in keys),
         **limits,
     )
 
@@ -162,9 +162,9 @@
     read = []
     forwarded = known.shared.services.pool(given.SERVICE).acquire
 
-    async def acquire(work, wish):
+    async def acquire(work, requirements):
         read.append(work.priority)
-        return await forwarded(work, wish)
+        return await forwarded(work, requirements)
 
     known.shared.services.pool(given.SERVICE).acquire = acquire
     await known.ask(**with_key())
@@ -174,13 +174,13 @@
 
 def test_two_customers_with_one_key_are_found():
     with pytest.raises(customers.SharedKeyError, match='library and other'):
-        customers.require_distinct(
+        customers.require_distinct_keys(
             (customer('library', KEY, OTHER), customer('other', OTHER)),
         )
 
 
 def test_a_customer_may_name_its_own_key_twice():
-    customers.require_distinct((customer('library', KEY, KEY),))
+    customers.require_distinct_keys((customer('library', KEY, KEY),))
 
 
 class TestConfirmation:
@@ -198,7 +198,7 @@
         clock, held = self.made()
         asked_s = held.now_s()
         clock.advance(3.0)
-        held.note(asked_s)
+        held.confirm(asked_s)
         assert held.is_valid()
         clock.advance(1.9)
         assert held.is_valid()
@@ -207,15 +207,15 @@
 
     def test_time_in_suspension_counts(self):
         clock, held = self.made()
-        held.note(held.now_s())
+        held.confirm(held.now_s())
         clock.suspend(5.1)
         assert not held.is_valid()
 
     def test_an_older_answer_that_comes_later_takes_nothing_back(self):
         clock, held = self.made()
         clock.advance(2.0)
-        held.note(held.now_s())
-        held.note(held.now_s() - 1.5)
+        held.confirm(held.now_s())
+        held.confirm(held.now_s() - 1.5)
         clock.advance(4.9)
         assert held.is_valid()
 
@@ -227,10 +227,10 @@
         _, held = self.made()
         waiting = asyncio.create_task(held.wait(given.PATIENCE_S))
         await asyncio.sleep(0)
-        assert held.waited_s() is not None
-        held.note(held.now_s())
+        assert held.longest_wait_s() is not None
+        held.confirm(held.now_s())
         assert await waiting
-        assert held.waited_s() is None
+        assert held.longest_wait_s() is None
 
     async def test_a_wait_ends_by_itself(self):
         _, held = self.made()
@@ -246,7 +246,7 @@
         held.on_wait = lambda: asked.append(True)
         assert not await held.wait(0.01)
         assert asked
-        held.note(held.now_s())
+        held.confirm(held.now_s())
         assert await held.wait(given.PATIENCE_S)
 
 
@@ -257,7 +257,7 @@
     assert (status, known.ran) == (503, 0)
     assert 'Retry-After' in headers
     assert (await known.ask('/open/1'))[0] == 200
-    held.confirmation.note(held.confirmation.now_s())
+    held.confirmation.confirm(held.confirmation.now_s())
     assert (await known.ask(**with_key()))[0] == 200
 
 
@@ -305,7 +305,7 @@
     pool = known.shared.services.pool(given.SERVICE)
     for _ in range(7):
         assert (await known.ask(**with_key()))[0] == 200
-    assert not pool._overlooked.recent.are_many()
+    assert not pool._overlooked.recent.exceed_limit()
     for _ in range(2):
         assert (await known.ask(**with_key()))[0] == 429
-    assert pool._overlooked.recent.are_many()
+    assert pool._overlooked.recent.exceed_limit()
--- a/libraries/entry/tests/cover/test_entry_hanging.py
+++ b/libraries/entry/tests/cover/test_entry_hanging.py
@@ -13,12 +13,14 @@
 def failing(entry, name):
     pool = entry.shared.services.pool(given.SERVICE)
     record = pool.targets.find(name)
-    return record.belief.failing(entry.shared.clock.monotonic_s())
+    return record.estimate.failing_probability(entry.shared.clock.monotonic_s())
 
 
-def know_usual(entry, usual_s):
-    """Let the service have answered in ``usual_s`` for a while."""
-    entry.shared.services.pool(given.SERVICE).usual_s = usual_s
+def know_usual(entry, typical_latency_s):
+    """Let the service have answered in ``typical_latency_s`` for a while."""
+    entry.shared.services.pool(
+        given.SERVICE
+    ).typical_latency_s = typical_latency_s
 
 
 async def ask_with_one_that_hangs(entry):
@@ -26,7 +28,7 @@
     sound = given.RawTarget('t2')
     await entry.use(hanging, sound)
     pool = entry.shared.services.pool(given.SERVICE)
-    pool.targets.find('t1').belief.answered(entry.shared.clock.monotonic_s())
+    pool.targets.find('t1').estimate.answered(entry.shared.clock.monotonic_s())
     know_usual(entry, 0.05)
     return await entry.ask()
 
--- a/libraries/entry/tests/cover/test_entry_idle_targets.py
+++ b/libraries/entry/tests/cover/test_entry_idle_targets.py
@@ -80,7 +80,7 @@
             self._end(*heapq.heappop(self.ends))
         record = self.pool.try_acquire(
             attempt_requirements.AttemptRequirements(
-                (), 0, now_s, now_s + 0.3, is_last=True
+                (), 0, now_s, now_s + 0.3, is_final_attempt=True
             ),
         )
         self.asked += 1
@@ -153,7 +153,7 @@
         20.0,
         failure_estimate.EstimateOptions(),
     )
-    pool.usual_s = WORK_S
+    pool.typical_latency_s = WORK_S
     pool.targets.set([given.listed(name) for name in names])
     return pool
 
@@ -161,10 +161,10 @@
 def take_last(pool, clock):
     """Return who gets a request whose failure would be final."""
     now_s = clock.monotonic_s()
-    wish = attempt_requirements.AttemptRequirements(
-        (), 0, now_s, now_s + 0.3, is_last=True
+    requirements = attempt_requirements.AttemptRequirements(
+        (), 0, now_s, now_s + 0.3, is_final_attempt=True
     )
-    record = pool.try_acquire(wish)
+    record = pool.try_acquire(requirements)
     pool.finished(record, pool.started(record))
     return record
 
@@ -185,7 +185,7 @@
         clock = clocks.ManualClock(100.0)
         pool = pool_of(clock, *(f't{number}' for number in range(1, 11)))
         for record in pool.targets.records():
-            record.belief.answered(clock.monotonic_s() + 1.8)
+            record.estimate.answered(clock.monotonic_s() + 1.8)
         busy(pool, clock, refused)
         assert take_last(pool, clock).listed.target_id == expected
 
@@ -196,7 +196,7 @@
         status, _, _ = await entry.ask(f'/once/{number}')
         assert status == 503
     pool = entry.shared.services.pool(given.SERVICE)
-    assert pool._overlooked.recent.are_many()
+    assert pool._overlooked.recent.exceed_limit()
 
 
 def test_the_installation_s_share_reaches_each_service():
@@ -217,7 +217,7 @@
     clock = clocks.ManualClock(100.0)
     pool = pool_of(clock, 't1', 't2')
     busy(pool, clock, 5)
-    pool.targets.find('t2').not_reached(clock.monotonic_s())
+    pool.targets.find('t2').mark_unreachable(clock.monotonic_s())
     assert take_last(pool, clock).listed.target_id == 't1'
     clock.advance(1.1)
     pool.answered(pool.targets.find('t1'), WORK_S)
@@ -230,15 +230,15 @@
     pool = pool_of(clock, *(f't{number}' for number in range(10)))
     now_s = clock.monotonic_s() + 3.0
     for record in pool.targets.records():
-        record.belief.answered(now_s - 2)
-    pool.targets.find('t0').belief.take(0.9, now_s - 2)
-    situation = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
+        record.estimate.answered(now_s - 2)
+    pool.targets.find('t0').estimate.adopt(0.9, now_s - 2)
+    context = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
     for out_of_reach, is_spared in ((0, True), (4, True), (6, False)):
         for number in range(out_of_reach):
-            pool.targets.find(f't{number + 1}').not_reached(now_s)
+            pool.targets.find(f't{number + 1}').mark_unreachable(now_s)
         bound = idle_threshold.IdleThreshold(LEAST_USED)
-        chance = bound.chance(pool.targets.records(), situation)
-        doubted = pool.targets.find('t0').failure_chance(now_s, WORK_S)
+        chance = bound.chance(pool.targets.records(), context)
+        doubted = pool.targets.find('t0').failure_probability(now_s, WORK_S)
         assert (doubted >= chance) == is_spared
 
 
@@ -254,7 +254,7 @@
         record = take_last(pool, clock)
         assert record.listed.target_id == 't2'
         pool.failed(record, 0)
-    assert not pool._overlooked.recent.are_many()
+    assert not pool._overlooked.recent.exceed_limit()
 
 
 def test_as_many_may_be_idle_as_the_installation_allows():
@@ -263,20 +263,22 @@
     for least_used_share, idle in ((0.7, 2), (0.5, 4), (0.95, 0)):
         pool = pool_of(clock, *names)
         for name in names[:5]:
-            pool.targets.find(name).belief.failed(clock.monotonic_s())
+            pool.targets.find(name).estimate.failed(clock.monotonic_s())
         now_s = clock.monotonic_s() + 3.0
-        situation = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
+        context = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
         bound = idle_threshold.IdleThreshold(least_used_share)
         for place, name in enumerate(names):
             # Told apart by when they failed.
             if place < 5:
-                pool.targets.find(name).belief.take(0.9 - place / 10, now_s - 2)
+                pool.targets.find(name).estimate.adopt(
+                    0.9 - place / 10, now_s - 2
+                )
             else:
-                pool.targets.find(name).belief.answered(now_s)
-        chance = bound.chance(pool.targets.records(), situation)
+                pool.targets.find(name).estimate.answered(now_s)
+        chance = bound.chance(pool.targets.records(), context)
         left_out = [
             record
             for record in pool.targets.records()
-            if record.failure_chance(now_s, WORK_S) >= chance
+            if record.failure_probability(now_s, WORK_S) >= chance
         ]
         assert len(left_out) == idle
--- a/libraries/entry/tests/cover/test_entry_incarnations.py
+++ b/libraries/entry/tests/cover/test_entry_incarnations.py
@@ -41,15 +41,17 @@
     held.offer_targets(model.TargetList(1, (start('i-1', 10),)))
     pool = held.pool(given.SERVICE)
     before = pool.targets.find(ids.TargetId('i-1@10'))
-    before.belief.failed(100.0)
-    before.heard_load(3, 5, 100.0)
+    before.estimate.failed(100.0)
+    before.record_load(3, 5, 100.0)
     before.full_until_s = 200.0
     held.offer_targets(model.TargetList(2, (start('i-1', 20),)))
     after = pool.targets.find(ids.TargetId('i-1@20'))
     assert in_use(held) == {'i-1@20'}
-    assert after.has_room(100.0)
-    assert after.belief.failing(100.0) < before.belief.failing(100.0)
-    assert after.listed.own_name == 'i-1'
+    assert after.has_free_slot(100.0)
+    assert after.estimate.failing_probability(
+        100.0
+    ) < before.estimate.failing_probability(100.0)
+    assert after.listed.stable_name == 'i-1'
 
 
 def test_a_late_entry_of_the_start_before_brings_nothing_back():
@@ -85,8 +87,8 @@
     for revision, listed in enumerate(lists):
         held.offer_targets(model.TargetList(revision, tuple(listed)))
         for one in listed:
-            known_ms = newest_ms.get(one.own_name, 0)
-            newest_ms[one.own_name] = max(known_ms, one.born_ms)
+            known_ms = newest_ms.get(one.stable_name, 0)
+            newest_ms[one.stable_name] = max(known_ms, one.born_ms)
         for target_id in in_use(held):
             name, _, born_ms = target_id.partition('@')
             assert int(born_ms) == newest_ms[name]
--- a/libraries/entry/tests/cover/test_entry_large_answers.py
+++ b/libraries/entry/tests/cover/test_entry_large_answers.py
@@ -185,7 +185,7 @@
     good = given.RawTarget('good')
     await entry.use(bad, good)
     pool = entry.shared.services.pool(given.SERVICE)
-    pool.targets.find('good').belief.failed(
+    pool.targets.find('good').estimate.failed(
         entry.shared.clock.monotonic_s(),
         is_early=False,
     )
@@ -196,10 +196,10 @@
 async def test_answers_held_whole_are_counted_until_they_are_gone(entry):
     target = LargeTarget(body=SMALL)
     await entry.use(target)
-    held = entry.shared.held_bytes
+    held = entry.shared.buffer_budget
     status, _, body = await entry.ask()
     assert (status, body) == (200, SMALL)
-    await given.until(lambda: gc.collect() >= 0 and not held.held_bytes)
+    await given.until(lambda: gc.collect() >= 0 and not held.buffered_bytes)
 
 
 async def test_many_slow_callers_leave_memory_bounded(entry):
@@ -213,11 +213,11 @@
         slots=200,
     )
     opened = [await open_to(entry) for _ in range(200)]
-    held = entry.shared.held_bytes.held_bytes
+    held = entry.shared.buffer_budget.buffered_bytes
     # What a caller has not read yet counts, until it has.
-    assert held > buffer_budget.DEFAULT_BYTES / 4
-    least = 200 * (buffer_budget.LEAST_WHOLE_BYTES + 2**16)
-    assert held < buffer_budget.DEFAULT_BYTES + least
+    assert held > buffer_budget.DEFAULT_BUDGET_BYTES / 4
+    least = 200 * (buffer_budget.MIN_BUFFERED_ANSWER_BYTES + 2**16)
+    assert held < buffer_budget.DEFAULT_BUDGET_BYTES + least
     for _, writer, _ in opened:
         writer.transport.abort()
     await given.until(lambda: not in_flight(entry))
@@ -229,20 +229,20 @@
 
 def test_the_more_is_held_the_less_is_held_whole():
     held = buffer_budget.BufferBudget(4_000_000)
-    bounds = [held.bound()]
+    bounds = [held.answer_limit_bytes()]
     holders = [Holder() for _ in range(20)]
     for holder in holders:
-        held.hold(holder, bounds[-1])
-        bounds.append(held.bound())
+        held.charge(holder, bounds[-1])
+        bounds.append(held.answer_limit_bytes())
     assert bounds == sorted(bounds, reverse=True)
     assert bounds[0] == 500_000
-    assert bounds[-1] == buffer_budget.LEAST_WHOLE_BYTES
+    assert bounds[-1] == buffer_budget.MIN_BUFFERED_ANSWER_BYTES
     del holder
     holders.clear()
     gc.collect()
-    assert held.bound() == bounds[0]
+    assert held.answer_limit_bytes() == bounds[0]
 
 
 def test_no_answer_is_held_whole_beyond_its_own_bound():
     held = buffer_budget.BufferBudget(10**12)
-    assert held.bound() == buffer_budget.MOST_WHOLE_BYTES
+    assert held.answer_limit_bytes() == buffer_budget.MAX_BUFFERED_ANSWER_BYTES
--- a/libraries/entry/tests/cover/test_entry_leaving.py
+++ b/libraries/entry/tests/cover/test_entry_leaving.py
@@ -20,7 +20,7 @@
     leaving, other = given.RawTarget('t1'), given.RawTarget('t2')
     await entry.use(leaving, other)
     record = entry.shared.services.pool(given.SERVICE).targets.find('t2')
-    record.belief.failed(entry.shared.clock.monotonic_s(), is_early=False)
+    record.estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
     return leaving, other
 
 
@@ -55,7 +55,7 @@
     leaving, other = await prefer_first(entry)
     pool = entry.shared.services.pool(given.SERVICE)
     record = pool.targets.find(leaving.name)
-    believed_s = record.belief.updated_s
+    believed_s = record.estimate.updated_s
     while pool.retry_budget.try_spend():
         """Leave nothing: to go past a target that left costs nothing."""
     draining = given.listed(
@@ -67,4 +67,4 @@
     status, _, _ = await entry.ask(ONCE)
     assert (status, leaving.seen, other.ran) == (200, [], 1)
     # Nor does it say anything of the target.
-    assert record.belief.updated_s == believed_s
+    assert record.estimate.updated_s == believed_s
--- a/libraries/entry/tests/cover/test_entry_lines.py
+++ b/libraries/entry/tests/cover/test_entry_lines.py
@@ -80,9 +80,9 @@
     pool = entry.shared.services.pool(given.SERVICE)
     now_s = entry.shared.clock.monotonic_s()
     for record in pool.targets.records():
-        record.belief.answered(now_s)
+        record.estimate.answered(now_s)
     idle = pool.targets.find('t2')
-    idle.belief.take(0.2, now_s - 5.0)
+    idle.estimate.adopt(0.2, now_s - 5.0)
     await entry.ask()
     choice = lines.of('request-sent')[0]['choice']
     assert (choice['target'], choice['reason']) == ('t2', 'turn')
@@ -93,7 +93,7 @@
     entry.shared.services.set_retry_burst(0)
     await entry.ask()
     held = entry.shared.services
-    text = await entry.shared.measures.text(request_metrics.of_services(held))
+    text = await entry.shared.metrics.text(request_metrics.service_gauges(held))
     assert 'attempts_begun_total{reason="first",service="books"} 1' in text
     assert 'repeats_denied 1' in text
     assert 'repeats_granted 0' in text
@@ -132,7 +132,7 @@
     await entry.use(given.RawTarget('t1', ['ok', 'fail', 'ok']))
     await entry.ask('/once/1', 'POST')
     await entry.ask('/once/1', 'POST')
-    text = await entry.shared.measures.text(())
+    text = await entry.shared.metrics.text(())
     for outcome in ('answered', 'target_failed'):
         counted = f'{{outcome="{outcome}",service="books"}} 1'
         assert f'sardinepier_requests_total{counted}' in text
@@ -148,11 +148,11 @@
     end = decision_log.End(events.Outcome.REFUSED, 503, 'NoTargetError', 'none')
     allowed = [told._sent.allows() for _ in range(121)]
     assert not allowed[-1]
-    told.ended('id-2', None, end)
+    told.log_ended('id-2', None, end)
     assert lines.of('request-ended')[0]['request_id'] == 'id-2'
-    told.tell_dropped()
+    told.log_dropped()
     assert lines.of('lines-dropped') == [{'sent': 1, 'failed': 0}]
-    told.tell_dropped()
+    told.log_dropped()
     assert len(lines.of('lines-dropped')) == 1
 
 
--- a/libraries/entry/tests/cover/test_entry_routes.py
+++ b/libraries/entry/tests/cover/test_entry_routes.py
@@ -60,7 +60,7 @@
         for place, weight in enumerate(weights)
     )
     rotation = route_table.SplitRotation(shares, random.Random(seed))
-    taken = collections.Counter(rotation.take() for _ in range(count))
+    taken = collections.Counter(rotation.next_service() for _ in range(count))
     for share in shares:
         expected = count * share.weight / sum(weights)
         # The random start moves each by less than one more.
--- a/libraries/entry/tests/cover/test_entry_statements.py
+++ b/libraries/entry/tests/cover/test_entry_statements.py
@@ -56,7 +56,7 @@
     for _ in range(12):
         assert (await entry.ask(ONCE))[0] == 200
     record = record_of(entry, 't1')
-    assert record.stated.newest == statements.SILENT
+    assert record.statements.newest == statements.SILENT
 
 
 BAD = (
@@ -95,7 +95,7 @@
     stated = target_statements.TargetStatements()
     stated.part = part
     told = statements.Statement(limit_per_s=limit_per_s)
-    stated.hear(told, clock.monotonic_s())
+    stated.apply(told, clock.monotonic_s())
     whole = limit_per_s * part * 60
     assert 0.9 * whole - 1 <= sent(stated, clock, 60) <= whole + 1
 
@@ -103,7 +103,7 @@
 def test_a_pause_is_made_up_for_by_one_request_at_most():
     clock = clocks.ManualClock(100.0)
     stated = target_statements.TargetStatements()
-    stated.hear(statements.Statement(limit_per_s=1.0), clock.monotonic_s())
+    stated.apply(statements.Statement(limit_per_s=1.0), clock.monotonic_s())
     clock.advance(20)
     assert sent(stated, clock, 0.5) == 2
 
@@ -111,17 +111,17 @@
 def test_a_request_that_was_not_sent_is_given_back():
     clock = clocks.ManualClock(100.0)
     stated = target_statements.TargetStatements()
-    stated.hear(statements.Statement(limit_per_s=1.0), clock.monotonic_s())
+    stated.apply(statements.Statement(limit_per_s=1.0), clock.monotonic_s())
     clock.advance(1)
     stated.take(clock.monotonic_s())
-    stated.give_back()
+    stated.refund()
     assert stated.opens_at_s(clock.monotonic_s()) <= clock.monotonic_s()
 
 
 def test_what_was_told_earlier_changes_nothing():
     stated = target_statements.TargetStatements()
-    assert stated.hear(statements.Statement(limit_per_s=1.0), 100.0)
-    assert not stated.hear(statements.SILENT, 99.0)
+    assert stated.apply(statements.Statement(limit_per_s=1.0), 100.0)
+    assert not stated.apply(statements.SILENT, 99.0)
     assert stated.newest.limit_per_s == 1.0
 
 
@@ -152,7 +152,7 @@
     leaving = given.RawTarget('t1', [answer])
     other = given.RawTarget('t2')
     await entry.use(leaving, other)
-    record_of(entry, 't2').belief.failed(
+    record_of(entry, 't2').estimate.failed(
         entry.shared.clock.monotonic_s(),
         is_early=False,
     )
@@ -252,7 +252,7 @@
     assert len(tired.seen) == 1
     await asyncio.sleep(0.2)
     other.server.close()
-    record_of(entry, 't2').not_reached(entry.shared.clock.monotonic_s())
+    record_of(entry, 't2').mark_unreachable(entry.shared.clock.monotonic_s())
     assert (await entry.ask(ONCE))[0] == 200
     assert len(tired.seen) == 2
 
@@ -283,9 +283,9 @@
     pool = entry.shared.services.pool(given.SERVICE)
     record = record_of(entry, 't1')
     now_s = entry.shared.clock.monotonic_s()
-    pool.targets.hear(
+    pool.targets.apply_statement(
         record,
-        statements.Statement(rests_until_s=now_s + 9),
+        statements.Statement(backoff_until_s=now_s + 9),
         now_s,
         target_record.ObservationSource.OWN,
     )
@@ -315,7 +315,7 @@
     await entry.use(bad, given.RawTarget('t2'), given.RawTarget('t3'))
     for _ in range(10):
         assert (await entry.ask(ONCE))[0] == 200
-    assert record_of(entry, 't1').stated.rests_until_s == 0
+    assert record_of(entry, 't1').statements.backoff_until_s == 0
 
 
 async def test_a_target_gets_one_request_after_its_rest(entry):
@@ -338,7 +338,7 @@
         await entry.ask(ONCE)
     figures = {
         one.name: one.value
-        for one in request_metrics.of_services(entry.shared.services)
+        for one in request_metrics.service_gauges(entry.shared.services)
     }
     assert (figures['targets'], figures['targets_closed']) == (2, 1)
 
@@ -352,9 +352,9 @@
 
 def test_what_a_limit_and_a_rest_leave_open_together():
     limited = target_statements.TargetStatements()
-    limited.hear(statements.Statement(limit_per_s=2.0), 100.0)
+    limited.apply(statements.Statement(limit_per_s=2.0), 100.0)
     resting_one = target_statements.TargetStatements()
-    resting_one.hear(statements.Statement(rests_until_s=103.0), 100.0)
-    opening = target_statements.opening((limited, resting_one), 100.0)
-    waits_s = [opening.wait_behind_s(ahead) for ahead in (0, 1, 4, 5, 50)]
+    resting_one.apply(statements.Statement(backoff_until_s=103.0), 100.0)
+    forecast = target_statements.forecast((limited, resting_one), 100.0)
+    waits_s = [forecast.min_wait_s(ahead) for ahead in (0, 1, 4, 5, 50)]
     assert waits_s == [0.5, 1.0, 2.5, 3.0, 3.0]
--- a/libraries/entry/tests/cover/test_entry_targets.py
+++ b/libraries/entry/tests/cover/test_entry_targets.py
@@ -53,7 +53,7 @@
     # The one that has a good answer behind it would be preferred.
     entry.shared.services.pool(given.SERVICE).targets.find(
         'good',
-    ).belief.failed(entry.shared.clock.monotonic_s(), is_early=False)
+    ).estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
     got, headers, body = await entry.ask(path, 'POST', b'payload')
     assert (got, entry.ran) == (status, ran)
     if got == 200:
@@ -166,7 +166,7 @@
     """The way from here may be lost, while others have it."""
     await entry.use(given.RawTarget('t1'))
     record = entry.shared.services.pool(given.SERVICE).targets.find('t1')
-    before = record.belief.updated_s
+    before = record.estimate.updated_s
 
     async def silent(*passed, **named):
         raise errors.ConnectTimeoutError('nobody says anything', 'wait', 0.2)
@@ -176,13 +176,13 @@
         status, _, _ = await entry.ask()
     assert status == 503
     assert record.failed_connects == 1
-    assert record.belief.updated_s == before
+    assert record.estimate.updated_s == before
 
 
 async def test_a_target_that_was_heard_is_within_reach(entry):
     await entry.use(given.RawTarget('t1'))
     record = entry.shared.services.pool(given.SERVICE).targets.find('t1')
-    record.not_reached(entry.shared.clock.monotonic_s())
+    record.mark_unreachable(entry.shared.clock.monotonic_s())
     status, _, _ = await entry.ask()
     assert status == 200
     assert record.failed_connects == 0
--- a/libraries/entry/tests/cover/test_entry_zone_affinity.py
+++ b/libraries/entry/tests/cover/test_entry_zone_affinity.py
@@ -85,10 +85,10 @@
     def _send(self, zone, since_s):
         now_s = self.clock.monotonic_s()
         pool = self.pools[zone]
-        wish = attempt_requirements.AttemptRequirements(
-            (), 0, since_s, since_s + PATIENCE_S, is_last=True
+        requirements = attempt_requirements.AttemptRequirements(
+            (), 0, since_s, since_s + PATIENCE_S, is_final_attempt=True
         )
-        record = pool.try_acquire(wish)
+        record = pool.try_acquire(requirements)
         if record is None:
             return False
         name = record.listed.target_id
@@ -115,11 +115,13 @@
         """Let each zone know what the others saw last."""
         for name in self.working:
             records = [pool.targets.find(name) for pool in self.pools.values()]
-            newest = max(records, key=lambda one: one.belief.updated_s)
-            seen_s = newest.belief.updated_s
+            newest = max(records, key=lambda one: one.estimate.updated_s)
+            seen_s = newest.estimate.updated_s
             for record in records:
                 if record is not newest:
-                    record.belief.take(newest.belief.failing(seen_s), seen_s)
+                    record.estimate.adopt(
+                        newest.estimate.failing_probability(seen_s), seen_s
+                    )
 
 
 @pytest.fixture(scope='module', params=[1, 2, 3])
--- a/libraries/gateway/src/sardinepier/gateway/active_requests.py
+++ b/libraries/gateway/src/sardinepier/gateway/active_requests.py
@@ -8,29 +8,29 @@
 class ActiveRequests:
     """Counts work in hand, and all that was begun.
 
-    ``passed_bytes`` are those of requests and answers, each counted once by
+    ``forwarded_bytes`` are those of requests and answers, each counted once by
     whoever passes them on.
 
     Used as a context manager around each piece. For example::
 
-        with in_hand:
+        with active_requests:
             await answer(request)
-        await in_hand.idle()
+        await active_requests.idle()
     """
 
     def __init__(self) -> None:
         """Start with nothing in hand."""
-        self.in_hand = 0
-        self.begun = 0
-        self.passed_bytes = 0
+        self.in_flight = 0
+        self.requests_started = 0
+        self.forwarded_bytes = 0
         self.is_draining = False
         self._idle = asyncio.Event()
         self._idle.set()
 
     def __enter__(self) -> Self:
         """Count one more."""
-        self.in_hand += 1
-        self.begun += 1
+        self.in_flight += 1
+        self.requests_started += 1
         self._idle.clear()
         return self
 
@@ -41,8 +41,8 @@
         trace: types.TracebackType | None,
     ) -> None:
         """Count one less."""
-        self.in_hand -= 1
-        if not self.in_hand:
+        self.in_flight -= 1
+        if not self.in_flight:
             self._idle.set()
 
     def begin_draining(self) -> None:
--- a/libraries/gateway/src/sardinepier/gateway/activity.py
+++ b/libraries/gateway/src/sardinepier/gateway/activity.py
@@ -35,7 +35,7 @@
         Raises ``OverloadedError`` when too much is in hand already.
         """
         wanted_bytes = self.body_bytes + size_bytes
-        if wanted_bytes > BODY_MEMORY_BYTES or self.in_hand > _MOST_IN_HAND:
+        if wanted_bytes > BODY_MEMORY_BYTES or self.in_flight > _MOST_IN_HAND:
             raise refusals.OverloadedError(
                 'This daemon has as many requests in hand as it can hold',
                 'Send the request again, best to another address',
--- a/libraries/gateway/src/sardinepier/gateway/exchange.py
+++ b/libraries/gateway/src/sardinepier/gateway/exchange.py
@@ -125,7 +125,7 @@
     def _hear(self, response: client_reqrep.ClientResponse) -> None:
         """Take in what the target says of itself, whatever it answered."""
         settings = self._item.snapshot.settings
-        self._item.runtime.stated.hear(
+        self._item.runtime.stated.apply(
             self._target_id,
             statements.read(
                 response.status,
@@ -147,7 +147,7 @@
         self._context.wake_guard.require()
         self._item.require_time(self._context.clock)
         self._require_staying()
-        self._context.quarantine.require_free(self._item.fingerprint)
+        self._context.quarantine.raise_if_quarantined(self._item.fingerprint)
         self._is_sent = True
 
     def _require_staying(self) -> None:
@@ -158,7 +158,7 @@
                 'Send the request to another one',
                 _RETRY_AFTER_S,
             )
-        if self._item.runtime.stated.is_resting(self._target_id):
+        if self._item.runtime.stated.is_backing_off(self._target_id):
             raise errors.TargetRestsError(
                 f'The target {self._target_id} asked for rest',
                 'Send the request to another one',
@@ -169,7 +169,7 @@
         runtime = self._item.runtime
         latency_ms = self._latency_ms()
         runtime.slots.answered(self._target_id)
-        runtime.queue.observe_service(latency_ms / _MS_PER_S)
+        runtime.queue.observe_service_time(latency_ms / _MS_PER_S)
         if status >= _FIRST_FAILURE_STATUS:
             self._context.quarantine.released(self._item.fingerprint)
             self._end(evidence.AttemptOutcome.FAILED, None)
@@ -210,7 +210,7 @@
             self._target_id,
             self._item.runtime.is_fine_otherwise(
                 self._target_id,
-                earlier_is_accounted_for=quarantine.accounts_for(
+                earlier_is_accounted_for=quarantine.has_suspect_request_on(
                     self._target_id,
                 ),
             ),
@@ -222,7 +222,7 @@
 
     def _tell_of_quarantine(self) -> None:
         item = self._item
-        for mark in self._context.quarantine.held():
+        for mark in self._context.quarantine.quarantined():
             if mark.fingerprint == item.fingerprint:
                 self._context.record_event(
                     target_events.FingerprintQuarantined(
--- a/libraries/gateway/src/sardinepier/gateway/forwarding.py
+++ b/libraries/gateway/src/sardinepier/gateway/forwarding.py
@@ -126,9 +126,13 @@
 
         Crashing a target twice takes it down twice and tells nothing new.
         """
-        lost_on = self._context.quarantine.lost_on(item.fingerprint)
-        if lost_on and self._has_target(item, history.tried | lost_on):
-            history.tried |= lost_on
+        crashed_targets = self._context.quarantine.crashed_targets(
+            item.fingerprint
+        )
+        if crashed_targets and self._has_target(
+            item, history.tried | crashed_targets
+        ):
+            history.tried |= crashed_targets
 
     async def _wait_for_slot(
         self,
@@ -139,7 +143,7 @@
             admission.QueuedRequest(
                 item.route.priority,
                 item.deadline_s,
-                takes_any=item.route.idempotent and not history.tried,
+                accepts_any_target=item.route.idempotent and not history.tried,
             ),
             lambda: self._reserve_or_give_up(item, history),
         )
--- a/libraries/gateway/src/sardinepier/gateway/keyed.py
+++ b/libraries/gateway/src/sardinepier/gateway/keyed.py
@@ -92,7 +92,9 @@
                 _settle(record, error)
                 raise
             except BaseException as error:
-                record.unknown(f'The daemon failed: {type(error).__name__}')
+                record.mark_unknown(
+                    f'The daemon failed: {type(error).__name__}'
+                )
                 raise
 
     async def _run_recorded(
@@ -157,7 +159,7 @@
     if problem_table.kind_of(error).outcome is _NOT_RUN:
         record.release_not_run()
     else:
-        record.unknown(error.what)
+        record.mark_unknown(error.what)
 
 
 def _kept(answer: target_answers.TargetAnswer) -> answers.RecordedAnswer:
--- a/libraries/gateway/src/sardinepier/gateway/server.py
+++ b/libraries/gateway/src/sardinepier/gateway/server.py
@@ -94,7 +94,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(until_s):
                 await self._context.activity.idle()
-        unfinished = self._context.activity.in_hand
+        unfinished = self._context.activity.in_flight
         self._connections.pre_shutdown()
         # Answers that are ready may still be on their way out.
         await self._connections.shutdown(max(1.0, until_s - loop.time()))
--- a/libraries/gateway/src/sardinepier/gateway/service_runtime.py
+++ b/libraries/gateway/src/sardinepier/gateway/service_runtime.py
@@ -213,7 +213,7 @@
             settings.queue_length,
             self._parts.random_source,
             self._give_back,
-            lambda: self.stated.opening(self.health.selectable()),
+            lambda: self.stated.forecast(self.health.selectable()),
         )
         self.retry_budget = budget.RetryBudget(
             clock,
@@ -234,7 +234,7 @@
     def _give_back(self, target_id: ids.TargetId) -> None:
         if target_id != NO_TARGET:
             self.slots.release(target_id)
-            self.stated.give_back(target_id)
+            self.stated.refund(target_id)
 
     def _configure_health(self) -> None:
         self._parts.configure_health(
--- a/libraries/gateway/src/sardinepier/gateway/stated_targets.py
+++ b/libraries/gateway/src/sardinepier/gateway/stated_targets.py
@@ -46,15 +46,17 @@
         for target_id in self._known:
             self._assign(target_id)
 
-    def hear(self, target_id: ids.TargetId, told: statements.Statement) -> None:
+    def apply(
+        self, target_id: ids.TargetId, statement: statements.Statement
+    ) -> None:
         """Take in what an answer of the target told."""
         known = self._known.get(target_id)
         if known is None:
-            if told == statements.SILENT:
+            if statement == statements.SILENT:
                 return
             known = target_statements.TargetStatements()
             self._known[target_id] = known
-        known.hear(told, self._clock.monotonic_s())
+        known.apply(statement, self._clock.monotonic_s())
         self._assign(target_id)
 
     def forget(self, gone: Collection[ids.TargetId]) -> None:
@@ -75,10 +77,10 @@
             if known.opens_at_s(now_s) > now_s
         }
 
-    def is_resting(self, target_id: ids.TargetId) -> bool:
+    def is_backing_off(self, target_id: ids.TargetId) -> bool:
         """Tell whether the target asked for rest until later than now."""
         known = self._known.get(target_id)
-        return bool(known and known.is_resting(self._clock.monotonic_s()))
+        return bool(known and known.is_backing_off(self._clock.monotonic_s()))
 
     def take(self, target_id: ids.TargetId) -> None:
         """Count a request that is about to be sent to the target."""
@@ -86,11 +88,11 @@
         if known is not None:
             known.take(self._clock.monotonic_s())
 
-    def give_back(self, target_id: ids.TargetId) -> None:
+    def refund(self, target_id: ids.TargetId) -> None:
         """Return what was counted for a request that was not sent."""
         known = self._known.get(target_id)
         if known is not None:
-            known.give_back()
+            known.refund()
 
     def opens_at_s(self, target_id: ids.TargetId) -> float:
         """Return from when on the target wants a request of this daemon."""
@@ -108,7 +110,7 @@
             self._random,
         )
 
-    def opening(
+    def forecast(
         self,
         targets: Collection[ids.TargetId],
     ) -> wait_queue.CapacityForecast:
@@ -120,7 +122,7 @@
         if opens_at_s <= now_s or math.isinf(opens_at_s):
             return wait_queue.AVAILABLE_NOW
         # Whoever is closed asked for something.
-        return target_statements.opening(
+        return target_statements.forecast(
             (self._known[one] for one in targets),
             now_s,
         )
--- a/libraries/gateway/src/sardinepier/gateway/statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/statements.py
@@ -49,13 +49,13 @@
 class Statement:
     """What one answer told.
 
-    ``rests_until_s`` is a reading of the monotonic clock until which the target
+    ``backoff_until_s`` is a reading of the monotonic clock until which the target
     wants no request, 0.0 when it asks for no rest. ``limit_per_s`` is None
     when it names no limit.
     """
 
     is_leaving: bool = False
-    rests_until_s: float = 0.0
+    backoff_until_s: float = 0.0
     limit_per_s: float | None = None
 
 
@@ -76,7 +76,7 @@
     limit_per_s = _decimal(_only(told, names.limit))
     return Statement(
         is_leaving=_only(told, names.leaving) == _YES,
-        rests_until_s=clock.monotonic_s() + rest_s if rest_s > 0 else 0.0,
+        backoff_until_s=clock.monotonic_s() + rest_s if rest_s > 0 else 0.0,
         limit_per_s=(
             None
             if limit_per_s is None
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -37,7 +37,7 @@
     return wait_s * random_source.uniform(1, _SPREAD)
 
 
-def opening(
+def forecast(
     closed: Iterable['TargetStatements'],
     now_s: float,
 ) -> wait_queue.CapacityForecast:
@@ -62,24 +62,24 @@
 
     For example::
 
-        stated.hear(told, now_s)
+        stated.apply(told, now_s)
         if stated.opens_at_s(now_s) <= now_s:
             stated.take(now_s)
 
-    ``newest`` was told at ``heard_s``, to this daemon or to another one.
+    ``newest`` was told at ``received_s``, to this daemon or to another one.
     ``part``, 0 to 1, is how much of the target's limit is this daemon's.
-    ``rests_until_s`` is until when it wants nothing from this daemon; no later
-    statement shortens that. ``has_rested`` says that its newest answer to this
+    ``backoff_until_s`` is until when it wants nothing from this daemon; no later
+    statement shortens that. ``has_backed_off`` says that its newest answer to this
     daemon asked for rest.
     """
 
     def __init__(self) -> None:
         """Start with a target that asked for nothing."""
         self.newest = statements.SILENT
-        self.heard_s = 0.0
+        self.received_s = 0.0
         self.part = 1.0
-        self.rests_until_s = 0.0
-        self.has_rested = False
+        self.backoff_until_s = 0.0
+        self.has_backed_off = False
         self._lapses_at_s = 0.0
         self._next_s = 0.0
 
@@ -94,39 +94,44 @@
         """Return what this daemon may send of the limit, 0.0 without one."""
         return self.part * (self.newest.limit_per_s or 0.0)
 
-    def hear(self, told: statements.Statement, heard_s: float) -> bool:
+    def apply(self, statement: statements.Statement, received_s: float) -> bool:
         """Take in what the target told; tell whether that is anything new.
 
         What was told before what is known already is passed over, unless it is
         that the target leaves: no answer undoes that.
         """
-        if heard_s < self.heard_s and not told.is_leaving:
+        if received_s < self.received_s and not statement.is_leaving:
             return False
         if self.newest.is_leaving:
-            told = dataclasses.replace(told, is_leaving=True)
-        is_new = told != self.newest
-        if self.newest.limit_per_s is None and told.limit_per_s is not None:
-            self._next_s = heard_s + 1 / told.limit_per_s
-        self.newest = told
-        self.heard_s = heard_s
-        self._lapses_at_s = heard_s + _KEPT_S
-        self.rests_until_s = max(self.rests_until_s, told.rests_until_s)
+            statement = dataclasses.replace(statement, is_leaving=True)
+        is_new = statement != self.newest
+        if (
+            self.newest.limit_per_s is None
+            and statement.limit_per_s is not None
+        ):
+            self._next_s = received_s + 1 / statement.limit_per_s
+        self.newest = statement
+        self.received_s = received_s
+        self._lapses_at_s = received_s + _KEPT_S
+        self.backoff_until_s = max(
+            self.backoff_until_s, statement.backoff_until_s
+        )
         return is_new
 
-    def answered(self, told: statements.Statement) -> None:
+    def answered(self, statement: statements.Statement) -> None:
         """Take in whether an answer to this daemon asked for rest."""
-        self.has_rested = told.rests_until_s > 0
+        self.has_backed_off = statement.backoff_until_s > 0
 
-    def is_resting(self, now_s: float) -> bool:
+    def is_backing_off(self, now_s: float) -> bool:
         """Tell whether the target wants nothing from this daemon now."""
-        return now_s < self.rests_until_s
+        return now_s < self.backoff_until_s
 
     def opens_at_s(self, now_s: float) -> float:
         """Return from when on this daemon may send a request.
 
         It is infinite while others have all of the target's limit.
         """
-        opens_at_s = max(now_s, self.rests_until_s)
+        opens_at_s = max(now_s, self.backoff_until_s)
         if self.newest.limit_per_s is None:
             return opens_at_s
         if self.part or now_s >= self._lapses_at_s:
@@ -150,7 +155,7 @@
             interval_s = self._own_interval_s()
             self._next_s = max(self._next_s, now_s - interval_s) + interval_s
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return what was counted for a request that was not sent."""
         self._next_s -= self._own_interval_s()
 
--- a/libraries/gateway/tests/cover/test_gateway_held_back.py
+++ b/libraries/gateway/tests/cover/test_gateway_held_back.py
@@ -72,8 +72,8 @@
     assert world.runs_by_line()[POISON] == 0
 
 
-def _hear(gateway, fingerprint, *lost_on):
+def _hear(gateway, fingerprint, *crashed_targets):
     report = marks.QuarantineReport(
-        (marks.CrashMark(fingerprint, lost_on, 60.0),),
+        (marks.CrashMark(fingerprint, crashed_targets, 60.0),),
     )
-    gateway.context.quarantine.heard(PEER, report)
+    gateway.context.quarantine.receive_report(PEER, report)
--- a/libraries/gateway/tests/cover/test_gateway_keys.py
+++ b/libraries/gateway/tests/cover/test_gateway_keys.py
@@ -78,7 +78,7 @@
     answer, content = await world.send('POST', POSTING, headers=headers)
     assert (answer.status, content) == (200, target.content)
     assert list(target.ran.values()) == [1]
-    assert gateway.context.activity.in_hand == 0
+    assert gateway.context.activity.in_flight == 0
 
 
 async def test_idempotent_work_ends_when_its_caller_hangs_up(world):
@@ -88,7 +88,7 @@
     await until(lambda: target.seen)
     sent.cancel()
     await until(lambda: target.closed)
-    await until(lambda: not gateway.context.activity.in_hand)
+    await until(lambda: not gateway.context.activity.in_flight)
     assert gateway.runtime().slots.report() == {}
 
 
--- a/libraries/gateway/tests/cover/test_gateway_stated.py
+++ b/libraries/gateway/tests/cover/test_gateway_stated.py
@@ -61,7 +61,7 @@
         for own in group:
             others = [one for one in group if one != own]
             stated.set_senders(others, own)
-            stated.hear(target_id, told)
+            stated.apply(target_id, told)
             parts[limit_per_s] += stated._known[target_id].part
     assert parts == {2: 1, 30: 1}
     stated.set_senders(group, None)
@@ -75,7 +75,9 @@
     target_id = world.targets[0].name
     runtime.set_incarnations({target_id: ids.TargetIncarnation('1')})
     until_s = gateway.clock.monotonic_s() + 9
-    runtime.stated.hear(target_id, statements.Statement(rests_until_s=until_s))
+    runtime.stated.apply(
+        target_id, statements.Statement(backoff_until_s=until_s)
+    )
     assert runtime.stated.closed() == {target_id}
     runtime.set_incarnations({target_id: ids.TargetIncarnation('2')})
     assert not runtime.stated.closed()
--- a/libraries/gateway/tests/cover/test_gateway_statements.py
+++ b/libraries/gateway/tests/cover/test_gateway_statements.py
@@ -26,7 +26,7 @@
         Names(),
         clock,
     )
-    rest_s = max(0.0, said.rests_until_s - clock.monotonic_s())
+    rest_s = max(0.0, said.backoff_until_s - clock.monotonic_s())
     return said.is_leaving, rest_s, said.limit_per_s
 
 
--- a/libraries/gateway/tests/cover/test_gateway_targets.py
+++ b/libraries/gateway/tests/cover/test_gateway_targets.py
@@ -126,7 +126,7 @@
         target.behaviour = 'drop after running'
     for _ in range(6):
         await world.send('GET', '/books/books/popular')
-    assert not gateway.context.quarantine.held()
+    assert not gateway.context.quarantine.quarantined()
     for target in world.targets:
         target.behaviour = 'ok'
     answer, _ = await world.send('GET', '/books/books/popular')
--- a/libraries/health/src/sardinepier/health/evidence.py
+++ b/libraries/health/src/sardinepier/health/evidence.py
@@ -52,7 +52,7 @@
 }
 
 
-def sign_of(end: AttemptOutcome, slow: bool) -> HealthSignal | None:
+def signal_of(end: AttemptOutcome, slow: bool) -> HealthSignal | None:
     """Return the sign that an attempt leaves, or None when it says nothing.
 
     ``slow`` says that the attempt took far longer than its route does at the
--- a/libraries/health/src/sardinepier/health/failure_estimate.py
+++ b/libraries/health/src/sardinepier/health/failure_estimate.py
@@ -56,18 +56,18 @@
         self._failing = options.failing_share
         self._updated_s = now_s
 
-    def failing(self, now_s: float) -> float:
+    def failing_probability(self, now_s: float) -> float:
         """Return the chance, 0 to 1, that the target is failing now."""
         options = self._options
         kept = math.exp(-max(0.0, now_s - self._updated_s) / options.memory_s)
         drift = options.failing_share * (1 - kept)
         return drift + self._failing * kept
 
-    def failure_chance(self, now_s: float) -> float:
+    def failure_probability(self, now_s: float) -> float:
         """Return the chance, 0 to 1, that a request sent now fails."""
-        return self._chance(self.failing(now_s))
+        return self._chance(self.failing_probability(now_s))
 
-    def chance_if_answered(self, now_s: float) -> float:
+    def failure_probability_after_answer(self, now_s: float) -> float:
         """Return the chance of failure, had it just given a good answer."""
         options = self._options
         failing = self._weighed(
@@ -115,7 +115,7 @@
             options.sound_hung_share,
         )
 
-    def take(self, failing: float, now_s: float) -> None:
+    def adopt(self, failing: float, now_s: float) -> None:
         """Replace the belief by one that another daemon holds."""
         self._failing = failing
         self._updated_s = now_s
@@ -141,7 +141,7 @@
         if_sound: float,
     ) -> float:
         """Return the chance of failing after an outcome, by Bayes' rule."""
-        failing = self.failing(now_s)
+        failing = self.failing_probability(now_s)
         weighed = failing * if_failing
         return weighed / (weighed + (1 - failing) * if_sound)
 
--- a/libraries/health/src/sardinepier/health/internal/attempt_recording.py
+++ b/libraries/health/src/sardinepier/health/internal/attempt_recording.py
@@ -52,7 +52,7 @@
         """Count an end; return its sign, None when it is no evidence."""
         position = self._position(one, route, end, latency_ms)
         slow = position is not None and position >= baseline.SLOW_RESIDUAL
-        sign = evidence.sign_of(end, slow)
+        sign = evidence.signal_of(end, slow)
         if sign is None or one.state in _UNJUDGED:
             if sign is evidence.HealthSignal.GOOD:
                 one.warmed = True
@@ -130,9 +130,9 @@
         return TrialOutcome.GOING_ON
     if sign is not evidence.HealthSignal.GOOD:
         return TrialOutcome.FAILED
-    way_back = one.way_back
-    way_back.good_trials += 1
-    if way_back.good_trials >= options.trial_successes:
+    readmission_state = one.readmission_state
+    readmission_state.good_trials += 1
+    if readmission_state.good_trials >= options.trial_successes:
         return TrialOutcome.PASSED
     return TrialOutcome.GOING_ON
 
--- a/libraries/health/src/sardinepier/health/internal/engine.py
+++ b/libraries/health/src/sardinepier/health/internal/engine.py
@@ -99,7 +99,7 @@
             now_s,
         )
 
-    def heard(
+    def receive_report(
         self,
         observer: ids.InstanceId,
         report: evidence.EvidenceReport,
--- a/libraries/health/src/sardinepier/health/internal/floor.py
+++ b/libraries/health/src/sardinepier/health/internal/floor.py
@@ -77,6 +77,6 @@
     """
     if one.state in {_States.COLD, _States.LEAVING, _States.TRIAL}:
         return False
-    if one.last_good_s is None or now_s < one.way_back.ramp_until_s:
+    if one.last_good_s is None or now_s < one.readmission_state.ramp_until_s:
         return False
     return now_s - one.last_good_s <= options.fresh_evidence_s
--- a/libraries/health/src/sardinepier/health/internal/group_scores.py
+++ b/libraries/health/src/sardinepier/health/internal/group_scores.py
@@ -60,7 +60,7 @@
         accusing={
             observer: peer
             for observer, peer in peers.items()
-            if peer.overdue and now_s - peer.heard_s < _STALE_S
+            if peer.overdue and now_s - peer.received_s < _STALE_S
         },
         ejecting=[peer for peer in peers.values() if peer.ejections],
     )
--- a/libraries/health/src/sardinepier/health/internal/reporting.py
+++ b/libraries/health/src/sardinepier/health/internal/reporting.py
@@ -71,7 +71,7 @@
             yield evidence.EjectionNotice(
                 one.identity.target_id,
                 one.identity.incarnation,
-                max(0.0, one.way_back.deadline_s - now_s),
+                max(0.0, one.readmission_state.deadline_s - now_s),
                 round(one.ejected_score, _SCORE_DIGITS),
             )
 
@@ -107,7 +107,7 @@
     counting starts with the second.
     """
     if good:
-        one.suspicion.good_heard.append((now_s, good))
+        one.suspicion.recent_good.append((now_s, good))
     if one.suspicion.voting_since_s is None:
         return
     votes = one.suspicion.votes.setdefault(observer, tracked_target.Votes())
@@ -125,7 +125,7 @@
     """Return the target's line for operators."""
     returns_in_s = None
     if one.state is _States.EJECTED:
-        returns_in_s = max(0.0, one.way_back.deadline_s - now_s)
+        returns_in_s = max(0.0, one.readmission_state.deadline_s - now_s)
     return targets.TargetStatus(
         target_id=one.target_id,
         incarnation=one.identity.incarnation,
--- a/libraries/health/src/sardinepier/health/internal/tracked_target.py
+++ b/libraries/health/src/sardinepier/health/internal/tracked_target.py
@@ -128,7 +128,7 @@
     votes: dict[ids.InstanceId, Votes] = dataclasses.field(
         default_factory=dict,
     )
-    good_heard: collections.deque[tuple[float, int]] = dataclasses.field(
+    recent_good: collections.deque[tuple[float, int]] = dataclasses.field(
         default_factory=_bounded,
     )
     """When good answers were heard of lately, and how many."""
@@ -197,7 +197,7 @@
     tally: Tally = dataclasses.field(default_factory=Tally)
     suspicion: Suspicion = dataclasses.field(default_factory=Suspicion)
     probing: Probing = dataclasses.field(default_factory=Probing)
-    way_back: readmission.Readmission = dataclasses.field(
+    readmission_state: readmission.Readmission = dataclasses.field(
         default_factory=readmission.Readmission,
     )
 
--- a/libraries/health/src/sardinepier/health/internal/verdict.py
+++ b/libraries/health/src/sardinepier/health/internal/verdict.py
@@ -99,7 +99,7 @@
         threshold: float,
     ) -> None:
         """Put the target back on its ramp, judged from a head start."""
-        one.way_back.restore(now_s, self.options)
+        one.readmission_state.restore(now_s, self.options)
         one.suspicion.restart(_HEAD_START * threshold, self._own)
         one.verdict = targets.Reason.NONE
         self.move(one, _States.IN_SERVICE, targets.Reason.RETURNING)
@@ -114,7 +114,10 @@
             one.last_good_s = now_s if one.warmed else None
             one.suspicion.restart(0, self._own)
             self.move(one, _States.IN_SERVICE, targets.Reason.NONE)
-        elif one.state is _States.EJECTED and now_s >= one.way_back.deadline_s:
+        elif (
+            one.state is _States.EJECTED
+            and now_s >= one.readmission_state.deadline_s
+        ):
             one.verdict = targets.Reason.NONE
             one.probing.suspect_due_s = now_s
             one.suspicion.restart(0, self._own)
@@ -183,20 +186,20 @@
         now_s: float,
     ) -> bool:
         if not group.ejecting:
-            one.way_back.may_follow = True
+            one.readmission_state.may_follow = True
             return False
         ejecting = group_scores.peers_ejecting(one, group, now_s)
         majority = max(2, -(-len(group.peers) // 2))
         if ejecting < majority:
-            one.way_back.may_follow = True
+            one.readmission_state.may_follow = True
             return False
-        return one.way_back.may_follow
+        return one.readmission_state.may_follow
 
     def _eject(self, one: tracked_target.TrackedTarget, now_s: float) -> None:
         if one.state is not _States.EJECTED:
-            one.way_back.may_follow = False
+            one.readmission_state.may_follow = False
             one.ejected_score = one.suspicion.score()
-            one.way_back.eject(now_s, self.options, self._random)
+            one.readmission_state.eject(now_s, self.options, self._random)
         self.move(one, _States.EJECTED, one.verdict)
 
     def _hold(self, one: tracked_target.TrackedTarget) -> None:
--- a/libraries/health/src/sardinepier/health/internal/voting.py
+++ b/libraries/health/src/sardinepier/health/internal/voting.py
@@ -65,7 +65,7 @@
     newest_s = _NEWEST_S if many_wait else _NEWER_S
     good_answers = sum(
         count
-        for heard_s, count in one.suspicion.good_heard
+        for heard_s, count in one.suspicion.recent_good
         if now_s - heard_s < newest_s
     )
     if good_answers >= _GOOD_AGAINST_HANG:
--- a/libraries/health/src/sardinepier/health/internal/weights.py
+++ b/libraries/health/src/sardinepier/health/internal/weights.py
@@ -26,9 +26,9 @@
         return _AVOIDED_WEIGHT
     if state is _States.COLD:
         return _cold_weight(one, options, now_s)
-    if now_s >= one.way_back.ramp_until_s:
+    if now_s >= one.readmission_state.ramp_until_s:
         return 1.0
-    return one.way_back.ramp_weight(now_s, options.ramp_s)
+    return one.readmission_state.ramp_weight(now_s, options.ramp_s)
 
 
 def _cold_weight(
--- a/libraries/health/src/sardinepier/health/peer_evidence.py
+++ b/libraries/health/src/sardinepier/health/peer_evidence.py
@@ -44,7 +44,7 @@
     """The newest facts of one observer instance."""
 
     sequence: int
-    heard_s: float
+    received_s: float
     doubts_itself: bool
     rows: dict[ids.TargetId, evidence.TargetEvidence]
     ejections: dict[ids.TargetId, PeerEjection]
@@ -107,7 +107,7 @@
         expiry_s = self.options.peer_expiry_s
         live = {}
         for observer, peer in tuple(self._peers.items()):
-            silent_s = now_s - peer.heard_s
+            silent_s = now_s - peer.received_s
             if silent_s <= expiry_s:
                 live[observer] = peer
             elif silent_s > expiry_s * _MEMORY_FACTOR:
@@ -135,7 +135,7 @@
         longest_s = 2 * self.options.ejection_limit_s
         return Peer(
             sequence=report.sequence,
-            heard_s=now_s,
+            received_s=now_s,
             doubts_itself=report.doubts_itself,
             rows={row.target_id: row for row in report.evidence},
             overdue=frozenset(
--- a/libraries/health/src/sardinepier/health/service_health.py
+++ b/libraries/health/src/sardinepier/health/service_health.py
@@ -105,7 +105,7 @@
         target_id: ids.TargetId,
         route: ids.RouteName,
         attempt: int,
-        sign_kind: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float | None,
     ) -> None:
         """Note how an attempt ended, and after how many milliseconds.
@@ -118,21 +118,21 @@
             return
         now_s = self._clock.monotonic_s()
         flight = one.flights.pop(attempt, None)
-        timed_out = sign_kind is evidence.AttemptOutcome.TIMED_OUT
+        timed_out = outcome is evidence.AttemptOutcome.TIMED_OUT
         if latency_ms is None and timed_out and flight is not None:
             latency_ms = (now_s - flight.started_s) * _MS_PER_S
         sign = self._engine.intake.finished(
             one,
             route,
-            sign_kind,
+            outcome,
             latency_ms,
             now_s,
         )
         if one.state is targets.TargetState.TRIAL:
-            outcome = attempt_recording.trial_result(
+            trial_outcome = attempt_recording.trial_result(
                 one, sign, self._engine.options
             )
-            self._engine.trial_ended(one, outcome)
+            self._engine.trial_ended(one, trial_outcome)
 
     def probed(
         self,
@@ -190,7 +190,7 @@
         now_s = self._clock.monotonic_s()
         return self._engine.reports.make(now_s, self._engine.doubts)
 
-    def heard(
+    def receive_report(
         self,
         observer: ids.InstanceId,
         report: evidence.EvidenceReport,
@@ -198,7 +198,7 @@
         """Merge a peer's report; an old or repeated one changes nothing."""
         for notice in report.leaving:
             self.mark_leaving(notice.target_id, notice.incarnation)
-        self._engine.heard(observer, report)
+        self._engine.receive_report(observer, report)
 
     def forget(self, observer: ids.InstanceId) -> None:
         """Drop what an observer said; it died or left the group."""
--- a/libraries/health/tests/conftest.py
+++ b/libraries/health/tests/conftest.py
@@ -71,7 +71,7 @@
         report = self.daemons[sender].report()
         for place, daemon in enumerate(self.daemons):
             if place != sender and (sender, place) not in self.cut:
-                daemon.heard(f'd{sender}~0', report)
+                daemon.receive_report(f'd{sender}~0', report)
 
     def state(self, daemon, name):
         return self.daemons[daemon].standing(name).state
--- a/libraries/health/tests/cover/test_health_floor.py
+++ b/libraries/health/tests/cover/test_health_floor.py
@@ -137,7 +137,7 @@
             (one.target_id, one.incarnation) for one in report.leaving
         }
         for daemon in self.daemons:
-            daemon.heard(observer, report)
+            daemon.receive_report(observer, report)
 
     @stateful.rule(lost=st.booleans())
     def talk(self, lost):
@@ -145,7 +145,7 @@
             report = daemon.report()
             for place, peer in enumerate(self.daemons):
                 if place != sender and not (lost and place == 0):
-                    peer.heard(f'd{sender}~0', report)
+                    peer.receive_report(f'd{sender}~0', report)
 
     @stateful.rule(percent=st.floats(0, 100))
     def change_floor(self, percent):
--- a/libraries/health/tests/cover/test_health_statistics.py
+++ b/libraries/health/tests/cover/test_health_statistics.py
@@ -153,7 +153,7 @@
 )
 def test_sign_of_every_end(end, slow, sign):
     expected = None if sign is None else evidence.HealthSignal[sign]
-    assert evidence.sign_of(evidence.AttemptOutcome[end], slow) is expected
+    assert evidence.signal_of(evidence.AttemptOutcome[end], slow) is expected
 
 
 @pytest.mark.parametrize(
--- a/libraries/once/src/sardinepier/once/quarantine.py
+++ b/libraries/once/src/sardinepier/once/quarantine.py
@@ -112,7 +112,7 @@
             raise _held_back(wait_s)
         entry.trial_until_s = now_s + self._options.trial_s
 
-    def require_free(self, fingerprint: int) -> None:
+    def raise_if_quarantined(self, fingerprint: int) -> None:
         """Raise ``QuarantinedError`` if the request is held back by now.
 
         Marks may come while a request that was let through waits for a slot
@@ -140,14 +140,14 @@
             self._entries.pop(fingerprint, None)
         self._good.note(fingerprint)
 
-    def lost_on(self, fingerprint: int) -> frozenset[ids.TargetId]:
+    def crashed_targets(self, fingerprint: int) -> frozenset[ids.TargetId]:
         """Return the targets on which the request was lost of late."""
         entry = self._entries.get(fingerprint)
         if entry is None:
             return frozenset()
         return frozenset(entry.targets(self._clock.monotonic_s()))
 
-    def accounts_for(self, target_id: ids.TargetId) -> bool:
+    def has_suspect_request_on(self, target_id: ids.TargetId) -> bool:
         """Tell whether a request under suspicion was lost on the target.
 
         That request may be why the target went down. A loss that follows
@@ -214,7 +214,7 @@
             tuple(newest[: self._options.reported_marks]),
         )
 
-    def heard(
+    def receive_report(
         self,
         observer: ids.InstanceId,
         report: marks.QuarantineReport,
@@ -225,7 +225,7 @@
             if mark.remaining_s > 0:
                 self._take(mark, now_s)
 
-    def held(self) -> tuple[marks.CrashMark, ...]:
+    def quarantined(self) -> tuple[marks.CrashMark, ...]:
         """Return what is held back now, with the targets that were lost.
 
         ``remaining_s`` says for how long.
--- a/libraries/once/src/sardinepier/once/records.py
+++ b/libraries/once/src/sardinepier/once/records.py
@@ -14,8 +14,8 @@
     """One key that was granted to run; settled exactly once.
 
     The one who was granted the record must call one of ``complete``,
-    ``unknown`` and ``release_not_run``. Only the first of these counts, so a
-    ``finally`` clause may always call ``unknown`` as the last resort.
+    ``mark_unknown`` and ``release_not_run``. Only the first of these counts, so a
+    ``finally`` clause may always call ``mark_unknown`` as the last resort.
     """
 
     __slots__ = ('_clock', '_on_settled', '_settled', '_waiters', 'fingerprint')
@@ -46,7 +46,7 @@
         """Keep the answer of the target that ran the request."""
         self._settle(answer)
 
-    def unknown(self, problem: str) -> None:
+    def mark_unknown(self, problem: str) -> None:
         """Keep that nobody can tell whether the request ran."""
         self._settle(answers.UnknownFate(problem))
 
--- a/libraries/once/tests/cover/test_once_ledger.py
+++ b/libraries/once/tests/cover/test_once_ledger.py
@@ -111,7 +111,7 @@
 
     @stateful.rule(sent=keys)
     def lose(self, sent):
-        self._settle(sent, lambda record, _: record.unknown('lost'))
+        self._settle(sent, lambda record, _: record.mark_unknown('lost'))
 
     @stateful.rule(sent=keys)
     def prove_not_run(self, sent):
@@ -267,7 +267,7 @@
     await asyncio.sleep(0)
     answer = answers.RecordedAnswer(200, (), b'once')
     record.complete(answer)
-    record.unknown('too late to count')
+    record.mark_unknown('too late to count')
     assert set(await asyncio.gather(*waits)) == {answer}
     assert await record.wait(0) == answer
 
--- a/libraries/once/tests/cover/test_once_quarantine.py
+++ b/libraries/once/tests/cover/test_once_quarantine.py
@@ -50,7 +50,7 @@
     assert lose(held, POISON, 'b') == [True]
     assert is_held(held, POISON)
     assert not is_held(held, POPULAR)
-    assert held.held() == (marks.CrashMark(POISON, ('a', 'b'), 15),)
+    assert held.quarantined() == (marks.CrashMark(POISON, ('a', 'b'), 15),)
 
 
 def test_the_same_target_twice_is_not_enough(held):
@@ -116,12 +116,12 @@
     peer = quarantine.Quarantine(clock, OPTIONS)
     lose(peer, POISON, 'a')
     for _ in range(3):
-        held.heard(PEER, peer.report())
+        held.receive_report(PEER, peer.report())
     assert held.report() == marks.QuarantineReport()
     assert not is_held(held, POISON)
     assert lose(held, POISON, 'b') == [True]
     assert held.report().marks[0].targets == ('b',)
-    peer.heard(PEER, held.report())
+    peer.receive_report(PEER, held.report())
     assert is_held(peer, POISON)
     clock.advance(200)
     assert not is_held(peer, POISON)
@@ -135,8 +135,10 @@
     )
     lose(held, POISON, 'a', 'b')
     for start in range(0, 500, 3):
-        held.heard(PEER, marks.QuarantineReport(flood[start : start + 3]))
-    held.heard(PEER, marks.QuarantineReport(flood))
+        held.receive_report(
+            PEER, marks.QuarantineReport(flood[start : start + 3])
+        )
+    held.receive_report(PEER, marks.QuarantineReport(flood))
     assert is_held(held, POISON)
     for number in range(50):
         lose(held, number + 600, f't{number}')
@@ -146,24 +148,24 @@
 def test_a_request_under_suspicion_accounts_for_its_targets(held, clock):
     """Guards against a third target: the crash before hid the next one."""
     lose(held, POISON, 'a')
-    assert held.accounts_for('a')
-    assert not held.accounts_for('b')
+    assert held.has_suspect_request_on('a')
+    assert not held.has_suspect_request_on('b')
     clock.advance(OPTIONS.mark_s + 1)
-    assert not held.accounts_for('a')
+    assert not held.has_suspect_request_on('a')
 
 
 def test_a_request_with_a_good_answer_accounts_for_nothing(held):
     """The target went down by itself, and keeps doing so."""
     lose(held, POPULAR, 'a')
     held.answered(POPULAR)
-    assert not held.accounts_for('a')
+    assert not held.has_suspect_request_on('a')
 
 
 def test_what_peers_suspect_accounts_for_a_loss_here(held, clock):
     peer = quarantine.Quarantine(clock, OPTIONS)
     lose(peer, POISON, 'a')
-    held.heard(PEER, peer.report())
-    assert held.accounts_for('a')
+    held.receive_report(PEER, peer.report())
+    assert held.has_suspect_request_on('a')
 
 
 def test_what_one_daemon_holds_back_others_do(held, clock):
@@ -172,7 +174,7 @@
     for number, target in enumerate('wxyz'):
         lose(held, 100 + number, target)
     lose(peer, POISON, 'a', 'b')
-    held.heard(PEER, peer.report())
+    held.receive_report(PEER, peer.report())
     assert is_held(held, POISON)
     clock.advance(OPTIONS.hold_s + 0.1)
     assert not is_held(held, POISON)
@@ -183,8 +185,8 @@
     for one, target in ((held, 'a'), (peer, 'b')):
         lose(one, POISON, target)
     for _ in range(200):
-        held.heard(PEER, peer.report())
-        peer.heard(PEER, held.report())
+        held.receive_report(PEER, peer.report())
+        peer.receive_report(PEER, held.report())
         clock.advance(0.1)
     assert not is_held(held, POISON)
 
--- a/libraries/routing/src/sardinepier/routing/admission.py
+++ b/libraries/routing/src/sardinepier/routing/admission.py
@@ -42,15 +42,15 @@
         length: int,
         random_source: random.Random,
         release: Callable[[ids.TargetId], None],
-        opening: Callable[
+        capacity_forecast: Callable[
             [], wait_queue.CapacityForecast
-        ] = wait_queue.always_open,
+        ] = wait_queue.always_available,
         *,
         recheck_interval_s: float = _RECHECK_INTERVAL_S,
     ) -> None:
         """Let at most ``length`` requests wait; 0 means that none waits.
 
-        ``opening`` tells when the targets want requests.
+        ``capacity_forecast`` tells when the targets want requests.
 
         Raises :class:`errors.RoutingOptionError` when ``length`` is negative
         or the interval isn't positive.
@@ -61,7 +61,7 @@
             local_clock,
             length,
             random_source,
-            opening,
+            capacity_forecast,
         )
         self._release = release
         self._recheck_interval_s = recheck_interval_s
@@ -71,9 +71,9 @@
         """Return how many requests wait now."""
         return len(self._line)
 
-    def observe_service(self, service_s: float) -> None:
+    def observe_service_time(self, service_s: float) -> None:
         """Learn how long a target took for one request, in seconds."""
-        self._line.observe_service(service_s)
+        self._line.observe_service_time(service_s)
 
     async def acquire(
         self,
@@ -89,7 +89,7 @@
         """
         waiter = _TaskWaiter(work, choose)
         try:
-            self._line.enter(waiter)
+            self._line.submit(waiter)
             self._watch(waiter)
             return await waiter.outcome
         except BaseException:
@@ -102,10 +102,10 @@
 
     def wake(self) -> None:
         """Hand out free slots. Call it when a slot or a target came free."""
-        self._line.serve()
+        self._line.dispatch()
 
     def _withdraw(self, waiter: '_TaskWaiter') -> None:
-        self._line.leave(waiter)
+        self._line.remove(waiter)
         if waiter.granted is not None:
             self._release(waiter.granted)
         self.wake()
@@ -115,8 +115,8 @@
         if waiter.outcome.done():
             return
         self._keep_rechecking()
-        give_up_s = self._line.give_up_s(waiter.work)
-        remaining_s = max(0.0, give_up_s - self._clock.monotonic_s())
+        latest_start_s = self._line.latest_start_s(waiter.request)
+        remaining_s = max(0.0, latest_start_s - self._clock.monotonic_s())
         loop = asyncio.get_running_loop()
         waiter.alarm = loop.call_later(remaining_s, self.wake)
 
@@ -143,7 +143,7 @@
         choose: Callable[[], ids.TargetId | None],
     ) -> None:
         """Wait in the running event loop."""
-        self.work = work
+        self.request = work
         self._choose = choose
         self.granted: ids.TargetId | None = None
         self.alarm: asyncio.TimerHandle | None = None
--- a/libraries/routing/src/sardinepier/routing/budget.py
+++ b/libraries/routing/src/sardinepier/routing/budget.py
@@ -84,7 +84,7 @@
         self._current().requests += 1
         self._requests += 1
 
-    def has_room(self) -> bool:
+    def can_spend(self) -> bool:
         """Tell whether :meth:`try_spend` would grant an attempt now."""
         self._forget()
         allowed = max(self._floor, self._fraction * self._requests)
@@ -92,7 +92,7 @@
 
     def try_spend(self) -> bool:
         """Take one further attempt from the budget, if there is one."""
-        if not self.has_room():
+        if not self.can_spend():
             self.denied += 1
             return False
         self.granted += 1
--- a/libraries/routing/src/sardinepier/routing/fleet_bucket.py
+++ b/libraries/routing/src/sardinepier/routing/fleet_bucket.py
@@ -100,18 +100,18 @@
             return math.inf
         return (1 - self._level) / self.limit.rate_per_s
 
-    def give_back(self, now_s: float) -> None:
+    def refund(self, now_s: float) -> None:
         """Return the token of a request that did not run."""
         self._advance(now_s)
         self.spent -= 1
         self._change(1)
 
-    def told(self, now_s: float) -> Usage:
+    def usage(self, now_s: float) -> Usage:
         """Return what to tell others."""
         self._advance(now_s)
         return Usage(self.spent, math.floor(self._level))
 
-    def heard(
+    def receive_usage(
         self,
         source: ids.InstanceId,
         usage: Usage,
--- a/libraries/routing/src/sardinepier/routing/fleet_limits.py
+++ b/libraries/routing/src/sardinepier/routing/fleet_limits.py
@@ -45,7 +45,7 @@
         return min(limit.burst, _START_SHARE * spare)
 
 
-USUAL_LEEWAY: Final = Leeway()
+DEFAULT_LEEWAY: Final = Leeway()
 
 
 class FleetLimits:
@@ -57,12 +57,12 @@
         limits.set({customer: fleet_bucket.Limit(20.0, 40.0)})
         wait_s = limits.take(customer)
 
-    ``is_informed`` is set while others tell this daemon what they do.
+    ``receives_updates`` is set while others tell this daemon what they do.
     """
 
     def __init__(self, clock: clocks.Clock, leeway: Leeway) -> None:
         """Start without limits."""
-        self.is_informed = True
+        self.receives_updates = True
         self._clock = clock
         self._started_s = clock.monotonic_s()
         self._leeway = leeway
@@ -75,7 +75,7 @@
         self._changed: set[ids.CustomerName] = set()
 
     @property
-    def is_empty(self) -> bool:
+    def has_no_limits(self) -> bool:
         """Tell whether no customer has a limit."""
         return not self._limits
 
@@ -106,18 +106,18 @@
             self._changed.add(customer)
         return wait_s
 
-    def give_back(self, customer: ids.CustomerName) -> None:
+    def refund(self, customer: ids.CustomerName) -> None:
         """Return what was taken for a request that did not run."""
         bucket = self._buckets.get(customer)
         if bucket is not None:
-            bucket.give_back(self._clock.monotonic_s())
+            bucket.refund(self._clock.monotonic_s())
             self._changed.add(customer)
 
     def age_s(self) -> float:
         """Return for how long this daemon has counted."""
         return self._clock.monotonic_s() - self._started_s
 
-    def take_news(
+    def take_updates(
         self,
         *,
         is_all: bool = False,
@@ -134,34 +134,36 @@
                 name for name, bucket in self._buckets.items() if bucket.spent
             }
         self._changed = set()
-        return {name: self._buckets[name].told(now_s) for name in wanted}
+        return {name: self._buckets[name].usage(now_s) for name in wanted}
 
-    def heard(
+    def receive_usage(
         self,
         source: ids.InstanceId,
         zone: ids.ZoneName,
         news: Mapping[ids.CustomerName, fleet_bucket.Usage],
         *,
-        goes_on: bool = True,
+        sends_regularly: bool = True,
         age_s: float = math.inf,
     ) -> None:
         """Take in the news of another daemon; it is complete.
 
-        ``goes_on`` says that it will tell again soon, with news or without, so
+        ``sends_regularly`` says that it will tell again soon, with news or without, so
         that its silence means something. ``age_s`` is how long ago it started.
         """
         now_s = self._clock.monotonic_s()
         is_new = age_s < self._leeway.window_s
         for customer, usage in news.items():
             if customer in self._limits:
-                self._bucket(customer, now_s).heard(
+                self._bucket(customer, now_s).receive_usage(
                     source,
                     usage,
                     now_s,
                     is_new=is_new,
                 )
         self._newest_s = now_s
-        for gone in self._others.note(source, zone, now_s, goes_on=goes_on):
+        for gone in self._others.note(
+            source, zone, now_s, sends_regularly=sends_regularly
+        ):
             for bucket in self._buckets.values():
                 bucket.forget(gone)
 
@@ -183,7 +185,7 @@
             bucket.set_limit(limit, now_s)
 
     def _knows_others(self, now_s: float) -> bool:
-        return self.is_informed or now_s - self._newest_s < _KNOWS_S
+        return self.receives_updates or now_s - self._newest_s < _KNOWS_S
 
     def _bucket(
         self,
@@ -197,7 +199,7 @@
                 limit,
                 self._leeway.start_level(limit),
                 now_s,
-                self._others.heard_s,
+                self._others.last_seen_s,
             )
             self._buckets[customer] = bucket
         if customer in self._lower_at_s:
--- a/libraries/routing/src/sardinepier/routing/in_flight.py
+++ b/libraries/routing/src/sardinepier/routing/in_flight.py
@@ -157,13 +157,13 @@
         self._peers.set_homes(others, {})
         self._is_dealt = False
 
-    def heard(
+    def receive_report(
         self,
         observer: ids.InstanceId,
         counts: Mapping[ids.TargetId, int],
     ) -> None:
         """Take a group member's counts, as of now; from others: ignored."""
-        self._peers.heard(observer, counts, self._clock.monotonic_s())
+        self._peers.receive_report(observer, counts, self._clock.monotonic_s())
         self._refresh_peers()
 
     def report(self) -> dict[ids.TargetId, int]:
@@ -226,7 +226,7 @@
             own = [one for one in own if one.target_id not in refused]
         if own:
             return own
-        if self._own is not None and not self._borrowing.has_room():
+        if self._own is not None and not self._borrowing.can_spend():
             return ()
         shared = self._records.with_shared_slot.members
         if refused:
--- a/libraries/routing/src/sardinepier/routing/internal/peer_counts.py
+++ b/libraries/routing/src/sardinepier/routing/internal/peer_counts.py
@@ -22,7 +22,7 @@
 
     homes: _Counts
     counts: _Counts
-    heard_s: float
+    received_s: float
     belief: float
 
 
@@ -65,7 +65,7 @@
             peer.homes = homes.get(name, {})
             self._count(peer, 1)
 
-    def heard(
+    def receive_report(
         self,
         observer: ids.InstanceId,
         counts: _Counts,
@@ -77,7 +77,7 @@
             return
         self._count(peer, -1)
         peer.counts = dict(counts)
-        peer.heard_s = now_s
+        peer.received_s = now_s
         peer.belief = 1
         self._count(peer, 1)
 
@@ -97,7 +97,7 @@
             return False
         self._next_fade_s = now_s + _FADE_STEP_S
         for peer in self._peers.values():
-            belief = self._belief(now_s - peer.heard_s)
+            belief = self._belief(now_s - peer.received_s)
             if belief < peer.belief:
                 self._count(peer, -1)
                 peer.belief = belief
--- a/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
+++ b/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
@@ -26,7 +26,7 @@
         self._zones: dict[ids.InstanceId, ids.ZoneName] = {}
 
     @property
-    def heard_s(self) -> Mapping[ids.InstanceId, float]:
+    def last_seen_s(self) -> Mapping[ids.InstanceId, float]:
         """When each told last; infinity for those that need not go on."""
         return self._heard_s
 
@@ -36,11 +36,11 @@
         zone: ids.ZoneName,
         now_s: float,
         *,
-        goes_on: bool,
+        sends_regularly: bool,
     ) -> tuple[ids.InstanceId, ...]:
         """Note that ``source`` told now, and return those that are gone."""
         self._told_s[source] = now_s
-        self._heard_s[source] = now_s if goes_on else math.inf
+        self._heard_s[source] = now_s if sends_regularly else math.inf
         self._zones[source] = zone
         gone = tuple(
             other
--- a/libraries/routing/src/sardinepier/routing/internal/wait_estimate.py
+++ b/libraries/routing/src/sardinepier/routing/internal/wait_estimate.py
@@ -26,7 +26,7 @@
         self._grants = 0
         self._last_grant_s: float | None = None
 
-    def observe_service(self, service_s: float) -> None:
+    def observe_service_time(self, service_s: float) -> None:
         """Take in the seconds which a target needed for one request."""
         self.service_s = _smoothed(self.service_s, service_s)
 
--- a/libraries/routing/src/sardinepier/routing/limit_parts.py
+++ b/libraries/routing/src/sardinepier/routing/limit_parts.py
@@ -17,7 +17,7 @@
 once, which add up over many."""
 
 
-def key_of(target_id: ids.TargetId) -> str:
+def ranking_key(target_id: ids.TargetId) -> str:
     """Return what daemons are ranked by for the limit of a target."""
     return _KEY.format(target_id)
 
@@ -34,5 +34,5 @@
     of them all of 2 a second.
     """
     if limit_per_s < _LEAST_PART_PER_S * len(senders):
-        senders = rendezvous.first(key_of(target_id), senders, 1)
+        senders = rendezvous.first(ranking_key(target_id), senders, 1)
     return 1 / len(senders) if own in senders else 0.0
--- a/libraries/routing/src/sardinepier/routing/wait_queue.py
+++ b/libraries/routing/src/sardinepier/routing/wait_queue.py
@@ -33,16 +33,16 @@
 
     The lower ``priority``, the sooner its turn. ``deadline_s`` is a reading
     of the local monotonic clock by which the answer must be there. If it
-    begins after ``best_begun_by_s`` its answer comes late and is worth less.
-    ``takes_any`` is true when the request would take any free target: when
+    begins after ``preferred_start_by_s`` its answer comes late and is worth less.
+    ``accepts_any_target`` is true when the request would take any free target: when
     it gets none, nobody behind it gets one, and the search ends. Leave it
     false for a request which refuses some targets, such as a second attempt.
     """
 
     priority: int
     deadline_s: float
-    takes_any: bool = False
-    best_begun_by_s: float = math.inf
+    accepts_any_target: bool = False
+    preferred_start_by_s: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     interval_s: float = 0.0
     any_s: float = math.inf
 
-    def wait_behind_s(self, ahead: int) -> float:
+    def min_wait_s(self, ahead: int) -> float:
         """Return how long a request waits at least behind ``ahead`` others."""
         return min(self.any_s, self.first_s + ahead * self.interval_s)
 
@@ -65,7 +65,7 @@
 AVAILABLE_NOW: Final = CapacityForecast(0.0)
 
 
-def always_open() -> CapacityForecast:
+def always_available() -> CapacityForecast:
     """Return that targets want requests at any time."""
     return AVAILABLE_NOW
 
@@ -74,7 +74,7 @@
     """A request in the line. It ends by exactly one grant or refusal."""
 
     @property
-    def work(self) -> QueuedRequest:
+    def request(self) -> QueuedRequest:
         """Return its priority and deadline."""
         ...
 
@@ -107,11 +107,11 @@
         local_clock: clock.Clock,
         length: int,
         random_source: random.Random,
-        opening: Callable[[], CapacityForecast] = always_open,
+        capacity_forecast: Callable[[], CapacityForecast] = always_available,
     ) -> None:
         """Allow at most ``length`` waiters; 0 means that nobody waits.
 
-        ``opening`` tells when the targets want requests, whatever free slots
+        ``capacity_forecast`` tells when the targets want requests, whatever free slots
         they have. Raises :class:`errors.RoutingOptionError` when ``length`` is negative.
         """
         checks.not_negative('length', length)
@@ -122,51 +122,53 @@
         self._arrivals = 0
         self._estimate = wait_estimate.WaitEstimate()
         self._next_late_s = math.inf
-        self._opening = opening
+        self._opening = capacity_forecast
 
     def __len__(self) -> int:
         """Return how many wait now."""
         return len(self._places)
 
-    def observe_service(self, service_s: float) -> None:
+    def observe_service_time(self, service_s: float) -> None:
         """Learn how long a target took for one request, in seconds."""
-        self._estimate.observe_service(service_s)
+        self._estimate.observe_service_time(service_s)
 
-    def give_up_s(self, work: QueuedRequest) -> float:
+    def latest_start_s(self, work: QueuedRequest) -> float:
         """Return the local time from which ``work`` can't be finished."""
         return work.deadline_s - self._estimate.service_s
 
-    def enter(self, waiter: Waiter) -> None:
+    def submit(self, waiter: Waiter) -> None:
         """Serve, queue or refuse a new waiter, at once.
 
         A waiter of lower priority may lose its place to it and is then
         refused in this call.
         """
-        self.serve()
-        if self._clock.monotonic_s() < waiter.work.deadline_s:
+        self.dispatch()
+        if self._clock.monotonic_s() < waiter.request.deadline_s:
             # A free slot is used even when the estimate says that it is too
             # late: were nothing sent, the estimate would never be corrected.
             target_id = waiter.choose()
             if target_id is not None:
                 waiter.grant(target_id)
                 return
-        is_late = self._clock.monotonic_s() >= waiter.work.best_begun_by_s
-        place = _Place(self._rank(waiter.work, is_late=is_late), waiter)
+        is_late = (
+            self._clock.monotonic_s() >= waiter.request.preferred_start_by_s
+        )
+        place = _Place(self._rank(waiter.request, is_late=is_late), waiter)
         ahead = bisect.bisect(self._places, place.rank, key=_rank_of)
-        if self._is_too_late(waiter.work, ahead):
+        if self._is_too_late(waiter.request, ahead):
             waiter.refuse(self._refusals.late(self._likely_wait_s()))
         elif self._make_room(waiter):
             self._places.insert(ahead, place)
             self._expect_late(place)
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Take out a waiter that was cancelled. Unknown ones are ignored."""
         for position, place in enumerate(self._places):
             if place.waiter is waiter:
                 self._places.pop(position)
                 return
 
-    def serve(self) -> None:
+    def dispatch(self) -> None:
         """Refuse whom the deadline beats, then hand out the free slots."""
         self._refuse_hopeless()
         self._refuse_without_opening()
@@ -176,7 +178,7 @@
             waiter = self._places[position].waiter
             target_id = waiter.choose()
             if target_id is None:
-                if waiter.work.takes_any:
+                if waiter.request.accepts_any_target:
                     break
                 position += 1
             else:
@@ -192,7 +194,7 @@
 
     def _expect_late(self, place: _Place) -> None:
         if not place.rank[0]:
-            late_s = place.waiter.work.best_begun_by_s
+            late_s = place.waiter.request.preferred_start_by_s
             self._next_late_s = min(self._next_late_s, late_s)
 
     def _put_late_ones_behind(self) -> None:
@@ -206,7 +208,7 @@
             return
         self._next_late_s = math.inf
         for place in self._places:
-            if now_s >= place.waiter.work.best_begun_by_s:
+            if now_s >= place.waiter.request.preferred_start_by_s:
                 place.rank = (True, *place.rank[1:])
             self._expect_late(place)
         self._places.sort(key=_rank_of)
@@ -214,8 +216,8 @@
     def _is_too_late(self, work: QueuedRequest, ahead: int) -> bool:
         now_s = self._clock.monotonic_s()
         likely_s = _CAUTION * self._estimate.wait_s(ahead)
-        least_s = self._opening().wait_behind_s(ahead)
-        return now_s + max(likely_s, least_s) >= self.give_up_s(work)
+        least_s = self._opening().min_wait_s(ahead)
+        return now_s + max(likely_s, least_s) >= self.latest_start_s(work)
 
     def _make_room(self, waiter: Waiter) -> bool:
         if len(self._places) < self._length:
@@ -223,7 +225,7 @@
         # An earlier deadline alone displaces nobody: equal callers would
         # push each other out in turn, and none would be served.
         last = self._places[-1].rank[:2] if self._places else None
-        if last is None or (False, waiter.work.priority) >= last:
+        if last is None or (False, waiter.request.priority) >= last:
             error = self._refusals.full(self._likely_wait_s(), self._length)
             waiter.refuse(error)
             return False
@@ -243,7 +245,7 @@
         position = 0
         while position < len(self._places):
             place = self._places[position]
-            if now_s < self.give_up_s(place.waiter.work):
+            if now_s < self.latest_start_s(place.waiter.request):
                 position = self._first_after(place.rank)
             else:
                 late = self._places.pop(position)
@@ -251,15 +253,15 @@
 
     def _refuse_without_opening(self) -> None:
         """Refuse those who come too late, however soon a slot is free."""
-        opening = self._opening()
-        if opening is AVAILABLE_NOW:
+        capacity_forecast = self._opening()
+        if capacity_forecast is AVAILABLE_NOW:
             return
         now_s = self._clock.monotonic_s()
         position = 0
         while position < len(self._places):
             waiter = self._places[position].waiter
-            start_s = now_s + opening.wait_behind_s(position)
-            if start_s < self.give_up_s(waiter.work):
+            start_s = now_s + capacity_forecast.min_wait_s(position)
+            if start_s < self.latest_start_s(waiter.request):
                 position += 1
             else:
                 self._places.pop(position)
@@ -274,7 +276,7 @@
 
     def _likely_wait_s(self) -> float:
         behind_all_s = self._estimate.wait_s(len(self._places) + 1)
-        least_s = self._opening().wait_behind_s(len(self._places))
+        least_s = self._opening().min_wait_s(len(self._places))
         if math.isinf(least_s):
             least_s = 0.0
         return max(behind_all_s, least_s, self._estimate.service_s)
--- a/libraries/routing/tests/cover/test_routing_budgets.py
+++ b/libraries/routing/tests/cover/test_routing_budgets.py
@@ -219,7 +219,7 @@
         retries.record_request()
     manual.advance(10)
     assert [retries.try_spend() for _ in range(3)] == [True, False, False]
-    assert not retries.has_room()
+    assert not retries.can_spend()
     manual.advance(10)
     assert retries.try_spend()
 
--- a/libraries/routing/tests/cover/test_routing_capacity_forecast.py
+++ b/libraries/routing/tests/cover/test_routing_capacity_forecast.py
@@ -14,7 +14,7 @@
 
 class Waiter:
     def __init__(self, work):
-        self.work = work
+        self.request = work
         self.error = None
 
     def choose(self):
@@ -28,14 +28,14 @@
 
 
 class Line:
-    def __init__(self, opening):
+    def __init__(self, capacity_forecast):
         self.clock = clocks.ManualClock(100.0)
-        self.opening = opening
+        self.capacity_forecast = capacity_forecast
         self.line = wait_queue.WaitQueue(
             self.clock,
             100,
             random.Random(1),
-            lambda: self.opening,
+            lambda: self.capacity_forecast,
         )
 
     def enter(self, priority=1, deadline_in_s=3.0):
@@ -44,7 +44,7 @@
                 priority, self.clock.monotonic_s() + deadline_in_s
             ),
         )
-        self.line.enter(waiter)
+        self.line.submit(waiter)
         return waiter
 
 
@@ -68,7 +68,7 @@
     line = Line(wait_queue.CapacityForecast(0.5, 1.0))
     waiters = [line.enter() for _ in range(3)]
     urgent = line.enter(priority=0)
-    line.line.serve()
+    line.line.dispatch()
     assert urgent.error is None
     assert [one.error is None for one in waiters] == [True, True, False]
 
@@ -79,8 +79,8 @@
     line = Line(wait_queue.AVAILABLE_NOW)
     waiter = line.enter()
     assert waiter.error is None
-    line.opening = wait_queue.CapacityForecast(wait_s)
-    line.line.serve()
+    line.capacity_forecast = wait_queue.CapacityForecast(wait_s)
+    line.line.dispatch()
     assert 0 < waiter.error.retry_after_s < float('inf')
 
 
--- a/libraries/routing/tests/cover/test_routing_fleet_limits.py
+++ b/libraries/routing/tests/cover/test_routing_fleet_limits.py
@@ -20,7 +20,7 @@
 CALM = ids.CustomerName('calm')
 NEWS_S = 0.2
 STEP_S = 0.02
-LEEWAY = fleet_limits.USUAL_LEEWAY
+LEEWAY = fleet_limits.DEFAULT_LEEWAY
 LIMITS = {
     HOT: fleet_bucket.Limit(40.0, 40.0),
     CALM: fleet_bucket.Limit(6.0, 6.0),
@@ -104,7 +104,7 @@
             return
         self.next_news_s += NEWS_S
         for daemon in self.daemons:
-            news = daemon.limits.take_news()
+            news = daemon.limits.take_updates()
             if not daemon.is_cut:
                 due_s = self.clock.monotonic_s() + self.delay_s
                 self.on_way.append((due_s, daemon, news))
@@ -116,7 +116,7 @@
         for _, teller, news in due:
             for daemon in self.daemons:
                 if daemon is not teller and not daemon.is_cut:
-                    daemon.limits.heard(teller.name, teller.zone, news)
+                    daemon.limits.receive_usage(teller.name, teller.zone, news)
 
 
 @pytest.mark.parametrize('seed', range(6))
@@ -191,11 +191,11 @@
     limits.set(LIMITS)
     for number in range(30):
         for spent in (1, 2):
-            limits.heard(
+            limits.receive_usage(
                 ids.InstanceId(f'beside-{number}'),
                 ids.ZoneName('z1'),
                 {CALM: fleet_bucket.Usage(spent, 6)},
-                goes_on=False,
+                sends_regularly=False,
             )
         clock.advance(0.3)
     # They let thirty through in nine seconds, and six are allowed in each.
@@ -208,8 +208,8 @@
     limits.set({CALM: fleet_bucket.Limit(1.0, 2.0)})
     for _ in range(50):
         assert not limits.take(CALM)
-        limits.give_back(CALM)
-    assert limits.take_news()[CALM].spent == 0
+        limits.refund(CALM)
+    assert limits.take_updates()[CALM].spent == 0
 
 
 def test_a_refusal_names_when_there_is_a_token_again():
@@ -226,7 +226,7 @@
 def test_customers_without_a_limit_are_not_counted():
     limits = fleet_limits.FleetLimits(clocks.ManualClock(100.0), LEEWAY)
     assert not any(limits.take(CALM) for _ in range(1000))
-    assert not limits.take_news()
+    assert not limits.take_updates()
 
 
 def test_a_lower_limit_takes_effect_in_its_time_and_a_higher_one_at_once():
@@ -271,7 +271,7 @@
     clock = clocks.ManualClock(100.0)
     limits = fleet_limits.FleetLimits(clock, LEEWAY)
     limits.set(LIMITS)
-    limits.is_informed = False
+    limits.receives_updates = False
     assert sum(not limits.take(HOT) for _ in range(40)) == 2
 
 
@@ -312,7 +312,7 @@
     clock = clocks.ManualClock(100.0)
     limits = fleet_limits.FleetLimits(clock, LEEWAY)
     limits.set({CALM: fleet_bucket.Limit(1.0, 6.0)})
-    limits.heard(
+    limits.receive_usage(
         ids.InstanceId('other'),
         ids.ZoneName('z1'),
         {CALM: fleet_bucket.Usage(3, 5)},
--- a/libraries/routing/tests/cover/test_routing_in_flight.py
+++ b/libraries/routing/tests/cover/test_routing_in_flight.py
@@ -50,7 +50,7 @@
 def test_slots_left_to_one_daemon(peers, reports, age_s, expected):
     manual, targets, chooser = _slots(peers)
     for observer, counts in reports.items():
-        targets.heard(observer, counts)
+        targets.receive_report(observer, counts)
     manual.advance(age_s)
     reserved = _reserve_all(targets, chooser)
     assert tuple(reserved.count(name) for name in _TARGETS) == expected
@@ -58,7 +58,7 @@
 
 def test_belief_in_a_report_fades_towards_the_home_slots():
     manual, targets, chooser = _slots(('p1',), slots=9)
-    targets.heard('p1', {})
+    targets.receive_report('p1', {})
     left = []
     for _ in range(20):
         reserved = _reserve_all(targets, chooser)
@@ -74,17 +74,17 @@
 
 def test_shed_replies_end_borrowing_until_requests_outweigh_them():
     manual, targets, chooser = _slots(('p1', 'p2'))
-    targets.heard('p1', {})
-    targets.heard('p2', {})
+    targets.receive_report('p1', {})
+    targets.receive_report('p2', {})
     for _ in range(2):
         targets.shed('t1')
     manual.advance(0.4)
     assert targets.reserve(chooser, ('t2', 't3')) is None
     assert targets.reserve(chooser) in {'t2', 't3'}
-    targets.heard('p1', {})
+    targets.receive_report('p1', {})
     manual.advance(6)
-    targets.heard('p1', {})
-    targets.heard('p2', {})
+    targets.receive_report('p1', {})
+    targets.receive_report('p2', {})
     assert targets.reserve(chooser, ('t2', 't3')) == 't1'
 
 
@@ -159,7 +159,7 @@
         for held in self.held:
             self.targets.release(held)
         self.clock.advance(60)
-        self.targets.heard('p1', {})
+        self.targets.receive_report('p1', {})
         records = [self.targets.find(name) for name in self.listed]
         free = {one.target_id for one in records if one.weight}
         assert {one.target_id for one in self.targets.candidates()} == free
@@ -191,7 +191,7 @@
         counts=st.dictionaries(st.sampled_from(_TARGETS), st.integers(0, 3))
     )
     def heard(self, counts):
-        self.targets.heard('p1', counts)
+        self.targets.receive_report('p1', counts)
 
     @stateful.rule(names=st.sets(st.sampled_from(_TARGETS)))
     def set_targets(self, names):
--- a/libraries/routing/tests/cover/test_routing_late_waiters.py
+++ b/libraries/routing/tests/cover/test_routing_late_waiters.py
@@ -15,7 +15,7 @@
 
 class Waiter:
     def __init__(self, line, work):
-        self.work = work
+        self.request = work
         self.line = line
         self.ended = ''
 
@@ -49,16 +49,16 @@
         work = wait_queue.QueuedRequest(
             priority,
             now_s + deadline_in_s,
-            takes_any=True,
-            best_begun_by_s=now_s + best_in_s,
+            accepts_any_target=True,
+            preferred_start_by_s=now_s + best_in_s,
         )
         waiter = Waiter(self, work)
-        self.line.enter(waiter)
+        self.line.submit(waiter)
         return waiter
 
     def serve(self, slots):
         self.free = slots
-        self.line.serve()
+        self.line.dispatch()
         return self.granted
 
 
@@ -85,7 +85,7 @@
     line.clock.advance(1.5)
     fresh = line.enter()
     line.clock.advance(0.6)
-    line.line.serve()
+    line.line.dispatch()
     assert (late.ended, fresh.ended) == ('QueueDeadlineError', '')
 
 
@@ -93,7 +93,7 @@
     line = Line(length=1)
     late = line.enter()
     line.clock.advance(1.5)
-    line.line.serve()
+    line.line.dispatch()
     fresh = line.enter()
     assert late.ended == 'DisplacedError'
     assert line.serve(1) == [fresh]
@@ -124,11 +124,15 @@
         served = line.granted[before:]
         line.free = 0
         in_time_left = any(
-            now_s < one.work.best_begun_by_s for one in waiting if not one.ended
+            now_s < one.request.preferred_start_by_s
+            for one in waiting
+            if not one.ended
         )
         if in_time_left:
-            assert all(now_s < one.work.best_begun_by_s for one in served)
+            assert all(
+                now_s < one.request.preferred_start_by_s for one in served
+            )
     line.clock.advance(10.0)
-    line.line.serve()
+    line.line.dispatch()
     assert all(one.ended for one in known)
     assert len(line.granted) == len(set(map(id, line.granted)))
--- a/libraries/routing/tests/cover/test_routing_slot_queue.py
+++ b/libraries/routing/tests/cover/test_routing_slot_queue.py
@@ -90,14 +90,14 @@
     @stateful.rule(
         priority=st.integers(0, 2),
         remaining_s=st.sampled_from([0.5, 1.0, 5.0]),
-        takes_any=st.booleans(),
+        accepts_any_target=st.booleans(),
     )
-    def arrive(self, priority, remaining_s, takes_any):
+    def arrive(self, priority, remaining_s, accepts_any_target):
         self.queue.wake()
         self._settle()
         self.arrived += 1
         deadline_s = self.clock.monotonic_s() + remaining_s
-        work = admission.QueuedRequest(priority, deadline_s, takes_any)
+        work = admission.QueuedRequest(priority, deadline_s, accepts_any_target)
         before = sorted(self.waiting, key=lambda one: one.rank)
         caller = _Caller(self, self.arrived, work)
         self.waiting.append(caller)
@@ -161,8 +161,8 @@
         assert all(one.work.deadline_s > now_s for one in self.waiting)
 
     @stateful.rule(service_s=st.sampled_from([0.01, 0.4, 10.0]))
-    def observe_service(self, service_s):
-        self.queue.observe_service(service_s)
+    def observe_service_time(self, service_s):
+        self.queue.observe_service_time(service_s)
 
     @stateful.invariant()
     def nothing_is_leaked_or_idle(self):
@@ -219,7 +219,7 @@
 
 async def test_refusals_tell_different_callers_different_times():
     _, queue, choose = _queue(0, [])
-    queue.observe_service(2.0)
+    queue.observe_service_time(2.0)
     ends = await asyncio.gather(
         *(
             queue.acquire(admission.QueuedRequest(0, 9.0), choose)
@@ -234,7 +234,7 @@
 
 async def test_work_that_can_not_be_done_in_time_is_refused_while_waiting():
     manual, queue, choose = _queue(3, [])
-    queue.observe_service(1.0)
+    queue.observe_service_time(1.0)
     waiting = asyncio.create_task(
         queue.acquire(admission.QueuedRequest(0, 2.5), choose)
     )
@@ -251,7 +251,7 @@
 
 async def test_a_free_slot_is_used_even_if_the_estimate_says_too_late():
     _, queue, choose = _queue(3, ['t1'])
-    queue.observe_service(60.0)
+    queue.observe_service_time(60.0)
     assert await queue.acquire(admission.QueuedRequest(0, 2.5), choose) == 't1'
     with pytest.raises(errors.QueueDeadlineError):
         await queue.acquire(admission.QueuedRequest(0, 2.5), choose)
--- a/libraries/workbench/src/sardinepier/workbench/detection/cost.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/cost.py
@@ -102,7 +102,7 @@
 
     def _hear_all(self, report: evidence.EvidenceReport) -> None:
         for place in range(_PEERS):
-            self._health.heard(ids.InstanceId(f'p{place}~0'), report)
+            self._health.receive_report(ids.InstanceId(f'p{place}~0'), report)
 
 
 def _timed(action: Callable[..., object], *arguments: object) -> float:
--- a/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
@@ -128,7 +128,7 @@
             _, sender, report = self._under_way.pop(0)
             for place, health in enumerate(self.daemons):
                 if place != sender:
-                    health.heard(self._observers[sender], report)
+                    health.receive_report(self._observers[sender], report)
 
     def _list_targets(self) -> None:
         listed = [
--- a/libraries/workbench/src/sardinepier/workbench/load/cost.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/cost.py
@@ -153,7 +153,7 @@
         random_source,
     )
     for _ in range(size):
-        line.enter(_Waiter(random_source))
+        line.submit(_Waiter(random_source))
     return functools.partial(_pass_through, line, random_source)
 
 
@@ -162,8 +162,8 @@
     random_source: random.Random,
 ) -> None:
     waiter = _Waiter(random_source)
-    line.enter(waiter)
-    line.leave(waiter)
+    line.submit(waiter)
+    line.remove(waiter)
 
 
 def _retry(size: int, random_source: random.Random) -> _Act:
@@ -193,10 +193,10 @@
     def __init__(self, random_source: random.Random) -> None:
         """Draw a priority and a deadline far away."""
         deadline_s = time.monotonic() + _LONG_S + random_source.random()
-        self.work = wait_queue.QueuedRequest(
+        self.request = wait_queue.QueuedRequest(
             random_source.randrange(_PRIORITIES),
             deadline_s,
-            takes_any=True,
+            accepts_any_target=True,
         )
 
     def choose(self) -> ids.TargetId | None:
--- a/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
@@ -90,10 +90,12 @@
     def queue(self, arrival: Arrival, *, is_retry: bool = False) -> None:
         """Let a request wait for a slot, the first or a further time."""
         waiter = _Waiter(self, arrival, is_retry)
-        self.line.enter(waiter)
+        self.line.submit(waiter)
         if len(self.line):
             self._start_rechecking()
-            self.events.at(self.line.give_up_s(waiter.work), self.line.serve)
+            self.events.at(
+                self.line.latest_start_s(waiter.request), self.line.dispatch
+            )
 
     def send(self, arrival: Arrival, target_id: ids.TargetId) -> None:
         """Send a request to the target at which a slot is reserved."""
@@ -136,13 +138,13 @@
         else:
             self.slots.shed(target_id)
             self._send_again(arrival)
-        self.line.serve()
+        self.line.dispatch()
 
     def _finish(self, arrival: Arrival) -> None:
         if self.events.monotonic_s() > arrival.deadline_s:
             self.end(arrival, tally.End.TIMED_OUT)
             return
-        self.line.observe_service(arrival.service_s)
+        self.line.observe_service_time(arrival.service_s)
         if arrival.fails():
             self._retry(arrival, tally.End.FAILED)
         else:
@@ -156,7 +158,7 @@
             self._retry(arrival, tally.End.SHED)
 
     def _retry(self, arrival: Arrival, otherwise: tally.End) -> None:
-        if self.retries.has_room():
+        if self.retries.can_spend():
             self.queue(arrival, is_retry=True)
         else:
             self.end(arrival, otherwise)
@@ -172,7 +174,7 @@
 
     def _recheck(self) -> None:
         self._rechecking = False
-        self.line.serve()
+        self.line.dispatch()
         if len(self.line):
             self._start_rechecking()
 
@@ -243,10 +245,10 @@
         is_retry: bool,
     ) -> None:
         """Wait at ``daemon``."""
-        self.work = wait_queue.QueuedRequest(
+        self.request = wait_queue.QueuedRequest(
             arrival.caller_class.priority,
             arrival.deadline_s,
-            takes_any=not is_retry,
+            accepts_any_target=not is_retry,
         )
         self._daemon = daemon
         self._arrival = arrival
@@ -254,7 +256,7 @@
 
     def choose(self) -> ids.TargetId | None:
         """Reserve a slot; a further attempt also needs the budget for it."""
-        if self._is_retry and not self._daemon.retries.has_room():
+        if self._is_retry and not self._daemon.retries.can_spend():
             return None
         target_id = self._daemon.slots.reserve(self._daemon.chooser)
         if target_id is not None and self._is_retry:
--- a/libraries/workbench/src/sardinepier/workbench/load/simulation.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulation.py
@@ -100,8 +100,8 @@
         def _deliver() -> None:  # noqa: WPS430 - an event's closure
             for other, daemon in self._daemons.items():
                 if other != observer:
-                    daemon.slots.heard(observer, counts)
-                    daemon.line.serve()
+                    daemon.slots.receive_report(observer, counts)
+                    daemon.line.dispatch()
 
         self._events.after(latency_s, _deliver)
         self._report_after(
--- a/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
@@ -117,9 +117,9 @@
                 services=held,
                 quarantine=quarantine.Quarantine(clock),
                 activity=activity,
-                decisions=decision_log.DecisionLog(held, clock),
-                measures=entry_metrics.RequestMetrics(),
-                held_bytes=buffer_budget.BufferBudget(),
+                decision_log=decision_log.DecisionLog(held, clock),
+                metrics=entry_metrics.RequestMetrics(),
+                buffer_budget=buffer_budget.BufferBudget(),
             ),
         )
         self._beats = asyncio.ensure_future(self._sharing.run())
@@ -137,7 +137,7 @@
 
     def _outcome_seen(self, is_good: bool) -> None:
         if not is_good:
-            self._sharing.stir()
+            self._sharing.request_early_beat()
 
 
 def member_of(number: int, zone: str) -> fleet.Member:
--- a/libraries/zones/src/sardinepier/zones/carriers.py
+++ b/libraries/zones/src/sardinepier/zones/carriers.py
@@ -60,7 +60,7 @@
         """Tell whether this daemon is one of its zone's carriers."""
         return self.own_rank() < self._count
 
-    def stand_down(self) -> bool:
+    def hand_over(self) -> bool:
         """Let another daemon carry the zone in place of this one.
 
         Returns whether there is one. One handover at a time: where the next
@@ -111,7 +111,7 @@
             for member in members[:each]
         )
 
-    def neighbours(self) -> ranking.Members:
+    def zone_peers(self) -> ranking.Members:
         """Return the other living daemons of the own zone."""
         own = self._fleet.own
         return tuple(
@@ -134,9 +134,9 @@
         return ordered[0].instance_id if ordered else None
 
 
-def beside_own(chosen: Carriers) -> ranking.Members:
+def other_carriers(chosen: Carriers) -> ranking.Members:
     """Return the carriers of the own zone but for this daemon."""
-    neighbours = chosen.neighbours()
+    zone_peers = chosen.zone_peers()
     return tuple(
-        member for member in chosen.of_own_zone() if member in neighbours
+        member for member in chosen.of_own_zone() if member in zone_peers
     )
--- a/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
@@ -95,17 +95,17 @@
 
     def _carrier(self) -> ranking.Members:
         """Return one of the other carriers of the zone, if there are any."""
-        others = carriers.beside_own(self._carriers)
+        others = carriers.other_carriers(self._carriers)
         return (self._random.choice(others),) if others else self._wider()
 
     def _wider(self) -> ranking.Members:
-        neighbours = self._carriers.neighbours()
+        zone_peers = self._carriers.zone_peers()
         drawn = self._random.sample(
-            neighbours,
-            min(_MOST_NEIGHBOURS, len(neighbours)),
+            zone_peers,
+            min(_MOST_NEIGHBOURS, len(zone_peers)),
         )
         return (
-            *carriers.beside_own(self._carriers),
+            *carriers.other_carriers(self._carriers),
             *self._carriers.of_other_zones(),
             *drawn,
         )
@@ -143,4 +143,4 @@
         version, _ = self._held.versions()
         if reply.configuration_version <= version:
             confirmed_ms = reply.asked_ms - reply.age_ms
-            self._held.confirmation.note(confirmed_ms / _MS_PER_S)
+            self._held.confirmation.confirm(confirmed_ms / _MS_PER_S)
--- a/libraries/zones/src/sardinepier/zones/estimate_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_sharing.py
@@ -50,7 +50,7 @@
         self._other_stated = statements.for_other_zones(held, clock)
         self._other_news_due_s = clock.monotonic_s()
         self._sign_due_s = clock.monotonic_s()
-        self.lost_zones = unreachable_zones.UnreachableZones(clock)
+        self.unreachable_zones = unreachable_zones.UnreachableZones(clock)
         peer_network.subscribe(messages.BeliefReport, self._on_report)
 
     def for_own_zone(self) -> tuple[messages.TargetEstimate, ...]:
@@ -120,7 +120,7 @@
         report: messages.BeliefReport,
     ) -> None:
         if zone is not None:
-            self.lost_zones.heard(zone)
+            self.unreachable_zones.heard(zone)
         self._take_in(report, target_record.ObservationSource.OTHER_ZONE)
 
     def _take_in(
