--- a/libraries/zones/src/sardinepier/zones/estimate_updates.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_updates.py
@@ -49,7 +49,7 @@
         for pool in self._held.pools():
             for record in pool.targets.records():
                 target_id = record.listed.target_id
-                seen_s = record.belief.updated_s
+                seen_s = record.estimate.updated_s
                 before_s = told_before_s.get(target_id, self._began_s)
                 self._told_s[target_id] = max(before_s, seen_s)
                 if seen_s > before_s and record.belief_source in self._sources:
@@ -69,9 +69,12 @@
                 self._held.belief_options, now_s
             )
             self._told[news.target_id] = told
-        elif abs(told.failing(now_s) - news.failing) < self._least_change:
+        elif (
+            abs(told.failing_probability(now_s) - news.failing)
+            < self._least_change
+        ):
             return False
-        told.take(news.failing, now_s)
+        told.adopt(news.failing, now_s)
         return True
 
 
@@ -118,8 +121,8 @@
         seen_s = now_s - one.age_ms / _MS_PER_S
         if record is None or now_s - seen_s > _OLDEST_NEWS_S:
             continue
-        if seen_s > record.belief.updated_s:
-            record.belief.take(one.failing, seen_s)
+        if seen_s > record.estimate.updated_s:
+            record.estimate.adopt(one.failing, seen_s)
             record.belief_source = source
 
 
@@ -129,6 +132,6 @@
 ) -> messages.TargetEstimate:
     return messages.TargetEstimate(
         record.listed.target_id,
-        round(record.belief.failing(now_s), 3),
-        round((now_s - record.belief.updated_s) * _MS_PER_S),
+        round(record.estimate.failing_probability(now_s), 3),
+        round((now_s - record.estimate.updated_s) * _MS_PER_S),
     )
--- a/libraries/zones/src/sardinepier/zones/expired_entries.py
+++ b/libraries/zones/src/sardinepier/zones/expired_entries.py
@@ -106,12 +106,12 @@
         fresh = self._without_those_that_left(held, fresh)
         if held is None or now_s >= self._keep_until_s:
             return fresh
-        listed = {target.own_name for target in fresh.targets}
+        listed = {target.stable_name for target in fresh.targets}
         lapsed = tuple(
             target
             for target in held.targets
-            if target.own_name not in listed
-            and target.own_name not in unusable
+            if target.stable_name not in listed
+            and target.stable_name not in unusable
             and target.state is model.TargetState.READY
         )
         return model.TargetList(fresh.revision, fresh.targets + lapsed)
@@ -123,8 +123,8 @@
     ) -> None:
         """Take in whether the platform was restored since the last reading."""
         before = self._read_era
-        self._read_era = fresh.era
-        if held is None or before is None or fresh.era <= before:
+        self._read_era = fresh.epoch
+        if held is None or before is None or fresh.epoch <= before:
             return
         now_s = self._clock.monotonic_s()
         self._keep_until_s = now_s + _BACK_WITHIN_S
--- a/libraries/zones/src/sardinepier/zones/handover.py
+++ b/libraries/zones/src/sardinepier/zones/handover.py
@@ -47,7 +47,7 @@
     def begin(self) -> bool:
         """Stand down if that is due; tell whether this daemon now does."""
         lost = self._lost()
-        if not lost or not self._carriers.stand_down():
+        if not lost or not self._carriers.hand_over():
             return False
         logs.tell(events.ZoneHandedOver(out_of_reach=lost))
         return True
@@ -69,4 +69,4 @@
 def _is_lost(record: target_record.TargetRecord, now_s: float) -> bool:
     if record.failed_connects < _LEAST_CONNECTS:
         return False
-    return record.belief.failing(now_s) < _FAILING
+    return record.estimate.failing_probability(now_s) < _FAILING
--- a/libraries/zones/src/sardinepier/zones/limit_parts.py
+++ b/libraries/zones/src/sardinepier/zones/limit_parts.py
@@ -24,12 +24,12 @@
     def assign(self) -> None:
         """Decide anew for all targets that name a limit."""
         for pool in self._held.pools():
-            for record in pool.targets.asking():
-                limit_per_s = record.stated.newest.limit_per_s
+            for record in pool.targets.with_statements():
+                limit_per_s = record.statements.newest.limit_per_s
                 if limit_per_s is not None:
                     target_id = record.listed.target_id
                     senders = self._senders(target_id, record.listed.zone)
-                    record.stated.part = limit_parts.part_of(
+                    record.statements.part = limit_parts.part_of(
                         self._carriers.own_id,
                         [member.instance_id for member in senders],
                         target_id,
@@ -50,5 +50,5 @@
             return found
         first = (*found[:1], *self._carriers.of_other_zones())
         zones = {one.zone for one in first}
-        instead = rendezvous.first(limit_parts.key_of(target_id), zones, 1)
+        instead = rendezvous.first(limit_parts.ranking_key(target_id), zones, 1)
         return self._carriers.of_zone(ids.ZoneName(instead[0]))
--- a/libraries/zones/src/sardinepier/zones/messages.py
+++ b/libraries/zones/src/sardinepier/zones/messages.py
@@ -117,12 +117,12 @@
 class UsageNews(messages.Message, frozen=True):
     """All customers of whom the sender let any through since its last news.
 
-    ``goes_on`` says that the sender tells again soon, with news or without.
+    ``sends_regularly`` says that the sender tells again soon, with news or without.
     ``age_ms`` is how long ago it started to count.
     """
 
     usages: tuple[CustomerUsage, ...]
-    goes_on: bool
+    sends_regularly: bool
     age_ms: int
 
 
--- a/libraries/zones/src/sardinepier/zones/platform_reader.py
+++ b/libraries/zones/src/sardinepier/zones/platform_reader.py
@@ -80,7 +80,7 @@
         self._shared = shared
         self._clock = clock
         self._random = random_source
-        self.passed_over = unusable_entries.UnusableEntries()
+        self.unusable_entries = unusable_entries.UnusableEntries()
         self._failures = 0
         meets_s = random_source.uniform(*_MEETS_S)
         self._met_s = clock.monotonic_s() + meets_s
@@ -131,7 +131,7 @@
 
     def _is_waited_for(self) -> bool:
         """Tell whether requests wait for a confirmation that nobody gives."""
-        waited_s = self._held.confirmation.waited_s()
+        waited_s = self._held.confirmation.longest_wait_s()
         return waited_s is not None and waited_s > _OTHERS_ANSWER_S
 
     def _has_met(self) -> bool:
@@ -151,7 +151,7 @@
         except errors.PlatformError as error:
             self._lost(error)
             return
-        self.passed_over.take(reading.unusable)
+        self.unusable_entries.take(reading.unusable)
         if reading.configuration is not None:
             self._shared.take_configuration(reading.configuration)
         if not allow_stale:
@@ -161,7 +161,7 @@
                 unusable=_names_of(reading.unusable),
             )
             if reading.configuration and not self._guard.is_restoring():
-                self._held.confirmation.note(confirms_s)
+                self._held.confirmation.confirm(confirms_s)
             self._regained()
             self._tell_slow(asked_s)
         elif self._held.targets is None:
--- a/libraries/zones/src/sardinepier/zones/sharing.py
+++ b/libraries/zones/src/sardinepier/zones/sharing.py
@@ -121,7 +121,7 @@
         if age_ms is not None:
             self._beat_to_all(_Notice(reading_age_ms=age_ms))
 
-    def stir(self) -> None:
+    def request_early_beat(self) -> None:
         """Beat soon: a target has just failed."""
         self._stirred.set()
 
@@ -157,12 +157,12 @@
 
         First carriers alone hear of other zones.
         """
-        lost_zones = self._telling.lost_zones
+        unreachable_zones = self._telling.unreachable_zones
         if self._carriers.is_first():
             self._telling.to_other_zones()
         else:
-            lost_zones.forget()
-        self._held.set_lost_zones(lost_zones.names())
+            unreachable_zones.forget()
+        self._held.set_unreachable_zones(unreachable_zones.names())
 
     async def _wait(self) -> None:
         left_s = availability.BEAT_INTERVAL_S - _LEAST_INTERVAL_S
--- a/libraries/zones/src/sardinepier/zones/statements.py
+++ b/libraries/zones/src/sardinepier/zones/statements.py
@@ -61,18 +61,18 @@
         told: '_Told',
         now_s: float,
     ) -> bool:
-        if now_s - record.stated.heard_s >= _OLDEST_NEWS_S:
+        if now_s - record.statements.received_s >= _OLDEST_NEWS_S:
             return False
-        source = record.stated_source
-        if told.differs_from(record.stated.newest):
+        source = record.statements_source
+        if told.differs_from(record.statements.newest):
             return source in self._sources or source in self._relayed
         if source not in self._sources:
             return False
         if now_s - told.at_s < _AGAIN_S:
             return False
         # A target that leaves is not heard again, and news may be lost.
-        is_newer = record.stated.heard_s > told.heard_s
-        return is_newer or record.stated.newest.is_leaving
+        is_newer = record.statements.received_s > told.heard_s
+        return is_newer or record.statements.newest.is_leaving
 
 
 class _Told:
@@ -86,8 +86,10 @@
         at_s: float,
     ) -> None:
         self.at_s = at_s
-        self.heard_s = record.stated.heard_s if record else at_s
-        self.statement = record.stated.newest if record else statements.SILENT
+        self.heard_s = record.statements.received_s if record else at_s
+        self.statement = (
+            record.statements.newest if record else statements.SILENT
+        )
 
     def differs_from(self, newest: statements.Statement) -> bool:
         """Tell whether others would go by something else now."""
@@ -144,12 +146,12 @@
         age_s = one.age_ms / _MS_PER_S
         if table is None or record is None or age_s > _OLDEST_NEWS_S:
             continue
-        if one.is_leaving or now_s - age_s > record.stated.heard_s:
+        if one.is_leaving or now_s - age_s > record.statements.received_s:
             told = statements.Statement(
                 is_leaving=one.is_leaving,
                 limit_per_s=one.limit_per_s,
             )
-            table.hear(record, told, now_s - age_s, source)
+            table.apply_statement(record, told, now_s - age_s, source)
 
 
 def _with_statements(
@@ -158,7 +160,10 @@
     return [
         record
         for pool in held.pools()
-        for record in (*pool.targets.asking(), *pool.targets.left())
+        for record in (
+            *pool.targets.with_statements(),
+            *pool.targets.departed(),
+        )
     ]
 
 
@@ -168,7 +173,7 @@
 ) -> messages.StatementUpdate:
     return messages.StatementUpdate(
         record.listed.target_id,
-        round((now_s - record.stated.heard_s) * _MS_PER_S),
-        record.stated.newest.limit_per_s,
-        record.stated.newest.is_leaving,
+        round((now_s - record.statements.received_s) * _MS_PER_S),
+        record.statements.newest.limit_per_s,
+        record.statements.newest.is_leaving,
     )
--- a/libraries/zones/src/sardinepier/zones/unusable_entries.py
+++ b/libraries/zones/src/sardinepier/zones/unusable_entries.py
@@ -21,18 +21,18 @@
 class UnusableEntries:
     """Tells what changes among the entries that can't be read.
 
-    ``entries`` is how many of the newest reading were passed over.
+    ``count`` is how many of the newest reading were passed over.
     """
 
     def __init__(self) -> None:
         """Start without any."""
-        self.entries = 0
+        self.count = 0
         self._told: dict[str, str] = {}
 
     def take(self, unusable: Iterable[platform_state.UnusableEntry]) -> None:
         """Take in what the newest reading had."""
         now = {one.key: one.what[:_MOST_CHARACTERS] for one in unusable}
-        self.entries = len(now)
+        self.count = len(now)
         for key in self._told.keys() - now.keys():
             del self._told[key]
             logs.tell(events.EntryUsable(key=key[:_MOST_CHARACTERS]))
--- a/libraries/zones/src/sardinepier/zones/updates.py
+++ b/libraries/zones/src/sardinepier/zones/updates.py
@@ -121,7 +121,7 @@
 
     def to_all(self, message: wire_messages.Message) -> None:
         """Send to all other daemons of the zone."""
-        for member in self._carriers.neighbours():
+        for member in self._carriers.zone_peers():
             self._network.send(member.peer_address, message)
 
     def _on_request(
--- a/libraries/zones/src/sardinepier/zones/usage_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/usage_sharing.py
@@ -44,32 +44,32 @@
 
     def step(self) -> None:
         """Tell what is new, if it is time and anybody has a limit."""
-        if self._limits.is_empty:
+        if self._limits.has_no_limits:
             return
-        self._limits.is_informed = self._carriers.is_carrier()
+        self._limits.receives_updates = self._carriers.is_carrier()
         now_s = self._clock.monotonic_s()
         if now_s < self._due_s:
             return
         self._due_s = now_s + _INTERVAL_S
         others = (
-            *carriers.beside_own(self._carriers),
+            *carriers.other_carriers(self._carriers),
             *self._carriers.of_other_zones(self._carriers.count),
         )
         named = frozenset(member.instance_id for member in others)
         # Those who were not told before have to know of all that was let
         # through: after a start nobody is known for a while.
-        news = self._limits.take_news(is_all=not named <= self._told)
+        news = self._limits.take_updates(is_all=not named <= self._told)
         self._told = named
-        goes_on = self._carriers.is_carrier()
-        if not news and not goes_on and not self._went_on:
+        sends_regularly = self._carriers.is_carrier()
+        if not news and not sends_regularly and not self._went_on:
             return
-        self._went_on = goes_on
+        self._went_on = sends_regularly
         told = messages.UsageNews(
             tuple(
                 messages.CustomerUsage(customer, usage.spent, usage.level)
                 for customer, usage in news.items()
             ),
-            goes_on,
+            sends_regularly,
             int(self._limits.age_s() * _MS_PER_S),
         )
         for member in others:
@@ -83,13 +83,13 @@
         zone = self._carriers.zone_of(sender.instance_id)
         if zone is None:
             return
-        self._limits.heard(
+        self._limits.receive_usage(
             sender.instance_id,
             zone,
             {
                 told.customer: fleet_bucket.Usage(told.spent, told.level)
                 for told in news.usages
             },
-            goes_on=news.goes_on,
+            sends_regularly=news.sends_regularly,
             age_s=news.age_ms / _MS_PER_S,
         )
--- a/libraries/zones/src/sardinepier/zones/zone_load.py
+++ b/libraries/zones/src/sardinepier/zones/zone_load.py
@@ -42,12 +42,12 @@
     """What a daemon has had to do since its start; numbers that only grow."""
 
     @property
-    def begun(self) -> int:
+    def requests_started(self) -> int:
         """Return the requests."""
         ...
 
     @property
-    def passed_bytes(self) -> int:
+    def forwarded_bytes(self) -> int:
         """Return the bytes of requests and answers, each counted once."""
         ...
 
@@ -71,8 +71,8 @@
         """Take what passed since the start from ``traffic``."""
         self._clock = clock
         self._traffic = traffic
-        self._begun_before = traffic.begun
-        self._bytes_before = traffic.passed_bytes
+        self._begun_before = traffic.requests_started
+        self._bytes_before = traffic.forwarded_bytes
         self._measured_s = clock.monotonic_s()
         self._requests_per_s = 0.0
         self._kbit_per_s = 0.0
@@ -144,8 +144,8 @@
         if passed_s <= 0:
             return
         weight = 1 - math.exp(-passed_s / _RATE_TIME_S)
-        begun = self._traffic.begun
-        passed_bytes = self._traffic.passed_bytes
+        begun = self._traffic.requests_started
+        passed_bytes = self._traffic.forwarded_bytes
         per_s = (begun - self._begun_before) / passed_s
         bits = _BITS * (passed_bytes - self._bytes_before)
         self._requests_per_s += weight * (per_s - self._requests_per_s)
--- a/libraries/zones/tests/cover/test_zones_carriers.py
+++ b/libraries/zones/tests/cover/test_zones_carriers.py
@@ -202,12 +202,12 @@
     for name in names:
         record = daemon.held.pool(given.SERVICE).targets.find(name)
         for _ in range(times):
-            record.not_reached(daemon.clock.monotonic_s())
+            record.mark_unreachable(daemon.clock.monotonic_s())
 
 
 def find_way(daemon, *names):
     for name in names:
-        daemon.held.pool(given.SERVICE).targets.find(name).reached()
+        daemon.held.pool(given.SERVICE).targets.find(name).mark_reachable()
 
 
 async def test_the_strongest_carry_and_others_only_without_them(zone):
--- a/libraries/zones/tests/cover/test_zones_confirming.py
+++ b/libraries/zones/tests/cover/test_zones_confirming.py
@@ -95,7 +95,7 @@
     zone.clock.advance(2.0)
     for one in zone.daemons:
         if one is not asker:
-            one.held.confirmation.note(zone.clock.boot_s())
+            one.held.confirmation.confirm(zone.clock.boot_s())
     zone.hub.deliver()
     assert held.age_s() == pytest.approx(2.0, abs=0.002)
     zone.clock.advance(3.1)
@@ -124,7 +124,7 @@
     # Its own clock alone: the others were awake.
     clock = given.clocks.ManualClock(zone.clock.monotonic_s())
     sleeper.held.confirmation = confirmation.Confirmation(clock, BOUND_S)
-    sleeper.held.confirmation.note(clock.boot_s())
+    sleeper.held.confirmation.confirm(clock.boot_s())
     clock.suspend(6.0)
     assert not sleeper.held.confirmation.is_valid()
 
--- a/libraries/zones/tests/cover/test_zones_estimates.py
+++ b/libraries/zones/tests/cover/test_zones_estimates.py
@@ -39,7 +39,7 @@
     zone = given.Zone(count=3, zones=('z1', 'zone2'))
     await given.with_targets(zone)
     # Failures that come at once make all but sure, both times alike.
-    zone.carrier().held.pool(given.SERVICE).usual_s = 0.2
+    zone.carrier().held.pool(given.SERVICE).typical_latency_s = 0.2
     given.fail(zone.carrier(), 't1')
     await zone.run(3.0)
     given.fail(zone.carrier(), 't1')
@@ -47,7 +47,7 @@
     await zone.run(1.0)
     other = zone.find(zone.daemons[-1].carriers.of_own_zone()[0])
     record = other.held.pool(given.SERVICE).targets.find('t1')
-    assert record.belief.updated_s == pytest.approx(again_s, abs=0.3)
+    assert record.estimate.updated_s == pytest.approx(again_s, abs=0.3)
 
 
 async def test_what_was_seen_later_is_believed(zone):
@@ -89,7 +89,7 @@
     await zone.run(3.0)
     for one in zone.daemons:
         record = one.held.pool(given.SERVICE).targets.find('t1')
-        assert record.belief.updated_s == pytest.approx(seen_s, abs=0.3)
+        assert record.estimate.updated_s == pytest.approx(seen_s, abs=0.3)
 
 
 async def test_a_target_nobody_asked_is_no_news(zone):
--- a/libraries/zones/tests/cover/test_zones_limits.py
+++ b/libraries/zones/tests/cover/test_zones_limits.py
@@ -16,7 +16,7 @@
 
 
 def hear(daemon, limit_per_s, *, is_leaving=False):
-    daemon.held.pool(given.SERVICE).targets.hear(
+    daemon.held.pool(given.SERVICE).targets.apply_statement(
         record_of(daemon),
         statements.Statement(is_leaving=is_leaving, limit_per_s=limit_per_s),
         daemon.clock.monotonic_s(),
@@ -25,11 +25,11 @@
 
 
 def limits(daemons):
-    return {record_of(one).stated.newest.limit_per_s for one in daemons}
+    return {record_of(one).statements.newest.limit_per_s for one in daemons}
 
 
 def parts(daemons):
-    return [record_of(one).stated.part for one in daemons]
+    return [record_of(one).statements.part for one in daemons]
 
 
 async def zones_with_a_target(*zones):
@@ -137,4 +137,4 @@
 
 def _opens_in_s(daemon):
     now_s = daemon.clock.monotonic_s()
-    return record_of(daemon).stated.opens_at_s(now_s) - now_s
+    return record_of(daemon).statements.opens_at_s(now_s) - now_s
--- a/libraries/zones/tests/cover/test_zones_load.py
+++ b/libraries/zones/tests/cover/test_zones_load.py
@@ -13,14 +13,14 @@
 
     def __init__(self):
         self.clock = clocks.ManualClock(100.0)
-        self.begun = 0
-        self.passed_bytes = 0
+        self.requests_started = 0
+        self.forwarded_bytes = 0
         self.load = zone_load.ZoneLoad(self.clock, self)
 
     def serve(self, per_s, seconds, answer_bytes=0):
         for _ in range(round(seconds * 4)):
-            self.begun += per_s / 4
-            self.passed_bytes += per_s / 4 * answer_bytes
+            self.requests_started += per_s / 4
+            self.forwarded_bytes += per_s / 4 * answer_bytes
             self.clock.advance(0.25)
             self.load.own()
 
--- a/libraries/zones/tests/cover/test_zones_non_carriers.py
+++ b/libraries/zones/tests/cover/test_zones_non_carriers.py
@@ -14,14 +14,14 @@
     return given.Zone(count=4)
 
 
-def chosen(daemon, *, is_last=False):
+def chosen(daemon, *, is_final_attempt=False):
     """Return who gets a request that comes to a daemon now."""
     now_s = daemon.clock.monotonic_s()
     pool = daemon.held.pool(given.SERVICE)
-    wish = attempt_requirements.AttemptRequirements(
-        (), 0, now_s, now_s + 0.3, is_last
+    requirements = attempt_requirements.AttemptRequirements(
+        (), 0, now_s, now_s + 0.3, is_final_attempt
     )
-    record = pool.try_acquire(wish)
+    record = pool.try_acquire(requirements)
     pool.release(record)
     return record.listed.target_id
 
@@ -53,7 +53,7 @@
         await zone.run(0.05)
     await zone.run(0.3)
     others = [one for one in zone.daemons if not one.carriers.is_carrier()]
-    assert len({chosen(one, is_last=True) for one in others}) >= 4
+    assert len({chosen(one, is_final_attempt=True) for one in others}) >= 4
 
 
 async def test_a_newcomer_that_the_zone_has_used_waits_for_no_first_request(
@@ -73,4 +73,4 @@
     beside = next(one for one in zone.living())
     record = beside.held.pool(given.SERVICE).targets.find('new')
     assert record.belief_source is target_record.ObservationSource.ZONE
-    assert chosen(beside, is_last=True) != 'new'
+    assert chosen(beside, is_final_attempt=True) != 'new'
--- a/libraries/zones/tests/cover/test_zones_platform_restore.py
+++ b/libraries/zones/tests/cover/test_zones_platform_restore.py
@@ -11,7 +11,7 @@
 from sardinepier.entry import confirmation, model
 
 BOUND_S = 5.0
-ERA = model.REVISIONS_PER_ERA
+ERA = model.REVISIONS_PER_EPOCH
 
 
 @pytest.fixture
--- a/libraries/zones/tests/cover/test_zones_reading.py
+++ b/libraries/zones/tests/cover/test_zones_reading.py
@@ -169,7 +169,9 @@
         platform_state.UnusableEntry('servers/t9', 'not json', 't9'),
     )
     await zone.run(5.0)
-    readers = [one for one in zone.daemons if one.reading.passed_over.entries]
+    readers = [
+        one for one in zone.daemons if one.reading.unusable_entries.count
+    ]
     assert readers
     assert told.count(
         events.EntryUnusable(key='servers/t9', what='not json')
--- a/libraries/zones/tests/cover/test_zones_unreachable_zone.py
+++ b/libraries/zones/tests/cover/test_zones_unreachable_zone.py
@@ -36,7 +36,7 @@
 def leave_far_idle(zone):
     """Let the other zone's target seem idle: only changes of it are told."""
     record = here(zone).held.pool(given.SERVICE).targets.find('far')
-    record.belief.take(0.05, zone.clock.monotonic_s() - 1.8)
+    record.estimate.adopt(0.05, zone.clock.monotonic_s() - 1.8)
 
 
 async def with_targets_of_both(zone):
@@ -59,7 +59,7 @@
     pool = daemon.held.pool(given.SERVICE)
     record = pool.try_acquire(
         attempt_requirements.AttemptRequirements(
-            (), 0, now_s, now_s + 0.3, is_last=True
+            (), 0, now_s, now_s + 0.3, is_final_attempt=True
         ),
     )
     pool.release(record)
@@ -113,10 +113,10 @@
     await with_targets_of_both(zone)
     former = here(zone)
     await pass_time(zone, 1.0)
-    former.carriers.stand_down()
+    former.carriers.hand_over()
     former.sharing.step()
     await zone.run(2.0)
-    assert not former.held.pool(given.SERVICE).lost_zones
+    assert not former.held.pool(given.SERVICE).unreachable_zones
 
 
 async def test_after_a_handover_no_zone_is_taken_for_lost(zone):
@@ -128,17 +128,17 @@
     await with_targets_of_both(zone)
     await pass_time(zone, 1.0)
     former = here(zone)
-    former.carriers.stand_down()
+    former.carriers.hand_over()
     for one in zone.daemons:
         if one.own.zone == 'z1':
             one.carriers.fitness.stands_down(former.own.instance_id)
     for _ in range(12):
         await pass_time(zone, 0.25)
         assert here(zone) is not former
-        assert not here(zone).held.pool(given.SERVICE).lost_zones
+        assert not here(zone).held.pool(given.SERVICE).unreachable_zones
     lose_second_zone(zone)
     await pass_time(zone, 1.25)
-    assert here(zone).held.pool(given.SERVICE).lost_zones == {'zone2'}
+    assert here(zone).held.pool(given.SERVICE).unreachable_zones == {'zone2'}
 
 
 async def test_one_that_takes_over_from_a_dead_one_takes_no_zone_for_lost(
@@ -151,7 +151,7 @@
         await zone.run(0.25)
         for one in zone.living():
             # The zone itself is silent for as long as it takes to take over.
-            lost = one.held.pool(given.SERVICE).lost_zones
+            lost = one.held.pool(given.SERVICE).unreachable_zones
             assert 'zone2' not in lost
 
 
--- a/libraries/zones/tests/cover/test_zones_usage.py
+++ b/libraries/zones/tests/cover/test_zones_usage.py
@@ -75,7 +75,7 @@
     zone = await limited_zones()
     first, second = carriers_of(zone)
     await let_through(zone, (first, second), 3.0)
-    first.held.limits.is_informed = False
+    first.held.limits.receives_updates = False
     assert first.held.limits._knows_others(zone.clock.monotonic_s())
 
 
--- a/libraries/zones/tests/zones_support.py
+++ b/libraries/zones/tests/zones_support.py
@@ -153,8 +153,8 @@
 
     def __init__(self, zone, own):
         self.own = own
-        self.begun = 0
-        self.passed_bytes = 0
+        self.requests_started = 0
+        self.forwarded_bytes = 0
         self.per_s = 0
         self.clock = zone.clock
         self.held = service_registry.ServiceRegistry(
@@ -258,7 +258,7 @@
         """Let all daemons do what they do within so many seconds."""
         for step in range(round(seconds / step_s)):
             for one in self.living():
-                one.begun += one.per_s * step_s
+                one.requests_started += one.per_s * step_s
                 one.read_on()
                 await asyncio.sleep(0)
                 if step % 5 == 0:
@@ -280,7 +280,7 @@
 
 def failing(daemon, name):
     record = daemon.held.pool(SERVICE).targets.find(name)
-    return record.belief.failing(daemon.clock.monotonic_s())
+    return record.estimate.failing_probability(daemon.clock.monotonic_s())
 
 
 def crowd(zone, name):
--- a/tests/adapter/test_adapter_store.py
+++ b/tests/adapter/test_adapter_store.py
@@ -107,7 +107,7 @@
         standin.put('servers/i-7', given.worker(born=born))
         reading = await client.read(allow_stale=False)
         found.extend(reading.targets.targets)
-    assert [one.own_name for one in found] == ['i-7', 'i-7']
+    assert [one.stable_name for one in found] == ['i-7', 'i-7']
     assert found[0].target_id != found[1].target_id
     assert found[0].born_ms < found[1].born_ms
 
@@ -273,7 +273,7 @@
     standin.restore()
     after = await client.read(allow_stale=False)
     assert after.targets.revision > before.targets.revision
-    assert after.targets.era == before.targets.era + 1
+    assert after.targets.epoch == before.targets.epoch + 1
     assert after.configuration.version == 7
 
 
@@ -321,7 +321,7 @@
         model.Customer(
             'library',
             tuple(
-                credentials.digest_of(key) for key in ('secret-1', 'secret-2')
+                credentials.key_digest(key) for key in ('secret-1', 'secret-2')
             ),
             priority=1,
             rate_per_s=72,
