--- a/libraries/daemon/src/sardinepier/daemon/entry_process.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_process.py
@@ -176,7 +176,7 @@
         if self._tasks.failure is not None:
             raise self._tasks.failure
         counted = self._network.counters()
-        logs.tell(
+        logs.write(
             entry_events.Stopped(
                 in_hand=self._activity.in_flight,
                 peer_messages_sent=counted.messages_sent,
@@ -212,7 +212,7 @@
             self._reading,
         )
         beside = await self._listen_beside(figures)
-        logs.tell(entry_parts.started(self._settings))
+        logs.write(entry_parts.started(self._settings))
         gc.collect()
         gc.freeze()
         await self._stop.wait()
@@ -264,7 +264,7 @@
         still serves whoever comes, and asks them to close.
         """
         until_s = self._clock.monotonic_s() + self._settings.bounds.grace_s
-        logs.tell(
+        logs.write(
             entry_events.Stopping(
                 in_hand=self._activity.in_flight,
                 grace_s=self._settings.bounds.grace_s,
@@ -332,7 +332,7 @@
 
 
 def _tell_configuration(configuration: model.ServedConfiguration) -> None:
-    logs.tell(
+    logs.write(
         entry_events.ConfigurationInForce(
             version=configuration.version,
             routes=len(configuration.routes),
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
@@ -115,7 +115,7 @@
 
 def _tell(event: events.MemberEvent) -> None:
     # At debug: each daemon hears of each other one, all over the fleet.
-    logs.tell(
+    logs.write(
         entry_events.MemberChanged(
             change=type(event).__name__,
             member=event.instance_id,
--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -70,7 +70,7 @@
             in_flight=record.in_flight(now_s),
         )
         if self._sent.allows():
-            logs.tell(self._sent_line(item, choice, now_s), is_routine=True)
+            logs.write(self._sent_line(item, choice, now_s), is_routine=True)
         return choice
 
     def log_statement(
@@ -83,7 +83,7 @@
         if not self._failed.allows():
             return
         rest_s = statement.backoff_until_s - self._clock.monotonic_s()
-        logs.tell(
+        logs.write(
             events.TargetStated(
                 request_id=item.request_id,
                 service=item.service,
@@ -108,7 +108,7 @@
         """Tell that an attempt failed."""
         if not self._failed.allows():
             return
-        logs.tell(
+        logs.write(
             events.AttemptFailed(
                 request_id=item.request_id,
                 route=item.route.name,
@@ -131,14 +131,14 @@
         if item is not None and is_plain and item.attempts == 1:
             return
         if self._failed.allows():
-            logs.tell(self._ended_line(request_id, item, end))
+            logs.write(self._ended_line(request_id, item, end))
 
     def log_dropped(self) -> None:
         """Tell how many lines were left out since the last call, if any."""
         sent = self._sent.take_dropped()
         failed = self._failed.take_dropped()
         if sent or failed:
-            logs.tell(events.LinesDropped(sent=sent, failed=failed))
+            logs.write(events.LinesDropped(sent=sent, failed=failed))
 
     def _sent_line(
         self,
--- a/libraries/entry/src/sardinepier/entry/service_registry.py
+++ b/libraries/entry/src/sardinepier/entry/service_registry.py
@@ -214,7 +214,7 @@
         if before == after:
             return
         draining = model.TargetState.DRAINING
-        logs.tell(
+        logs.write(
             events.TargetsChanged(
                 revision=offered.revision,
                 age_ms=self.targets_age_ms(),
--- a/libraries/telemetry/src/sardinepier/telemetry/line_budget.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/line_budget.py
@@ -15,7 +15,7 @@
 
         budget = LineBudget(clock, per_s=50, burst=100)
         if budget.allows():
-            logs.tell(...)
+            logs.write(...)
     """
 
     def __init__(
--- a/libraries/telemetry/src/sardinepier/telemetry/line_events.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/line_events.py
@@ -5,7 +5,7 @@
     class PlatformRegained(LineEvent, frozen=True):
         failures: int
 
-    logs.tell(PlatformRegained(failures=3))
+    logs.write(PlatformRegained(failures=3))
 
 writes ``{"event":"platform-regained","fields":{"failures":3},...}``.
 """
--- a/libraries/telemetry/src/sardinepier/telemetry/logs.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/logs.py
@@ -111,7 +111,7 @@
     loguru.logger.bind(event=kind, fields=fields).log(level.name, message)
 
 
-def tell(
+def write(
     told: line_events.LineEvent,
     message: str = '',
     *,
--- a/libraries/telemetry/tests/cover/test_telemetry_line_events.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_line_events.py
@@ -18,7 +18,7 @@
 def test_a_line_has_the_name_and_fields_of_its_class():
     out = io.StringIO()
     logs.configure('info', 'a~1', stream=out)
-    logs.tell(CatFoundNothing(looked_for_s=1.5, rooms=['hall']))
+    logs.write(CatFoundNothing(looked_for_s=1.5, rooms=['hall']))
     line = msgspec.json.decode(out.getvalue())
     assert line['event'] == 'cat-found-nothing'
     assert line['fields'] == {'looked_for_s': 1.5, 'rooms': ['hall']}
--- a/libraries/telemetry/tests/cover/test_telemetry_line_stream.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_line_stream.py
@@ -40,7 +40,7 @@
 
     def write_all():
         for number in range(first, first + count):
-            logs.tell(Seen(number=number), **told)
+            logs.write(Seen(number=number), **told)
 
     thread = threading.Thread(target=write_all, daemon=True)
     thread.start()
@@ -104,7 +104,7 @@
     """Guards against last lines that wait for a next one."""
     write(0, 100)
     for number in range(100, 140):
-        logs.tell(Seen(number=number))
+        logs.write(Seen(number=number))
     raw = b''
     os.set_blocking(pipe, False)
     async with asyncio.timeout(PATIENCE_S):
--- a/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
@@ -86,9 +86,9 @@
         self._was_valid = is_valid
         age_ms = int(age_s * _MS_PER_S)
         if is_valid:
-            logs.tell(events.ConfirmationRegained(age_ms))
+            logs.write(events.ConfirmationRegained(age_ms))
         else:
-            logs.tell(
+            logs.write(
                 events.ConfirmationLost(age_ms),
                 level=logs.Level.WARNING,
             )
--- a/libraries/zones/src/sardinepier/zones/handover.py
+++ b/libraries/zones/src/sardinepier/zones/handover.py
@@ -49,7 +49,7 @@
         lost = self._lost()
         if not lost or not self._carriers.hand_over():
             return False
-        logs.tell(events.ZoneHandedOver(out_of_reach=lost))
+        logs.write(events.ZoneHandedOver(out_of_reach=lost))
         return True
 
     def _lost(self) -> list[ids.TargetId]:
--- a/libraries/zones/src/sardinepier/zones/platform_reader.py
+++ b/libraries/zones/src/sardinepier/zones/platform_reader.py
@@ -170,7 +170,7 @@
     def _tell_slow(self, asked_s: float) -> None:
         took_s = self._clock.monotonic_s() - asked_s
         if took_s > _SPARE_S:
-            logs.tell(
+            logs.write(
                 events.ReadingSlow(took_ms=round(took_s * _MS_PER_S)),
                 level=logs.Level.WARNING,
             )
@@ -178,7 +178,7 @@
     def _lost(self, error: errors.PlatformError) -> None:
         if not self._failures:
             age_s = self._guard.age_s()
-            logs.tell(
+            logs.write(
                 events.PlatformLost(
                     error=type(error).__name__,
                     what=error.what,
@@ -194,7 +194,7 @@
 
     def _regained(self) -> None:
         if self._failures:
-            logs.tell(events.PlatformRegained(failures=self._failures))
+            logs.write(events.PlatformRegained(failures=self._failures))
         self._failures = 0
 
 
--- a/libraries/zones/src/sardinepier/zones/role.py
+++ b/libraries/zones/src/sardinepier/zones/role.py
@@ -40,7 +40,7 @@
         wanted = self.load.wanted(held, self._carriers.capacities())
         if wanted != held:
             self._carriers.set_count(wanted)
-            logs.tell(events.CarriersWanted(count=wanted, before=held))
+            logs.write(events.CarriersWanted(count=wanted, before=held))
 
     def _apply(self) -> None:
         """Let the request path act by what this daemon is now."""
@@ -53,7 +53,7 @@
             self._tell_change()
 
     def _tell_change(self) -> None:
-        logs.tell(
+        logs.write(
             events.CarrierChanged(
                 is_carrier=self._was_carrier,
                 rank=self._carriers.own_rank(),
--- a/libraries/zones/src/sardinepier/zones/unusable_entries.py
+++ b/libraries/zones/src/sardinepier/zones/unusable_entries.py
@@ -35,7 +35,7 @@
         self.count = len(now)
         for key in self._told.keys() - now.keys():
             del self._told[key]
-            logs.tell(events.EntryUsable(key=key[:_MOST_CHARACTERS]))
+            logs.write(events.EntryUsable(key=key[:_MOST_CHARACTERS]))
         for key, what in now.items():
             self._tell(key, what)
 
@@ -45,7 +45,7 @@
         if key not in self._told and len(self._told) >= _MOST_TOLD:
             return
         self._told[key] = what
-        logs.tell(
+        logs.write(
             events.EntryUnusable(key=key[:_MOST_CHARACTERS], what=what),
             level=logs.Level.WARNING,
         )
--- a/libraries/zones/tests/cover/test_zones_reading.py
+++ b/libraries/zones/tests/cover/test_zones_reading.py
@@ -163,7 +163,7 @@
 
 async def test_an_unusable_entry_is_told_once(zone, monkeypatch):
     told = []
-    monkeypatch.setattr(logs, 'tell', lambda line, **_: told.append(line))
+    monkeypatch.setattr(logs, 'write', lambda line, **_: told.append(line))
     change(zone)
     zone.platform.unusable = (
         platform_state.UnusableEntry('servers/t9', 'not json', 't9'),
