--- a/libraries/entry/src/sardinepier/entry/target_record.py
+++ b/libraries/entry/src/sardinepier/entry/target_record.py
@@ -59,11 +59,12 @@
 class TargetRecord:
     """One target with its belief, its open attempts and its pace.
 
-    ``preference_offset``, 0 to 1, is drawn by this daemon, so that daemons which share
-    a zone prefer different targets among equals.
+    ``preference_offset``, 0 to 1, is drawn by this daemon, so that daemons
+    which share a zone prefer different targets among equals.
     ``belief_source`` says whose outcome the belief rests on.
     ``started_s`` holds when each open attempt began, oldest first.
-    ``warm_from_s`` is until when it is slow after its start, and ``latency_ratio`` how slow it is against the service's usual, 1.0 for equal.
+    ``warm_from_s`` is until when it is slow after its start, and
+    ``latency_ratio`` how slow it is against the service's usual, 1.0 for equal.
     ``full_until_s`` is until when it asked for no more work. ``reserved``
     counts slots that were given to requests which have not begun yet.
     ``is_exploration`` says that its newest request came to it because it was idle,
--- a/libraries/entry/tests/conftest.py
+++ b/libraries/entry/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import random
 
-import entry_support as given
+import entry_support as support
 import pytest
 
 from sardinepier.core import clock as clocks
@@ -25,7 +25,7 @@
 async def entry():
     clock = clocks.SystemClock()
     held = service_registry.ServiceRegistry(
-        given.ZONE,
+        support.ZONE,
         clock,
         random.Random(7),
         50.0,
@@ -33,25 +33,25 @@
     )
     shared = context.EntryContext(
         clock=clock,
-        names=given.NAMES,
+        names=support.NAMES,
         client=clients.TargetClient(),
         services=held,
         quarantine=quarantine.Quarantine(clock),
         activity=active_requests.ActiveRequests(),
-        decisions=decision_log.DecisionLog(held, clock),
-        measures=request_metrics.RequestMetrics(),
-        held_bytes=buffer_budget.BufferBudget(),
+        decision_log=decision_log.DecisionLog(held, clock),
+        metrics=request_metrics.RequestMetrics(),
+        buffer_budget=buffer_budget.BufferBudget(),
     )
     shared.services.set_retry_burst(10)
-    shared.services.offer_configuration(given.configuration())
+    shared.services.offer_configuration(support.configuration())
     answering = pipeline.Pipeline(shared)
     server = caller_server.HttpServer(
         answering.handle,
         lambda: shared.services.configuration.bounds,
         answering.start_pipelined,
     )
-    port = await server.start(given.LOOPBACK, 0)
-    made = given.Entry(shared, server, port)
+    port = await server.start(support.LOOPBACK, 0)
+    made = support.Entry(shared, server, port)
     yield made
     await server.close(0.1)
     await shared.client.close()
--- a/libraries/entry/tests/cover/test_entry_callers.py
+++ b/libraries/entry/tests/cover/test_entry_callers.py
@@ -3,100 +3,100 @@
 import asyncio
 import collections
 
-import entry_support as given
+import entry_support as support
 from sardinepier.entry import model
 
 CHUNKED = {'Transfer-Encoding': 'chunked'}
 
 
 async def test_answers_to_pipelined_requests_come_in_their_order(entry):
-    target = given.RawTarget('t1', ['gated', 'ok'])
+    target = support.RawTarget('t1', ['gated', 'ok'])
     await entry.use(target)
-    reader, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
+    reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     names = [f'id-{number}' for number in range(4)]
     for name in names:
-        writer.write(given.request(**{given.NAMES.attempt_id: name}))
-    await given.until(lambda: len(target.seen) >= 3)
+        writer.write(support.request(**{support.NAMES.attempt_id: name}))
+    await support.wait_until(lambda: len(target.seen) >= 3)
     target.gate.set()
-    answers = [await given.read_answer(reader) for _ in names]
-    echoed = [headers[given.NAMES.attempt_id] for _, headers, _ in answers]
+    answers = [await support.read_answer(reader) for _ in names]
+    echoed = [headers[support.NAMES.attempt_id] for _, headers, _ in answers]
     assert echoed == names
     writer.close()
 
 
 async def test_pipelined_idempotent_requests_run_side_by_side(entry):
-    target = given.RawTarget('t1', ['gated'])
+    target = support.RawTarget('t1', ['gated'])
     await entry.use(target)
-    reader, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
+    reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     for number in range(3):
-        writer.write(given.request(**{given.NAMES.attempt_id: str(number)}))
+        writer.write(support.request(**{support.NAMES.attempt_id: str(number)}))
     # None has been answered yet.
-    await given.until(lambda: len(target.seen) >= 3)
+    await support.wait_until(lambda: len(target.seen) >= 3)
     target.gate.set()
     for _ in range(3):
-        status, _, _ = await given.read_answer(reader)
+        status, _, _ = await support.read_answer(reader)
         assert status == 200
     writer.close()
 
 
 async def test_one_that_may_not_run_twice_waits_for_its_turn(entry):
-    target = given.RawTarget('t1', ['gated', 'ok'])
+    target = support.RawTarget('t1', ['gated', 'ok'])
     await entry.use(target)
-    reader, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
-    writer.write(given.request())
-    writer.write(given.request('/once/1', 'POST'))
-    await given.until(lambda: target.seen)
+    reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
+    writer.write(support.request())
+    writer.write(support.request('/once/1', 'POST'))
+    await support.wait_until(lambda: target.seen)
     await asyncio.sleep(0.2)
     assert len(target.seen) == 1
     target.gate.set()
-    await given.read_answer(reader)
-    await given.read_answer(reader)
+    await support.read_answer(reader)
+    await support.read_answer(reader)
     assert len(target.seen) == 2
     writer.close()
 
 
 async def test_a_hang_up_ends_an_idempotent_attempt(entry):
-    target = given.RawTarget('t1', ['hang'])
+    target = support.RawTarget('t1', ['hang'])
     await entry.use(target)
-    _, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
-    writer.write(given.request('/books/1'))
-    await given.until(lambda: target.ran)
+    _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
+    writer.write(support.request('/books/1'))
+    await support.wait_until(lambda: target.ran)
     writer.close()
-    await given.until(lambda: target.cut_while_running)
+    await support.wait_until(lambda: target.cut_while_running)
 
 
 async def test_a_hang_up_leaves_one_that_may_not_run_twice(entry):
-    target = given.RawTarget('t1', ['hang'])
+    target = support.RawTarget('t1', ['hang'])
     await entry.use(target)
-    _, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
-    writer.write(given.request('/once/1'))
-    await given.until(lambda: target.ran)
+    _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
+    writer.write(support.request('/once/1'))
+    await support.wait_until(lambda: target.ran)
     writer.close()
     await asyncio.sleep(0.3)
     assert (target.ran, target.cut_while_running) == (1, 0)
 
 
 async def test_a_request_that_waits_is_dropped_with_its_caller(entry):
-    target = given.RawTarget('t1', ['gated'])
+    target = support.RawTarget('t1', ['gated'])
     await entry.use(target)
     writers = []
     for _ in range(4):
-        _, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
-        writer.write(given.request('/once/1', 'POST'))
+        _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
+        writer.write(support.request('/once/1', 'POST'))
         writers.append(writer)
     # The slots of the target are taken; the fourth request waits.
-    await given.until(lambda: target.ran == 3)
-    await given.until(lambda: entry.shared.activity.in_flight == 4)
+    await support.wait_until(lambda: target.ran == 3)
+    await support.wait_until(lambda: entry.shared.activity.in_flight == 4)
     for writer in writers:
         writer.close()
-    await given.until(lambda: entry.shared.activity.in_flight == 0)
+    await support.wait_until(lambda: entry.shared.activity.in_flight == 0)
     target.gate.set()
     await asyncio.sleep(0.3)
     assert target.ran == 3
 
 
 async def test_an_unknown_route_is_not_found(entry):
-    await entry.use(given.RawTarget('t1'))
+    await entry.use(support.RawTarget('t1'))
     status, _, _ = await entry.ask('/other/1')
     assert status == 404
 
@@ -109,16 +109,16 @@
 
 
 async def test_a_body_above_the_bound_is_refused(entry):
-    await entry.use(given.RawTarget('t1'))
+    await entry.use(support.RawTarget('t1'))
     entry.shared.services.offer_configuration(
-        given.configuration(2, bounds=model.CallerBounds(body_bytes=10)),
+        support.configuration(2, bounds=model.CallerBounds(body_bytes=10)),
     )
     status, _, _ = await entry.ask('/once/1', 'POST', b'x' * 11)
     assert (status, entry.ran) == (413, 0)
 
 
 async def test_a_draining_daemon_serves_and_asks_to_close(entry):
-    await entry.use(given.RawTarget('t1'))
+    await entry.use(support.RawTarget('t1'))
     entry.shared.activity.is_draining = True
     status, headers, _ = await entry.ask()
     assert status == 200
@@ -126,19 +126,19 @@
 
 
 async def test_a_body_in_chunks_is_passed_on_whole(entry):
-    target = given.RawTarget('t1')
+    target = support.RawTarget('t1')
     await entry.use(target)
-    reader, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
-    writer.write(given.request('/once/1', 'POST', **CHUNKED))
+    reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
+    writer.write(support.request('/once/1', 'POST', **CHUNKED))
     writer.write(b'3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n')
-    status, _, _ = await given.read_answer(reader)
+    status, _, _ = await support.read_answer(reader)
     assert status == 200
     assert target.seen[0][2] == b'abcde'
     writer.close()
 
 
 async def test_a_request_that_crashes_targets_is_held_back(entry):
-    targets = [given.RawTarget(f't{one}', ['reset']) for one in range(5)]
+    targets = [support.RawTarget(f't{one}', ['reset']) for one in range(5)]
     await entry.use(*targets)
     statuses = [(await entry.ask('/once/7', 'POST'))[0] for _ in range(6)]
     assert entry.ran <= 3
@@ -147,7 +147,9 @@
 
 async def test_each_of_several_requests_crashes_two_targets_at_most(entry):
     """Guards against a third target: the crash before hid the next one."""
-    targets = [given.RawTarget(f't{number}', ['reset']) for number in range(6)]
+    targets = [
+        support.RawTarget(f't{number}', ['reset']) for number in range(6)
+    ]
     await entry.use(*targets)
     for name in ('a', 'b', 'c', 'd'):
         for _ in range(6):
@@ -161,12 +163,12 @@
 
 async def test_a_request_does_not_return_to_a_target_that_it_crashed(entry):
     """Guards against a third crash: one target twice, and another one."""
-    deadly = given.RawTarget('t1', ['reset', 'ok'])
+    deadly = support.RawTarget('t1', ['reset', 'ok'])
     await entry.use(deadly)
     await entry.ask('/once/7', 'POST')
-    other = given.RawTarget('t2')
+    other = support.RawTarget('t2')
     await entry.use(deadly, other)
-    records = entry.shared.services.pool(given.SERVICE).targets
+    records = entry.shared.services.pool(support.SERVICE).targets
     now_s = entry.shared.clock.monotonic_s()
     for _ in range(4):
         records.find('t1').estimate.answered(now_s)
--- a/libraries/entry/tests/cover/test_entry_choice.py
+++ b/libraries/entry/tests/cover/test_entry_choice.py
@@ -4,7 +4,7 @@
 import itertools
 import random
 
-import entry_support as given
+import entry_support as support
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
@@ -19,8 +19,8 @@
     def __init__(self):
         self.clock = clocks.ManualClock(100.0)
         self.pool = service_pool.ServicePool(
-            given.SERVICE,
-            given.ZONE,
+            support.SERVICE,
+            support.ZONE,
             self.clock,
             random.Random(3),
             20.0,
@@ -28,8 +28,8 @@
         )
         self.pool.targets.set(
             [
-                *(given.listed(name) for name in ('t1', 't2', 't3')),
-                given.listed('far', zone=ids.ZoneName('z2')),
+                *(support.listed(name) for name in ('t1', 't2', 't3')),
+                support.listed('far', zone=ids.ZoneName('z2')),
             ],
         )
 
@@ -127,7 +127,7 @@
     bench.pool.targets.set(
         [
             *(record.listed for record in bench.pool.targets.records()),
-            given.listed('new', warm_in_s=3.0),
+            support.listed('new', warm_in_s=3.0),
         ],
     )
     assert bench.take() != 'new'
--- a/libraries/entry/tests/cover/test_entry_customers.py
+++ b/libraries/entry/tests/cover/test_entry_customers.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-import entry_support as given
+import entry_support as support
 import pytest
 
 from sardinepier.core import clock as clocks
@@ -20,8 +20,8 @@
 KEY = 'key-of-a-library'
 OTHER = 'key-of-another'
 BOUND_S = 5.0
-NAMES = given.NAMES
-PUBLIC = given.route('/open/', is_public=True)
+NAMES = support.NAMES
+PUBLIC = support.route('/open/', is_public=True)
 
 
 def customer(name, *keys, **limits):
@@ -33,9 +33,9 @@
 
 
 def configuration(version, *known):
-    return given.configuration(
+    return support.configuration(
         version,
-        routes=(given.SAFE, given.ONCE, PUBLIC),
+        routes=(support.IDEMPOTENT_ROUTE, support.NON_IDEMPOTENT_ROUTE, PUBLIC),
         customers=known,
     )
 
@@ -47,7 +47,7 @@
 @pytest.fixture
 async def known(entry):
     """A daemon with two customers, before one target."""
-    target = given.RawTarget('t1')
+    target = support.RawTarget('t1')
     await entry.use(target)
     entry.shared.services.offer_configuration(
         configuration(2, customer('library', KEY), customer('other', OTHER)),
@@ -139,7 +139,7 @@
 
 
 async def test_without_customers_requests_go_on_as_they_came(entry):
-    await entry.use(given.RawTarget('t1'))
+    await entry.use(support.RawTarget('t1'))
     status, _, _ = await entry.ask(**with_key(), **{NAMES.customer: 'me'})
     assert status == 200
     headers = the_one_seen(entry)
@@ -160,13 +160,13 @@
         configuration(3, customer('library', KEY, priority=7)),
     )
     read = []
-    forwarded = known.shared.services.pool(given.SERVICE).acquire
+    forwarded = known.shared.services.pool(support.SERVICE).acquire
 
     async def acquire(work, requirements):
         read.append(work.priority)
         return await forwarded(work, requirements)
 
-    known.shared.services.pool(given.SERVICE).acquire = acquire
+    known.shared.services.pool(support.SERVICE).acquire = acquire
     await known.ask(**with_key())
     await known.ask('/open/1')
     assert read == [7, PUBLIC.priority]
@@ -225,7 +225,7 @@
 
     async def test_a_wait_ends_with_the_confirmation(self):
         _, held = self.made()
-        waiting = asyncio.create_task(held.wait(given.PATIENCE_S))
+        waiting = asyncio.create_task(held.wait(support.TIMEOUT_S))
         await asyncio.sleep(0)
         assert held.longest_wait_s() is not None
         held.confirm(held.now_s())
@@ -240,14 +240,14 @@
         clock, held = self.made()
         await held.wait(0.01)
         held.on_wait = pytest.fail
-        assert not await held.wait(given.PATIENCE_S)
+        assert not await held.wait(support.TIMEOUT_S)
         clock.advance(1.1)
         asked = []
         held.on_wait = lambda: asked.append(True)
         assert not await held.wait(0.01)
         assert asked
         held.confirm(held.now_s())
-        assert await held.wait(given.PATIENCE_S)
+        assert await held.wait(support.TIMEOUT_S)
 
 
 async def test_without_a_confirmation_no_request_with_a_key_runs(known):
@@ -263,13 +263,13 @@
 
 def test_services_without_customers_have_no_table():
     held = service_registry.ServiceRegistry(
-        given.ZONE,
+        support.ZONE,
         clocks.ManualClock(),
         random.Random(1),
         50.0,
         failure_estimate.EstimateOptions(),
     )
-    held.offer_configuration(given.configuration())
+    held.offer_configuration(support.configuration())
     assert held.customers is None
 
 
@@ -302,7 +302,7 @@
     """A hot customer: a service of which a tenth is refused uses all targets."""
     limited = customer('library', KEY, rate_per_s=0.1, burst=7)
     known.shared.services.offer_configuration(configuration(3, limited))
-    pool = known.shared.services.pool(given.SERVICE)
+    pool = known.shared.services.pool(support.SERVICE)
     for _ in range(7):
         assert (await known.ask(**with_key()))[0] == 200
     assert not pool._overlooked.recent.exceed_limit()
--- a/libraries/entry/tests/cover/test_entry_hanging.py
+++ b/libraries/entry/tests/cover/test_entry_hanging.py
@@ -7,11 +7,11 @@
 
 import asyncio
 
-import entry_support as given
+import entry_support as support
 
 
 def failing(entry, name):
-    pool = entry.shared.services.pool(given.SERVICE)
+    pool = entry.shared.services.pool(support.SERVICE)
     record = pool.targets.find(name)
     return record.estimate.failing_probability(entry.shared.clock.monotonic_s())
 
@@ -19,15 +19,15 @@
 def know_usual(entry, typical_latency_s):
     """Let the service have answered in ``typical_latency_s`` for a while."""
     entry.shared.services.pool(
-        given.SERVICE
+        support.SERVICE
     ).typical_latency_s = typical_latency_s
 
 
 async def ask_with_one_that_hangs(entry):
-    hanging = given.RawTarget('t1', ['hang'])
-    sound = given.RawTarget('t2')
+    hanging = support.RawTarget('t1', ['hang'])
+    sound = support.RawTarget('t2')
     await entry.use(hanging, sound)
-    pool = entry.shared.services.pool(given.SERVICE)
+    pool = entry.shared.services.pool(support.SERVICE)
     pool.targets.find('t1').estimate.answered(entry.shared.clock.monotonic_s())
     know_usual(entry, 0.05)
     return await entry.ask()
@@ -48,13 +48,13 @@
 
 
 async def test_a_caller_that_leaves_early_says_nothing_of_the_target(entry):
-    target = given.RawTarget('t1', ['hang'])
+    target = support.RawTarget('t1', ['hang'])
     await entry.use(target)
     know_usual(entry, 5.0)
     before = failing(entry, 't1')
-    _, writer = await asyncio.open_connection(given.LOOPBACK, entry.port)
-    writer.write(given.request())
-    await given.until(lambda: target.ran)
+    _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
+    writer.write(support.request())
+    await support.wait_until(lambda: target.ran)
     writer.close()
-    await given.until(lambda: target.cut_while_running)
+    await support.wait_until(lambda: target.cut_while_running)
     assert failing(entry, 't1') <= before
--- a/libraries/entry/tests/cover/test_entry_idle_targets.py
+++ b/libraries/entry/tests/cover/test_entry_idle_targets.py
@@ -14,7 +14,7 @@
 import heapq
 import random
 
-import entry_support as given
+import entry_support as support
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.entry import (
@@ -58,15 +58,15 @@
         self.random = random.Random(seed)
         self.clock = clocks.ManualClock(100.0)
         self.pool = service_pool.ServicePool(
-            given.SERVICE,
-            given.ZONE,
+            support.SERVICE,
+            support.ZONE,
             self.clock,
             random.Random(seed),
             20.0,
             failure_estimate.EstimateOptions(),
         )
         names = [f't{number}' for number in range(TARGETS)]
-        self.pool.targets.set([given.listed(name) for name in names])
+        self.pool.targets.set([support.listed(name) for name in names])
         self.natures = {name: self._nature(100.0) for name in names}
         self.ends = []
         self.asked = 0
@@ -146,15 +146,15 @@
 
 def pool_of(clock, *names):
     pool = service_pool.ServicePool(
-        given.SERVICE,
-        given.ZONE,
+        support.SERVICE,
+        support.ZONE,
         clock,
         random.Random(1),
         20.0,
         failure_estimate.EstimateOptions(),
     )
     pool.typical_latency_s = WORK_S
-    pool.targets.set([given.listed(name) for name in names])
+    pool.targets.set([support.listed(name) for name in names])
     return pool
 
 
@@ -191,24 +191,24 @@
 
 
 async def test_a_caller_that_is_refused_counts(entry):
-    await entry.use(given.RawTarget('t1', ['shed']))
+    await entry.use(support.RawTarget('t1', ['shed']))
     for number in range(6):
         status, _, _ = await entry.ask(f'/once/{number}')
         assert status == 503
-    pool = entry.shared.services.pool(given.SERVICE)
+    pool = entry.shared.services.pool(support.SERVICE)
     assert pool._overlooked.recent.exceed_limit()
 
 
 def test_the_installation_s_share_reaches_each_service():
     held = service_registry.ServiceRegistry(
-        given.ZONE,
+        support.ZONE,
         clocks.ManualClock(100.0),
         random.Random(1),
         20.0,
         failure_estimate.EstimateOptions(),
         0.5,
     )
-    bound = held.pool(given.SERVICE)._overlooked._bound
+    bound = held.pool(support.SERVICE)._overlooked._bound
     assert bound._spare_share == pytest.approx(0.4)
 
 
@@ -232,7 +232,7 @@
     for record in pool.targets.records():
         record.estimate.answered(now_s - 2)
     pool.targets.find('t0').estimate.adopt(0.9, now_s - 2)
-    context = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
+    context = target_cost.SelectionContext(support.ZONE, now_s, WORK_S, 0.0)
     for out_of_reach, is_spared in ((0, True), (4, True), (6, False)):
         for number in range(out_of_reach):
             pool.targets.find(f't{number + 1}').mark_unreachable(now_s)
@@ -265,7 +265,7 @@
         for name in names[:5]:
             pool.targets.find(name).estimate.failed(clock.monotonic_s())
         now_s = clock.monotonic_s() + 3.0
-        context = target_cost.SelectionContext(given.ZONE, now_s, WORK_S, 0.0)
+        context = target_cost.SelectionContext(support.ZONE, now_s, WORK_S, 0.0)
         bound = idle_threshold.IdleThreshold(least_used_share)
         for place, name in enumerate(names):
             # Told apart by when they failed.
--- a/libraries/entry/tests/cover/test_entry_incarnations.py
+++ b/libraries/entry/tests/cover/test_entry_incarnations.py
@@ -2,7 +2,7 @@
 
 import random
 
-import entry_support as given
+import entry_support as support
 from hypothesis import strategies
 from hypothesis import given as with_any
 from sardinepier.core import clock as clocks
@@ -12,7 +12,7 @@
 
 
 def start(name, born_ms, state=model.TargetState.READY, port=1):
-    return given.listed(
+    return support.listed(
         f'{name}@{born_ms}',
         port,
         name=name,
@@ -23,7 +23,7 @@
 
 def serving():
     return service_registry.ServiceRegistry(
-        given.ZONE,
+        support.ZONE,
         clocks.ManualClock(100.0),
         random.Random(1),
         20.0,
@@ -32,14 +32,14 @@
 
 
 def in_use(held):
-    records = held.pool(given.SERVICE).targets.records()
+    records = held.pool(support.SERVICE).targets.records()
     return {record.listed.target_id for record in records}
 
 
 def test_nothing_of_the_start_before_is_believed_of_the_next():
     held = serving()
     held.offer_targets(model.TargetList(1, (start('i-1', 10),)))
-    pool = held.pool(given.SERVICE)
+    pool = held.pool(support.SERVICE)
     before = pool.targets.find(ids.TargetId('i-1@10'))
     before.estimate.failed(100.0)
     before.record_load(3, 5, 100.0)
@@ -96,7 +96,7 @@
 
 async def test_a_connection_to_the_start_before_is_not_used(entry):
     """Whoever was there is gone; what is sent on it would be lost."""
-    target = given.RawTarget('i-1')
+    target = support.RawTarget('i-1')
     await target.start()
     held = entry.shared.services
     for revision, born_ms in enumerate((10, 10, 20)):
@@ -104,4 +104,4 @@
         held.offer_targets(model.TargetList(revision, (once,)))
         await entry.ask()
     assert target.connections == 2
-    assert target.seen[-1][1][given.NAMES.expected_target] == 'i-1'
+    assert target.seen[-1][1][support.NAMES.expected_target] == 'i-1'
--- a/libraries/entry/tests/cover/test_entry_large_answers.py
+++ b/libraries/entry/tests/cover/test_entry_large_answers.py
@@ -3,7 +3,7 @@
 import asyncio
 import gc
 
-import entry_support as given
+import entry_support as support
 import pytest
 from sardinepier.entry import buffer_budget
 
@@ -31,7 +31,9 @@
         return self.server.sockets[0].getsockname()[1]
 
     async def start(self):
-        self.server = await asyncio.start_server(self._serve, given.LOOPBACK, 0)
+        self.server = await asyncio.start_server(
+            self._serve, support.LOOPBACK, 0
+        )
 
     async def _serve(self, reader, writer):
         try:
@@ -48,7 +50,7 @@
         lines = dict(
             line.split(': ', 1) for line in head.decode().split('\r\n')[1:-2]
         )
-        echo = lines[given.NAMES.attempt_id]
+        echo = lines[support.NAMES.attempt_id]
         writer.write(self._head(echo))
         for start in range(0, self.sends, 100_000):
             chunk = self.body[start : min(start + 100_000, self.sends)]
@@ -62,7 +64,7 @@
         elif self.sends < len(self.body):
             # A reset takes along what the other side has not read yet.
             await asyncio.sleep(0.3)
-            given.linger_off(writer)
+            support.linger_off(writer)
         elif self.manner == 'chunked':
             writer.write(b'0\r\n\r\n')
         await writer.drain()
@@ -75,8 +77,8 @@
             framing = 'Connection: close'
         lines = (
             'HTTP/1.1 200 OK',
-            f'{given.NAMES.attempt_id}: {echo}',
-            f'{given.NAMES.signature}: proof-of-{echo}',
+            f'{support.NAMES.attempt_id}: {echo}',
+            f'{support.NAMES.signature}: proof-of-{echo}',
             framing,
         )
         return '\r\n'.join((*lines, '', '')).encode()
@@ -84,11 +86,11 @@
 
 async def open_to(entry, path='/books/1', **headers):
     reader, writer = await asyncio.open_connection(
-        given.LOOPBACK,
+        support.LOOPBACK,
         entry.port,
         limit=2**16,
     )
-    writer.write(given.request(path, **headers))
+    writer.write(support.request(path, **headers))
     head = (await reader.readuntil(b'\r\n\r\n')).decode().split('\r\n')
     names = dict(line.split(': ', 1) for line in head[1:-2])
     return reader, writer, names
@@ -109,7 +111,7 @@
 
 
 def in_flight(entry):
-    pool = entry.shared.services.pool(given.SERVICE)
+    pool = entry.shared.services.pool(support.SERVICE)
     now_s = entry.shared.clock.monotonic_s()
     return sum(record.in_flight(now_s) for record in pool.targets.records())
 
@@ -119,10 +121,10 @@
     target = LargeTarget(manner=manner)
     await entry.use(target)
     reader, writer, names = await open_to(entry)
-    assert names[given.NAMES.signature] == 'proof-of-id-1'
+    assert names[support.NAMES.signature] == 'proof-of-id-1'
     assert await read_body(reader, names) == LARGE
     writer.close()
-    await given.until(lambda: not in_flight(entry))
+    await support.wait_until(lambda: not in_flight(entry))
 
 
 @pytest.mark.parametrize('manner', ['length', 'chunked', 'unframed'])
@@ -135,24 +137,24 @@
     target = LargeTarget(manner=manner, sends=3_000_000)
     await entry.use(target)
     reader, writer, names = await open_to(entry, path)
-    assert names[given.NAMES.signature] == 'proof-of-id-1'
+    assert names[support.NAMES.signature] == 'proof-of-id-1'
     with pytest.raises((EOFError, OSError)):
         await read_body(reader, names)
     writer.close()
     assert target.ran == 1
-    await given.until(lambda: not in_flight(entry))
+    await support.wait_until(lambda: not in_flight(entry))
 
 
 async def test_a_target_that_falls_silent_midway_is_left(entry):
     target = LargeTarget(manner='silent', sends=3_000_000)
     await entry.use(target)
-    limited = {given.NAMES.deadline_ms: '400'}
+    limited = {support.NAMES.deadline_ms: '400'}
     reader, writer, names = await open_to(entry, **limited)
     with pytest.raises((EOFError, OSError)):
         await read_body(reader, names)
     writer.close()
-    await given.until(lambda: target.ended)
-    await given.until(lambda: not in_flight(entry))
+    await support.wait_until(lambda: target.ended)
+    await support.wait_until(lambda: not in_flight(entry))
 
 
 async def test_a_caller_that_leaves_ends_the_answer(entry):
@@ -161,8 +163,8 @@
     reader, writer, _ = await open_to(entry)
     await reader.readexactly(1000)
     writer.transport.abort()
-    await given.until(lambda: target.ended)
-    await given.until(lambda: not in_flight(entry))
+    await support.wait_until(lambda: target.ended)
+    await support.wait_until(lambda: not in_flight(entry))
 
 
 async def test_a_caller_that_reads_slowly_slows_the_target(entry):
@@ -176,21 +178,21 @@
     assert target.sent == held
     assert in_flight(entry) == 1
     writer.transport.abort()
-    await given.until(lambda: not in_flight(entry))
+    await support.wait_until(lambda: not in_flight(entry))
 
 
 async def test_a_large_answer_broken_at_its_beginning_is_repeated(entry):
     """What is within the bound can still be replaced, unseen."""
     bad = LargeTarget(sends=500_000)
-    good = given.RawTarget('good')
+    good = support.RawTarget('good')
     await entry.use(bad, good)
-    pool = entry.shared.services.pool(given.SERVICE)
+    pool = entry.shared.services.pool(support.SERVICE)
     pool.targets.find('good').estimate.failed(
         entry.shared.clock.monotonic_s(),
         is_early=False,
     )
     status, _, body = await entry.ask()
-    assert (status, body, bad.ran) == (200, given.BODY, 1)
+    assert (status, body, bad.ran) == (200, support.BODY, 1)
 
 
 async def test_answers_held_whole_are_counted_until_they_are_gone(entry):
@@ -199,15 +201,17 @@
     held = entry.shared.buffer_budget
     status, _, body = await entry.ask()
     assert (status, body) == (200, SMALL)
-    await given.until(lambda: gc.collect() >= 0 and not held.buffered_bytes)
+    await support.wait_until(
+        lambda: gc.collect() >= 0 and not held.buffered_bytes
+    )
 
 
 async def test_many_slow_callers_leave_memory_bounded(entry):
     """200 callers of half a megabyte each that do not read: 100 MB, unbounded."""
     target = LargeTarget(body=LARGE[:500_000])
     await entry.use(target)
-    pool = entry.shared.services.pool(given.SERVICE)
-    pool.targets.find('large').listed = given.listed(
+    pool = entry.shared.services.pool(support.SERVICE)
+    pool.targets.find('large').listed = support.listed(
         'large',
         target.port,
         slots=200,
@@ -220,7 +224,7 @@
     assert held < buffer_budget.DEFAULT_BUDGET_BYTES + least
     for _, writer, _ in opened:
         writer.transport.abort()
-    await given.until(lambda: not in_flight(entry))
+    await support.wait_until(lambda: not in_flight(entry))
 
 
 class Holder:
--- a/libraries/entry/tests/cover/test_entry_leaving.py
+++ b/libraries/entry/tests/cover/test_entry_leaving.py
@@ -8,7 +8,7 @@
 that time still gets the request is shown here.
 """
 
-import entry_support as given
+import entry_support as support
 from sardinepier.entry import model
 from sardinepier.gateway import connections
 
@@ -17,9 +17,9 @@
 
 async def prefer_first(entry):
     """Start two targets of which the first is chosen."""
-    leaving, other = given.RawTarget('t1'), given.RawTarget('t2')
+    leaving, other = support.RawTarget('t1'), support.RawTarget('t2')
     await entry.use(leaving, other)
-    record = entry.shared.services.pool(given.SERVICE).targets.find('t2')
+    record = entry.shared.services.pool(support.SERVICE).targets.find('t2')
     record.estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
     return leaving, other
 
@@ -46,19 +46,19 @@
     entry.shared.services.offer_targets(
         model.TargetList(
             2,
-            (given.listed(second.name, second.port), *listed),
+            (support.listed(second.name, second.port), *listed),
         ),
     )
 
 
 async def test_a_target_that_left_meanwhile_gets_nothing(entry, monkeypatch):
     leaving, other = await prefer_first(entry)
-    pool = entry.shared.services.pool(given.SERVICE)
+    pool = entry.shared.services.pool(support.SERVICE)
     record = pool.targets.find(leaving.name)
     believed_s = record.estimate.updated_s
     while pool.retry_budget.try_spend():
         """Leave nothing: to go past a target that left costs nothing."""
-    draining = given.listed(
+    draining = support.listed(
         leaving.name,
         leaving.port,
         state=model.TargetState.DRAINING,
--- a/libraries/entry/tests/cover/test_entry_lines.py
+++ b/libraries/entry/tests/cover/test_entry_lines.py
@@ -3,7 +3,7 @@
 import asyncio
 import io
 
-import entry_support as given
+import entry_support as support
 import msgspec
 import pytest
 from sardinepier.entry import decision_log, events, request_metrics
@@ -28,7 +28,7 @@
 
 
 async def test_each_attempt_is_told_when_it_begins(entry, lines):
-    await entry.use(given.RawTarget('t1'))
+    await entry.use(support.RawTarget('t1'))
     await entry.ask()
     sent = lines.of('request-sent')
     assert [one['request_id'] for one in sent] == ['id-1']
@@ -45,17 +45,17 @@
     lines,
 ):
     """If the daemon dies now, its line is what is left."""
-    target = given.RawTarget('t1', ['gated'])
+    target = support.RawTarget('t1', ['gated'])
     await entry.use(target)
     asking = asyncio.create_task(entry.ask())
-    await given.until(lambda: target.ran)
+    await support.wait_until(lambda: target.ran)
     assert len(lines.of('request-sent')) == 1
     target.gate.set()
     await asking
 
 
 async def test_a_target_s_failure_has_the_grounds_of_the_choice(entry, lines):
-    await entry.use(given.RawTarget('t1', ['fail']))
+    await entry.use(support.RawTarget('t1', ['fail']))
     await entry.ask('/once/1', 'POST')
     failed = lines.of('attempt-failed')[0]
     assert failed['what'] == 'target_failed: answered 500'
@@ -66,8 +66,8 @@
 
 async def test_a_repeat_says_that_it_is_one(entry, lines):
     await entry.use(
-        given.RawTarget('t1', ['fail']),
-        given.RawTarget('t2', ['fail']),
+        support.RawTarget('t1', ['fail']),
+        support.RawTarget('t2', ['fail']),
     )
     await entry.ask()
     reasons = [one['choice']['reason'] for one in lines.of('request-sent')]
@@ -76,8 +76,8 @@
 
 
 async def test_a_choice_says_that_the_target_had_its_turn(entry, lines):
-    await entry.use(given.RawTarget('t1'), given.RawTarget('t2'))
-    pool = entry.shared.services.pool(given.SERVICE)
+    await entry.use(support.RawTarget('t1'), support.RawTarget('t2'))
+    pool = entry.shared.services.pool(support.SERVICE)
     now_s = entry.shared.clock.monotonic_s()
     for record in pool.targets.records():
         record.estimate.answered(now_s)
@@ -89,7 +89,7 @@
 
 
 async def test_figures_tell_of_reasons_and_of_repeats(entry):
-    await entry.use(given.RawTarget('t1', ['fail']))
+    await entry.use(support.RawTarget('t1', ['fail']))
     entry.shared.services.set_retry_burst(0)
     await entry.ask()
     held = entry.shared.services
@@ -115,21 +115,21 @@
 
 
 async def test_a_caller_that_leaves_is_told_of(entry, lines):
-    target = given.RawTarget('t1', ['hang'])
+    target = support.RawTarget('t1', ['hang'])
     await entry.use(target)
     reader, writer = await asyncio.open_connection(
-        given.LOOPBACK,
+        support.LOOPBACK,
         entry.port,
     )
-    writer.write(given.request())
-    await given.until(lambda: target.ran)
+    writer.write(support.request())
+    await support.wait_until(lambda: target.ran)
     writer.close()
-    await given.until(lambda: lines.of('request-ended'))
+    await support.wait_until(lambda: lines.of('request-ended'))
     assert lines.of('request-ended')[0]['outcome'] == 'abandoned'
 
 
 async def test_requests_are_counted_by_outcome(entry):
-    await entry.use(given.RawTarget('t1', ['ok', 'fail', 'ok']))
+    await entry.use(support.RawTarget('t1', ['ok', 'fail', 'ok']))
     await entry.ask('/once/1', 'POST')
     await entry.ask('/once/1', 'POST')
     text = await entry.shared.metrics.text(())
@@ -160,9 +160,9 @@
     entry,
     lines,
 ):
-    limited = given.telling(f'{given.NAMES.limit}: 2.5')
-    leaving = given.telling(f'{given.NAMES.leaving}: 1')
-    await entry.use(given.RawTarget('t1', ['ok', limited, limited, leaving]))
+    limited = support.with_headers(f'{support.NAMES.limit}: 2.5')
+    leaving = support.with_headers(f'{support.NAMES.leaving}: 1')
+    await entry.use(support.RawTarget('t1', ['ok', limited, limited, leaving]))
     for _ in range(4):
         await entry.ask()
     told = [
--- a/libraries/entry/tests/cover/test_entry_routes.py
+++ b/libraries/entry/tests/cover/test_entry_routes.py
@@ -3,7 +3,7 @@
 import collections
 import random
 
-import entry_support as given
+import entry_support as support
 import hypothesis
 import pytest
 from hypothesis import strategies as st
@@ -12,13 +12,13 @@
 from sardinepier.entry import model, refusals, route_table, service_registry
 from sardinepier.health import failure_estimate
 
-LONGER = given.route('/books/new/')
+LONGER = support.route('/books/new/')
 ELSEWHERE = model.Route(
     name=ids.RouteName('elsewhere'),
     host='b.example',
     prefix='/',
     kind=model.RouteKind.IDEMPOTENT,
-    shares=given.SAFE.shares,
+    shares=support.IDEMPOTENT_ROUTE.shares,
     timeout_s=1.0,
     target_latency_s=1.0,
     priority=0,
@@ -26,14 +26,14 @@
 )
 
 PLACES = (
-    ('a.example', '/books/1', given.SAFE),
-    ('a.example', '/books/', given.SAFE),
+    ('a.example', '/books/1', support.IDEMPOTENT_ROUTE),
+    ('a.example', '/books/', support.IDEMPOTENT_ROUTE),
     ('a.example', '/books/new/1', LONGER),
-    ('a.example', '/books/newer/1', given.SAFE),
-    ('a.example', '/books/new', given.SAFE),
+    ('a.example', '/books/newer/1', support.IDEMPOTENT_ROUTE),
+    ('a.example', '/books/new', support.IDEMPOTENT_ROUTE),
     ('a.example', '/books', None),
     ('a.example', '/1?at=/books/1', None),
-    ('A.Example:8080', '/books/1?x=/books/new/', given.SAFE),
+    ('A.Example:8080', '/books/1?x=/books/new/', support.IDEMPOTENT_ROUTE),
     ('b.example', '/books/1', ELSEWHERE),
     ('c.example', '/books/1', None),
     ('', '/books/1', None),
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(('host', 'path', 'expected'), PLACES)
 def test_the_longest_prefix_of_the_host_decides(host, path, expected):
     table = route_table.RouteTable(
-        given.configuration(1, [given.SAFE, LONGER, ELSEWHERE]),
+        support.configuration(1, [support.IDEMPOTENT_ROUTE, LONGER, ELSEWHERE]),
         random.Random(1),
     )
     assert table.find(host, path) == expected
@@ -69,7 +69,7 @@
 
 def make_services():
     return service_registry.ServiceRegistry(
-        given.ZONE,
+        support.ZONE,
         clocks.ManualClock(),
         random.Random(1),
         20.0,
@@ -82,7 +82,7 @@
     held = make_services()
     newest = 0
     for version in versions:
-        is_taken = held.offer_configuration(given.configuration(version))
+        is_taken = held.offer_configuration(support.configuration(version))
         assert is_taken is (version > newest)
         newest = max(newest, version)
         assert held.configuration.version == newest
@@ -95,11 +95,11 @@
     for revision in revisions:
         name = f't{revision}'
         held.offer_targets(
-            model.TargetList(revision, (given.listed(name),)),
+            model.TargetList(revision, (support.listed(name),)),
         )
         newest = max(newest, revision)
         assert held.targets.revision == newest
-        pool = held.pool(given.SERVICE)
+        pool = held.pool(support.SERVICE)
         names = [one.listed.target_id for one in pool.targets.records()]
         assert names == [f't{newest}']
 
@@ -111,6 +111,6 @@
 
 def test_a_service_without_entries_loses_its_targets():
     held = make_services()
-    held.offer_targets(model.TargetList(1, (given.listed('t1'),)))
+    held.offer_targets(model.TargetList(1, (support.listed('t1'),)))
     held.offer_targets(model.TargetList(2, ()))
-    assert not held.pool(given.SERVICE).targets.records()
+    assert not held.pool(support.SERVICE).targets.records()
--- a/libraries/entry/tests/cover/test_entry_statements.py
+++ b/libraries/entry/tests/cover/test_entry_statements.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-import entry_support as given
+import entry_support as support
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
@@ -10,24 +10,24 @@
 from sardinepier.gateway import statements, target_statements
 
 ONCE = '/once/1'
-LIMIT = given.NAMES.limit
-LEAVING = given.telling(f'{given.NAMES.leaving}: 1')
+LIMIT = support.NAMES.limit
+LEAVING = support.with_headers(f'{support.NAMES.leaving}: 1')
 
 
 def limit_of(per_s):
-    return given.telling(f'{LIMIT}: {per_s}')
+    return support.with_headers(f'{LIMIT}: {per_s}')
 
 
 def record_of(entry, name):
-    pool = entry.shared.services.pool(given.SERVICE)
+    pool = entry.shared.services.pool(support.SERVICE)
     return pool.targets.find(ids.TargetId(name))
 
 
 async def test_a_target_at_its_limit_is_passed_by(entry):
     """Guards against a limit that the choice of a target doesn't know."""
     limited, other = (
-        given.RawTarget('t1', [limit_of(0.2)]),
-        given.RawTarget('t2'),
+        support.RawTarget('t1', [limit_of(0.2)]),
+        support.RawTarget('t2'),
     )
     await entry.use(limited, other)
     for _ in range(20):
@@ -39,7 +39,7 @@
     entry,
 ):
     """Guards against requests that wait for what can't come in their time."""
-    await entry.use(given.RawTarget('t1', [limit_of(0.2)]))
+    await entry.use(support.RawTarget('t1', [limit_of(0.2)]))
     assert (await entry.ask(ONCE))[0] == 200
     began_s = asyncio.get_running_loop().time()
     status, headers, _ = await entry.ask(ONCE)
@@ -51,7 +51,7 @@
 
 
 async def test_a_limit_ends_when_an_answer_names_none(entry):
-    target = given.RawTarget('t1', [limit_of(50), 'ok'])
+    target = support.RawTarget('t1', [limit_of(50), 'ok'])
     await entry.use(target)
     for _ in range(12):
         assert (await entry.ask(ONCE))[0] == 200
@@ -70,8 +70,8 @@
 
 @pytest.mark.parametrize('line', BAD)
 async def test_a_limit_that_can_not_be_read_costs_no_service(entry, line):
-    bad = given.RawTarget('t1', [given.telling(line)])
-    await entry.use(bad, given.RawTarget('t2'))
+    bad = support.RawTarget('t1', [support.with_headers(line)])
+    await entry.use(bad, support.RawTarget('t2'))
     for _ in range(10):
         assert (await entry.ask(ONCE))[0] == 200
 
@@ -127,18 +127,18 @@
 
 LEAVING_ANSWERS = (
     LEAVING,
-    given.telling(f'{given.NAMES.leaving}: 1', status='500 Bad'),
-    given.telling(
-        f'{given.NAMES.leaving}: 1',
-        f'{given.NAMES.not_run}: 1',
+    support.with_headers(f'{support.NAMES.leaving}: 1', status='500 Bad'),
+    support.with_headers(
+        f'{support.NAMES.leaving}: 1',
+        f'{support.NAMES.not_run}: 1',
         status='503 Full',
     ),
     # Truncated, and without the proof of a target.
     lambda echo: LEAVING(echo)[:-4],
-    lambda echo: given.answer(
+    lambda echo: support.answer(
         echo,
         signed=False,
-        extra=f'{given.NAMES.leaving}: 1',
+        extra=f'{support.NAMES.leaving}: 1',
     ),
 )
 
@@ -149,8 +149,8 @@
     answer,
 ):
     """Guards against a statement that is read from good answers only."""
-    leaving = given.RawTarget('t1', [answer])
-    other = given.RawTarget('t2')
+    leaving = support.RawTarget('t1', [answer])
+    other = support.RawTarget('t2')
     await entry.use(leaving, other)
     record_of(entry, 't2').estimate.failed(
         entry.shared.clock.monotonic_s(),
@@ -160,13 +160,13 @@
         await entry.ask()
     assert len(leaving.seen) == 1
     # Neither a list nor an entry that is kept undoes it.
-    await entry.use(leaving, other, given.RawTarget('t3'))
+    await entry.use(leaving, other, support.RawTarget('t3'))
     assert record_of(entry, 't3') is not None
     assert record_of(entry, 't1') is None
 
 
 async def test_another_start_of_a_target_that_left_is_used(entry):
-    target = given.RawTarget('t1', [LEAVING, 'ok'])
+    target = support.RawTarget('t1', [LEAVING, 'ok'])
     await entry.use(target)
     await entry.ask()
     assert (await entry.ask())[0] == 503
@@ -176,13 +176,13 @@
 
 
 async def test_what_another_target_at_the_address_says_is_not_its_own(entry):
-    moved = given.telling(
-        f'{given.NAMES.leaving}: 1',
+    moved = support.with_headers(
+        f'{support.NAMES.leaving}: 1',
         status='421 Misdirected Request',
     )
-    await entry.use(given.RawTarget('t1', [moved, 'ok']))
+    await entry.use(support.RawTarget('t1', [moved, 'ok']))
     await entry.ask()
-    await entry.use(*entry.targets, given.RawTarget('t2'))
+    await entry.use(*entry.targets, support.RawTarget('t2'))
     assert record_of(entry, 't1') is not None
 
 
@@ -190,28 +190,28 @@
     """Guards against a statement that came with another request's answer."""
 
     def late_extra(echo):
-        extra = f'{given.NAMES.leaving}: 1'
+        extra = f'{support.NAMES.leaving}: 1'
         return b''.join(
-            (given.answer('another', extra=extra), given.answer(echo))
+            (support.answer('another', extra=extra), support.answer(echo))
         )
 
-    await entry.use(given.RawTarget('t1', [late_extra, 'ok']))
+    await entry.use(support.RawTarget('t1', [late_extra, 'ok']))
     for _ in range(3):
         assert (await entry.ask())[0] == 200
 
 
 async def test_leaving_0_is_no_leaving(entry):
-    stays = given.telling(f'{given.NAMES.leaving}: 0')
-    await entry.use(given.RawTarget('t1', [stays]))
+    stays = support.with_headers(f'{support.NAMES.leaving}: 0')
+    await entry.use(support.RawTarget('t1', [stays]))
     for _ in range(3):
         assert (await entry.ask())[0] == 200
 
 
-class HalfAnswering(given.RawTarget):
+class HalfAnswering(support.RawTarget):
     """Keeps the end of its answer back until the gate opens."""
 
     async def _answer(self, behaviour, headers, reader, writer):
-        whole = LEAVING(headers[given.NAMES.attempt_id])
+        whole = LEAVING(headers[support.NAMES.attempt_id])
         writer.write(whole[:-4])
         await self.gate.wait()
         writer.write(whole[-4:])
@@ -223,15 +223,15 @@
     target = HalfAnswering('t1')
     await entry.use(target)
     asking = asyncio.create_task(entry.ask())
-    await given.until(lambda: record_of(entry, 't1') is None)
+    await support.wait_until(lambda: record_of(entry, 't1') is None)
     target.gate.set()
     assert (await asking)[0] == 200
 
 
 def resting(seconds, status='503 Full'):
-    return given.telling(
+    return support.with_headers(
         f'Retry-After: {seconds}',
-        f'{given.NAMES.not_run}: 1',
+        f'{support.NAMES.not_run}: 1',
         status=status,
     )
 
@@ -239,8 +239,8 @@
 async def test_a_target_that_asked_for_rest_is_left_alone_so_long(entry):
     """Guards against a pause that is the same whatever a target asks for."""
     tired, other = (
-        given.RawTarget('t1', [resting(1), 'ok']),
-        given.RawTarget('t2'),
+        support.RawTarget('t1', [resting(1), 'ok']),
+        support.RawTarget('t2'),
     )
     await entry.use(tired, other)
     loop = asyncio.get_running_loop()
@@ -260,7 +260,7 @@
 async def test_when_all_rest_a_caller_is_told_how_long_at_once(entry):
     """Guards against a refusal that names a time at which all still rest."""
     await entry.use(
-        *(given.RawTarget(f't{one}', [resting(4)]) for one in range(3))
+        *(support.RawTarget(f't{one}', [resting(4)]) for one in range(3))
     )
     times = []
     loop = asyncio.get_running_loop()
@@ -276,11 +276,11 @@
 
 async def test_a_request_that_waits_is_refused_when_all_rest(entry):
     """Guards against requests that were queued before the target asked for rest."""
-    target = given.RawTarget('t1', ['gated', 'gated', 'gated', resting(9)])
+    target = support.RawTarget('t1', ['gated', 'gated', 'gated', resting(9)])
     await entry.use(target)
     asking = [asyncio.create_task(entry.ask(ONCE)) for _ in range(4)]
-    await given.until(lambda: len(target.seen) == 3)
-    pool = entry.shared.services.pool(given.SERVICE)
+    await support.wait_until(lambda: len(target.seen) == 3)
+    pool = entry.shared.services.pool(support.SERVICE)
     record = record_of(entry, 't1')
     now_s = entry.shared.clock.monotonic_s()
     pool.targets.apply_statement(
@@ -289,7 +289,7 @@
         now_s,
         target_record.ObservationSource.OWN,
     )
-    await given.until(lambda: any(one.done() for one in asking))
+    await support.wait_until(lambda: any(one.done() for one in asking))
     statuses = [one.result()[0] for one in asking if one.done()]
     assert statuses == [503]
     target.gate.set()
@@ -311,8 +311,8 @@
 
 @pytest.mark.parametrize('text', BAD_RESTS)
 async def test_a_rest_that_can_not_be_read_costs_no_service(entry, text):
-    bad = given.RawTarget('t1', [resting(text), 'ok'])
-    await entry.use(bad, given.RawTarget('t2'), given.RawTarget('t3'))
+    bad = support.RawTarget('t1', [resting(text), 'ok'])
+    await entry.use(bad, support.RawTarget('t2'), support.RawTarget('t3'))
     for _ in range(10):
         assert (await entry.ask(ONCE))[0] == 200
     assert record_of(entry, 't1').statements.backoff_until_s == 0
@@ -320,12 +320,12 @@
 
 async def test_a_target_gets_one_request_after_its_rest(entry):
     """Guards against a burst that is turned away at the end of each rest."""
-    target = given.RawTarget('t1', [resting(0.3), 'gated'])
+    target = support.RawTarget('t1', [resting(0.3), 'gated'])
     await entry.use(target)
     await entry.ask(ONCE)
     await asyncio.sleep(0.4)
     asking = [asyncio.create_task(entry.ask(ONCE)) for _ in range(3)]
-    await given.until(lambda: len(target.seen) == 2)
+    await support.wait_until(lambda: len(target.seen) == 2)
     await asyncio.sleep(0.1)
     assert len(target.seen) == 2
     target.gate.set()
@@ -333,7 +333,9 @@
 
 
 async def test_targets_that_want_nothing_are_counted(entry):
-    await entry.use(given.RawTarget('t1', [resting(4)]), given.RawTarget('t2'))
+    await entry.use(
+        support.RawTarget('t1', [resting(4)]), support.RawTarget('t2')
+    )
     for _ in range(6):
         await entry.ask(ONCE)
     figures = {
@@ -344,7 +346,7 @@
 
 
 async def test_a_rest_named_with_200_is_none(entry):
-    target = given.RawTarget('t1', [given.telling('Retry-After: 5')])
+    target = support.RawTarget('t1', [support.with_headers('Retry-After: 5')])
     await entry.use(target)
     for _ in range(3):
         assert (await entry.ask(ONCE))[0] == 200
--- a/libraries/entry/tests/cover/test_entry_targets.py
+++ b/libraries/entry/tests/cover/test_entry_targets.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-import entry_support as given
+import entry_support as support
 import pytest
 from sardinepier.entry import model
 from sardinepier.gateway import errors
@@ -48,35 +48,35 @@
     status,
     ran,
 ):
-    bad = given.RawTarget('bad', [behaviour, 'ok'])
-    await entry.use(bad, given.RawTarget('good'))
+    bad = support.RawTarget('bad', [behaviour, 'ok'])
+    await entry.use(bad, support.RawTarget('good'))
     # The one that has a good answer behind it would be preferred.
-    entry.shared.services.pool(given.SERVICE).targets.find(
+    entry.shared.services.pool(support.SERVICE).targets.find(
         'good',
     ).estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
     got, headers, body = await entry.ask(path, 'POST', b'payload')
     assert (got, entry.ran) == (status, ran)
     if got == 200:
-        assert body == given.BODY
-        assert headers[given.NAMES.signature] == 'proof-of-id-1'
+        assert body == support.BODY
+        assert headers[support.NAMES.signature] == 'proof-of-id-1'
     if got == 502:
-        assert given.NAMES.signature not in headers
+        assert support.NAMES.signature not in headers
 
 
 async def test_an_extra_answer_is_not_the_next_request_s(entry):
-    target = given.RawTarget('t1', ['extra-after', 'ok'])
+    target = support.RawTarget('t1', ['extra-after', 'ok'])
     await entry.use(target)
     for number in range(4):
         name = f'id-{number}'
         _, headers, body = await entry.ask(
-            **{given.NAMES.attempt_id: name},
+            **{support.NAMES.attempt_id: name},
         )
-        assert headers[given.NAMES.attempt_id] == name
-        assert body == given.BODY
+        assert headers[support.NAMES.attempt_id] == name
+        assert body == support.BODY
 
 
 async def test_the_request_arrives_as_it_was_sent(entry):
-    target = given.RawTarget('t1')
+    target = support.RawTarget('t1')
     await entry.use(target)
     await entry.ask('/once/a%20b?x=1', 'DELETE', b'\x00body', Extra='kept')
     line, headers, body = target.seen[0]
@@ -84,19 +84,19 @@
     assert body == b'\x00body'
     assert headers['Extra'] == 'kept'
     assert headers['Host'] == 'a.example'
-    assert headers[given.NAMES.expected_target] == 't1'
-    assert 1500 < int(headers[given.NAMES.deadline_ms]) <= 2000
+    assert headers[support.NAMES.expected_target] == 't1'
+    assert 1500 < int(headers[support.NAMES.deadline_ms]) <= 2000
 
 
 async def test_a_failure_is_passed_on_with_its_proof(entry):
-    await entry.use(given.RawTarget('t1', ['fail']))
+    await entry.use(support.RawTarget('t1', ['fail']))
     status, headers, body = await entry.ask('/once/1', 'POST')
     assert (status, body) == (500, b'broken')
-    assert headers[given.NAMES.signature] == 'proof-of-id-1'
+    assert headers[support.NAMES.signature] == 'proof-of-id-1'
 
 
 async def test_a_refusal_says_when_to_come_back(entry):
-    await entry.use(given.RawTarget('t1', ['shed']))
+    await entry.use(support.RawTarget('t1', ['shed']))
     status, headers, _ = await entry.ask('/once/1', 'POST')
     assert status == 503
     assert float(headers['Retry-After']) > 0
@@ -104,13 +104,13 @@
 
 
 async def test_nothing_goes_to_a_target_that_drains(entry):
-    target = given.RawTarget('t1')
+    target = support.RawTarget('t1')
     await entry.use(target)
     entry.shared.services.offer_targets(
         model.TargetList(
             2,
             (
-                given.listed(
+                support.listed(
                     't1',
                     target.port,
                     state=model.TargetState.DRAINING,
@@ -123,8 +123,8 @@
 
 
 async def test_a_target_out_of_reach_is_gone_past(entry):
-    gone = given.RawTarget('gone')
-    await entry.use(gone, given.RawTarget('good'))
+    gone = support.RawTarget('gone')
+    await entry.use(gone, support.RawTarget('good'))
     gone.server.close()
     for _ in range(6):
         status, _, _ = await entry.ask('/once/1', 'POST')
@@ -134,19 +134,19 @@
 async def test_a_route_s_timeout_ends_a_request(entry):
     """Its caller would wait for far longer."""
     entry.shared.services.offer_configuration(
-        given.configuration(2, [given.route(timeout_s=0.3)]),
+        support.configuration(2, [support.route(timeout_s=0.3)]),
     )
-    await entry.use(given.RawTarget('t1', ['hang']))
+    await entry.use(support.RawTarget('t1', ['hang']))
     status, _, _ = await asyncio.wait_for(
-        entry.ask(**{given.NAMES.deadline_ms: '60000'}),
-        given.PATIENCE_S,
+        entry.ask(**{support.NAMES.deadline_ms: '60000'}),
+        support.TIMEOUT_S,
     )
     assert status == 504
 
 
 async def test_a_slow_idempotent_request_gets_a_second_target(entry):
     """Without one it would end with 504 at its route's timeout."""
-    one, other = given.RawTarget('one'), given.RawTarget('other')
+    one, other = support.RawTarget('one'), support.RawTarget('other')
     await entry.use(one, other)
     for _ in range(120):
         await entry.ask()
@@ -155,8 +155,8 @@
     slow.behaviours = ['hang']
     ran_before = slow.ran
     status, _, _ = await asyncio.wait_for(
-        entry.ask(**{given.NAMES.deadline_ms: '60000'}),
-        given.PATIENCE_S,
+        entry.ask(**{support.NAMES.deadline_ms: '60000'}),
+        support.TIMEOUT_S,
     )
     assert status == 200
     assert slow.ran == ran_before + 1
@@ -164,8 +164,8 @@
 
 async def test_a_connection_that_times_out_is_no_evidence(entry, monkeypatch):
     """The way from here may be lost, while others have it."""
-    await entry.use(given.RawTarget('t1'))
-    record = entry.shared.services.pool(given.SERVICE).targets.find('t1')
+    await entry.use(support.RawTarget('t1'))
+    record = entry.shared.services.pool(support.SERVICE).targets.find('t1')
     before = record.estimate.updated_s
 
     async def silent(*passed, **named):
@@ -180,8 +180,8 @@
 
 
 async def test_a_target_that_was_heard_is_within_reach(entry):
-    await entry.use(given.RawTarget('t1'))
-    record = entry.shared.services.pool(given.SERVICE).targets.find('t1')
+    await entry.use(support.RawTarget('t1'))
+    record = entry.shared.services.pool(support.SERVICE).targets.find('t1')
     record.mark_unreachable(entry.shared.clock.monotonic_s())
     status, _, _ = await entry.ask()
     assert status == 200
--- a/libraries/entry/tests/cover/test_entry_zone_affinity.py
+++ b/libraries/entry/tests/cover/test_entry_zone_affinity.py
@@ -10,7 +10,7 @@
 import heapq
 import random
 
-import entry_support as given
+import entry_support as support
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
@@ -38,7 +38,7 @@
         self.random = random.Random(seed)
         self.clock = clocks.ManualClock(100.0)
         listed = [
-            given.listed(f'{zone}-{number}', zone=zone, slots=SLOTS)
+            support.listed(f'{zone}-{number}', zone=zone, slots=SLOTS)
             for zone in ZONES
             for number in range(TARGETS_A_ZONE)
         ]
@@ -64,7 +64,7 @@
 
     def _pool(self, zone, listed):
         pool = service_pool.ServicePool(
-            given.SERVICE,
+            support.SERVICE,
             zone,
             self.clock,
             random.Random(zone),
--- a/libraries/entry/tests/entry_support.py
+++ b/libraries/entry/tests/entry_support.py
@@ -17,7 +17,7 @@
 ZONE = ids.ZoneName('z1')
 NAMES = header_names.HeaderNames()
 BODY = b'the whole answer'
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 """Far more than anything takes; only what never comes is waited for so long."""
 
 
@@ -39,11 +39,13 @@
     )
 
 
-ONCE = route('/once/', model.RouteKind.NON_IDEMPOTENT)
-SAFE = route()
+NON_IDEMPOTENT_ROUTE = route('/once/', model.RouteKind.NON_IDEMPOTENT)
+IDEMPOTENT_ROUTE = route()
 
 
-def configuration(version=1, routes=(SAFE, ONCE), **changed):
+def configuration(
+    version=1, routes=(IDEMPOTENT_ROUTE, NON_IDEMPOTENT_ROUTE), **changed
+):
     return model.ServedConfiguration(
         version,
         tuple(routes),
@@ -172,7 +174,7 @@
 """What a target writes, by its behaviour."""
 
 
-def telling(*lines, status='200 OK'):
+def with_headers(*lines, status='200 OK'):
     """Return a behaviour whose answers have further header lines."""
     return lambda echo: answer(echo, status, extra='\r\n'.join(lines))
 
@@ -181,9 +183,9 @@
 """Behaviours after which the target ends the connection."""
 
 
-async def until(condition):
+async def wait_until(condition):
     """Wait until ``condition`` holds; fail if it never does."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
--- a/libraries/routing/src/sardinepier/routing/in_flight.py
+++ b/libraries/routing/src/sardinepier/routing/in_flight.py
@@ -250,7 +250,7 @@
         """
         self._is_dealt = True
         daemons = (*self._peers.names, self._own or _UNNAMED)
-        homes = home_slots.deal(self._records.in_service(), daemons)
+        homes = home_slots.assign(self._records.in_service(), daemons)
         self._peers.set_homes(tuple(self._peers.names), homes)
         self._peers.changed()
         own = {} if self._own is None else homes[self._own]
--- a/libraries/routing/src/sardinepier/routing/internal/home_slots.py
+++ b/libraries/routing/src/sardinepier/routing/internal/home_slots.py
@@ -13,7 +13,7 @@
 Homes = Mapping[ids.InstanceId, Mapping[ids.TargetId, int]]
 
 
-def deal(
+def assign(
     targets: Iterable[choice.Candidate],
     daemons: Collection[ids.InstanceId],
 ) -> Homes:
--- a/libraries/routing/tests/cover/test_routing_in_flight.py
+++ b/libraries/routing/tests/cover/test_routing_in_flight.py
@@ -98,8 +98,8 @@
         for number, count in enumerate(slots)
     ]
     names = [f'd{number}' for number in range(daemons)]
-    homes = home_slots.deal(targets, names)
-    in_other_order = home_slots.deal(reversed(targets), set(names))
+    homes = home_slots.assign(targets, names)
+    in_other_order = home_slots.assign(reversed(targets), set(names))
     assert homes == in_other_order
     shares = [sum(own.values()) for own in homes.values()]
     assert max(shares) - min(shares) <= 1
--- a/libraries/zones/tests/cover/test_zones_carriers.py
+++ b/libraries/zones/tests/cover/test_zones_carriers.py
@@ -1,14 +1,14 @@
 """Which daemons carry a zone."""
 
 import pytest
-import zones_support as given
+import zones_support as support
 from sardinepier.membership import capacity
 from sardinepier.zones import availability, strength
 
 
 @pytest.fixture
 def zone():
-    return given.Zone(count=6)
+    return support.Zone(count=6)
 
 
 async def test_all_name_the_same_carrier(zone):
@@ -66,7 +66,7 @@
 
 
 async def test_a_zone_without_daemons_is_carried_by_the_others():
-    zone = given.Zone(count=3, zones=('z1', 'zone2'))
+    zone = support.Zone(count=3, zones=('z1', 'zone2'))
     gone = tuple(own for own in zone.fleet.known if own.zone == 'zone2')
     for one in gone:
         zone.fleet.drop(one)
@@ -76,7 +76,7 @@
 
 
 async def test_a_carrier_cut_off_from_targets_hands_its_zone_over(zone):
-    await given.with_targets(zone)
+    await support.with_targets(zone)
     cut_off = zone.carrier()
     lose_way(cut_off, 't1', 't2')
     await zone.run(0.5)
@@ -87,16 +87,16 @@
 
 
 async def test_what_a_carrier_cannot_reach_is_no_evidence_for_others(zone):
-    await given.with_targets(zone)
-    before = given.failing(zone.daemons[0], 't1')
+    await support.with_targets(zone)
+    before = support.failing(zone.daemons[0], 't1')
     lose_way(zone.carrier(), 't1', 't2')
     await zone.run(0.5)
     for one in zone.daemons:
-        assert given.failing(one, 't1') <= before
+        assert support.failing(one, 't1') <= before
 
 
 async def test_a_carrier_that_handed_over_comes_back(zone):
-    await given.with_targets(zone)
+    await support.with_targets(zone)
     cut_off = zone.carrier()
     lose_way(cut_off, 't1', 't2')
     await zone.run(0.5)
@@ -108,7 +108,7 @@
 
 async def test_a_zone_that_nobody_serves_better_hands_over_seldom(zone):
     """Such as when the targets themselves are gone."""
-    await given.with_targets(zone)
+    await support.with_targets(zone)
     first = zone.carrier()
     for daemon in zone.daemons:
         lose_way(daemon, 't1', 't2')
@@ -121,7 +121,7 @@
 
 
 async def test_one_target_out_of_reach_is_no_reason(zone):
-    await given.with_targets(zone)
+    await support.with_targets(zone)
     first = zone.carrier()
     lose_way(first, 't1')
     await zone.run(0.5)
@@ -131,7 +131,7 @@
 
 async def test_one_connection_each_is_no_reason(zone):
     """Over a link that loses packets that happens now and then."""
-    await given.with_targets(zone)
+    await support.with_targets(zone)
     first = zone.carrier()
     lose_way(first, 't1', 't2', times=1)
     await zone.run(0.5)
@@ -140,10 +140,10 @@
 
 
 async def test_targets_that_are_known_to_fail_are_no_reason(zone):
-    await given.with_targets(zone)
+    await support.with_targets(zone)
     first = zone.carrier()
     for name in ('t1', 't2'):
-        given.fail(first, name)
+        support.fail(first, name)
     lose_way(first, 't1', 't2')
     await zone.run(0.5)
     named = {one.carriers.of_own_zone() for one in zone.daemons}
@@ -152,7 +152,7 @@
 
 async def test_a_lost_notice_of_a_handover_is_made_up_for(zone):
     """The others miss the beats of the one that handed over."""
-    await given.with_targets(zone)
+    await support.with_targets(zone)
     cut_off = zone.carrier()
     lose_way(cut_off, 't1', 't2')
     for one in zone.daemons:
@@ -163,8 +163,8 @@
 
 
 async def test_more_traffic_gets_more_carriers(zone):
-    await given.with_targets(zone)
-    given.crowd(zone, 'z1')
+    await support.with_targets(zone)
+    support.crowd(zone, 'z1')
     await zone.run(1.0)
     counts = {one.carriers.count for one in zone.daemons}
     assert len(counts) == 1
@@ -176,8 +176,8 @@
 
 
 async def test_less_traffic_needs_fewer_after_a_while(zone):
-    await given.with_targets(zone)
-    given.crowd(zone, 'z1')
+    await support.with_targets(zone)
+    support.crowd(zone, 'z1')
     await zone.run(1.0)
     for one in zone.daemons:
         one.per_s = 0
@@ -186,8 +186,8 @@
 
 
 async def test_who_takes_over_keeps_the_number(zone):
-    await given.with_targets(zone)
-    given.crowd(zone, 'z1')
+    await support.with_targets(zone)
+    support.crowd(zone, 'z1')
     # Until the measured rate is all that there is, and the number with it.
     await zone.run(2.0)
     before = zone.daemons[0].carriers.count
@@ -200,26 +200,26 @@
 
 def lose_way(daemon, *names, times=2):
     for name in names:
-        record = daemon.held.pool(given.SERVICE).targets.find(name)
+        record = daemon.held.pool(support.SERVICE).targets.find(name)
         for _ in range(times):
             record.mark_unreachable(daemon.clock.monotonic_s())
 
 
 def find_way(daemon, *names):
     for name in names:
-        daemon.held.pool(given.SERVICE).targets.find(name).mark_reachable()
+        daemon.held.pool(support.SERVICE).targets.find(name).mark_reachable()
 
 
 async def test_the_strongest_carry_and_others_only_without_them(zone):
     """Unequal machines: links and processors differ by a factor of five."""
     strong = capacity.Capacity(2150, 100_000)
     weak = capacity.Capacity(430, 5_000)
-    zone = given.Zone(count=0)
+    zone = support.Zone(count=0)
     zone.fleet.known = [
-        given.member(number, able=strong if number in {3, 7} else weak)
+        support.member(number, able=strong if number in {3, 7} else weak)
         for number in range(12)
     ]
-    zone.daemons = [given.Daemon(zone, own) for own in zone.fleet.known]
+    zone.daemons = [support.Daemon(zone, own) for own in zone.fleet.known]
     await zone.run(1.0)
     first, second = zone.daemons[0].carriers._order.own_zone(2)[:2]
     assert {first.capacity, second.capacity} == {strong}
--- a/libraries/zones/tests/cover/test_zones_changes.py
+++ b/libraries/zones/tests/cover/test_zones_changes.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-import zones_support as given
+import zones_support as support
 from hypothesis import given as with_any
 from hypothesis import strategies
 from sardinepier.entry import model, service_registry
@@ -33,7 +33,7 @@
 def listed(revision, found):
     return model.TargetList(
         revision,
-        tuple(given.target(name, **fields) for name, fields in found.items()),
+        tuple(support.target(name, **fields) for name, fields in found.items()),
     )
 
 
@@ -68,7 +68,7 @@
     ],
 )
 def test_lists_with_another_target_have_another_digest(changed):
-    one = given.target('t1')
+    one = support.target('t1')
     other = msgspec.structs.replace(one, **changed)
     digests = {
         service_registry.digest_of(model.TargetList(1, (target,)))
@@ -78,20 +78,20 @@
 
 
 def test_the_order_of_a_list_says_nothing():
-    ahead = given.target_list(1, 't1', 't2')
-    back = given.target_list(1, 't2', 't1')
+    ahead = support.target_list(1, 't1', 't2')
+    back = support.target_list(1, 't2', 't1')
     assert service_registry.digest_of(ahead) == service_registry.digest_of(back)
 
 
 async def test_a_change_takes_little_of_a_weak_link():
-    zone = given.Zone(count=NEIGHBOURS + 1)
+    zone = support.Zone(count=NEIGHBOURS + 1)
     names = [f'target-{number:06}' for number in range(142)]
-    zone.platform.configuration = given.configuration(1)
-    zone.platform.targets = given.target_list(1, *names)
+    zone.platform.configuration = support.configuration(1)
+    zone.platform.targets = support.target_list(1, *names)
     await zone.run(3.0)
     reader = next(one for one in zone.daemons if one.guard.is_own)
     before = reader.network.counters().bytes_sent
-    zone.platform.targets = given.target_list(2, *names[4:])
+    zone.platform.targets = support.target_list(2, *names[4:])
     await zone.run(1.0)
     assert all(len(one.target_names) == 138 for one in zone.daemons)
     sent_bits = 8 * (reader.network.counters().bytes_sent - before)
@@ -106,25 +106,25 @@
     while nobody could read is kept for 2.2 s more.
     """
     drawn = random.Random(seed)
-    zone = given.Zone()
+    zone = support.Zone()
     names = [f't{number}' for number in range(12)]
-    zone.platform.configuration = given.configuration(1)
-    zone.platform.targets = given.target_list(1, *names)
+    zone.platform.configuration = support.configuration(1)
+    zone.platform.targets = support.target_list(1, *names)
     await zone.run(2.0)
-    zone.hub.faults = given.memory_network.LinkFaults(
+    zone.hub.faults = support.memory_network.LinkFaults(
         loss=0.3,
         duplicate=0.2,
         reorder_s=0.4,
     )
     for revision in range(2, 20):
-        zone.platform.targets = given.target_list(
+        zone.platform.targets = support.target_list(
             revision,
             *drawn.sample(names, drawn.randint(1, len(names))),
         )
         others = [one.own.daemon_id for one in zone.daemons]
         zone.platform.refused = set(drawn.sample(others, 3))
         await zone.run(drawn.uniform(0.2, 1.5))
-    zone.hub.faults = given.memory_network.LinkFaults()
+    zone.hub.faults = support.memory_network.LinkFaults()
     zone.platform.refused = set()
     await zone.run(SETTLED_S)
     expected = {one.target_id for one in zone.platform.targets.targets}
@@ -132,14 +132,14 @@
 
 
 async def test_a_change_that_makes_another_list_is_not_taken():
-    zone = given.Zone(count=2)
-    zone.platform.configuration = given.configuration(1)
-    zone.platform.targets = given.target_list(1, 't1', 't2')
+    zone = support.Zone(count=2)
+    zone.platform.configuration = support.configuration(1)
+    zone.platform.targets = support.target_list(1, 't1', 't2')
     await zone.run(2.0)
     first, second = zone.daemons
     change = change_of(
-        given.target_list(1, 't1', 't2'),
-        given.target_list(2, 't1'),
+        support.target_list(1, 't1', 't2'),
+        support.target_list(2, 't1'),
     )
     wrong = msgspec.structs.replace(change, digest=change.digest + 1)
     first.network.send(second.own.peer_address, wrong)
@@ -148,9 +148,9 @@
 
 
 async def test_who_holds_another_list_asks_for_the_whole_one():
-    zone = given.Zone(count=2)
-    zone.platform.configuration = given.configuration(1)
-    zone.platform.targets = given.target_list(1, 't1', 't2')
+    zone = support.Zone(count=2)
+    zone.platform.configuration = support.configuration(1)
+    zone.platform.targets = support.target_list(1, 't1', 't2')
     await zone.run(2.0)
     first, second = zone.daemons
     asked = []
@@ -159,8 +159,8 @@
         lambda sender, request: asked.append(request),
     )
     change = change_of(
-        given.target_list(5, 't1', 't2', 't3'),
-        given.target_list(6, 't1'),
+        support.target_list(5, 't1', 't2', 't3'),
+        support.target_list(6, 't1'),
     )
     for _ in range(3):
         first.network.send(second.own.peer_address, change)
--- a/libraries/zones/tests/cover/test_zones_confirming.py
+++ b/libraries/zones/tests/cover/test_zones_confirming.py
@@ -7,7 +7,7 @@
 import asyncio
 
 import pytest
-import zones_support as given
+import zones_support as support
 
 from sardinepier.entry import confirmation
 
@@ -24,9 +24,9 @@
 
 @pytest.fixture
 async def zone():
-    made = given.Zone(count=4, zones=('z1', 'far'))
+    made = support.Zone(count=4, zones=('z1', 'far'))
     need_confirmations(made)
-    await given.with_targets(made)
+    await support.with_targets(made)
     await made.run(2.0)
     return made
 
@@ -108,7 +108,7 @@
     asker.held.confirmation = confirmation.Confirmation(zone.clock, BOUND_S)
     for one in zone.daemons:
         if one is not asker:
-            one.held.offer_configuration(given.configuration(9))
+            one.held.offer_configuration(support.configuration(9))
     asker.sharing._confirming.step()
     zone.hub.deliver()
     assert asker.version == 1
@@ -122,7 +122,7 @@
 async def test_a_suspended_daemon_wakes_unconfirmed(zone):
     sleeper = zone.daemons[2]
     # Its own clock alone: the others were awake.
-    clock = given.clocks.ManualClock(zone.clock.monotonic_s())
+    clock = support.clocks.ManualClock(zone.clock.monotonic_s())
     sleeper.held.confirmation = confirmation.Confirmation(clock, BOUND_S)
     sleeper.held.confirmation.confirm(clock.boot_s())
     clock.suspend(6.0)
--- a/libraries/zones/tests/cover/test_zones_limits.py
+++ b/libraries/zones/tests/cover/test_zones_limits.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-import zones_support as given
+import zones_support as support
 from sardinepier.core import ids
 from sardinepier.entry import target_record
 from sardinepier.gateway import statements
@@ -12,11 +12,11 @@
 
 
 def record_of(daemon):
-    return daemon.held.pool(given.SERVICE).targets.find(ids.TargetId(TARGET))
+    return daemon.held.pool(support.SERVICE).targets.find(ids.TargetId(TARGET))
 
 
 def hear(daemon, limit_per_s, *, is_leaving=False):
-    daemon.held.pool(given.SERVICE).targets.apply_statement(
+    daemon.held.pool(support.SERVICE).targets.apply_statement(
         record_of(daemon),
         statements.Statement(is_leaving=is_leaving, limit_per_s=limit_per_s),
         daemon.clock.monotonic_s(),
@@ -33,8 +33,8 @@
 
 
 async def zones_with_a_target(*zones):
-    zone = given.Zone(4, zones)
-    await given.with_targets(zone, TARGET)
+    zone = support.Zone(4, zones)
+    await support.with_targets(zone, TARGET)
     return zone
 
 
@@ -62,7 +62,7 @@
     await zone.run(1.0)
     assert not any(map(record_of, zone.daemons))
     # A list of the platform that still has it undoes nothing.
-    zone.platform.targets = given.target_list(2, TARGET, 't2')
+    zone.platform.targets = support.target_list(2, TARGET, 't2')
     await zone.run(2.0)
     assert 't2' in zone.daemons[0].target_names
     assert not any(map(record_of, zone.daemons))
--- a/libraries/zones/tests/cover/test_zones_non_carriers.py
+++ b/libraries/zones/tests/cover/test_zones_non_carriers.py
@@ -1,7 +1,7 @@
 """Which targets those of a zone choose who don't carry it."""
 
 import pytest
-import zones_support as given
+import zones_support as support
 from sardinepier.core import ids
 from sardinepier.entry import target_record, attempt_requirements
 
@@ -11,13 +11,13 @@
 
 @pytest.fixture
 def zone():
-    return given.Zone(count=4)
+    return support.Zone(count=4)
 
 
 def chosen(daemon, *, is_final_attempt=False):
     """Return who gets a request that comes to a daemon now."""
     now_s = daemon.clock.monotonic_s()
-    pool = daemon.held.pool(given.SERVICE)
+    pool = daemon.held.pool(support.SERVICE)
     requirements = attempt_requirements.AttemptRequirements(
         (), 0, now_s, now_s + 0.3, is_final_attempt
     )
@@ -27,7 +27,7 @@
 
 
 def serve(daemon, name):
-    pool = daemon.held.pool(given.SERVICE)
+    pool = daemon.held.pool(support.SERVICE)
     record = pool.targets.find(ids.TargetId(name))
     pool.finished(record, begun(pool, record))
     pool.answered(record, 0.2)
@@ -44,9 +44,9 @@
     Seen: as many requests came to a service beside its carriers as through
     them, and one in twenty-four was turned away while others were idle.
     """
-    zone = given.Zone(count=12)
+    zone = support.Zone(count=12)
     names = [f't{number}' for number in range(6)]
-    await given.with_targets(zone, *names)
+    await support.with_targets(zone, *names)
     carrier = zone.carrier()
     for name in names:
         serve(carrier, name)
@@ -59,18 +59,18 @@
 async def test_a_newcomer_that_the_zone_has_used_waits_for_no_first_request(
     zone,
 ):
-    await given.with_targets(zone)
-    zone.platform.targets = given.target_list(2, 't1', 't2', 'new')
+    await support.with_targets(zone)
+    zone.platform.targets = support.target_list(2, 't1', 't2', 'new')
     await zone.run(_IDLE_S)
     carrier = zone.carrier()
     assert chosen(carrier) == 'new'
-    given.fail(carrier, 'new')
+    support.fail(carrier, 'new')
     serve(carrier, 't1')
     serve(carrier, 't2')
     await zone.run(0.5)
     zone.stop(carrier)
     await zone.run(0.5)
     beside = next(one for one in zone.living())
-    record = beside.held.pool(given.SERVICE).targets.find('new')
+    record = beside.held.pool(support.SERVICE).targets.find('new')
     assert record.belief_source is target_record.ObservationSource.ZONE
     assert chosen(beside, is_final_attempt=True) != 'new'
--- a/libraries/zones/tests/cover/test_zones_platform_restore.py
+++ b/libraries/zones/tests/cover/test_zones_platform_restore.py
@@ -6,7 +6,7 @@
 """
 
 import pytest
-import zones_support as given
+import zones_support as support
 
 from sardinepier.entry import confirmation, model
 
@@ -16,31 +16,31 @@
 
 @pytest.fixture
 async def zone():
-    made = given.Zone()
+    made = support.Zone()
     for one in made.daemons:
         one.held.confirmation = confirmation.Confirmation(
             made.clock,
             BOUND_S,
         )
-    made.platform.configuration = given.configuration(4)
-    made.platform.targets = given.target_list(100, 'stays', 'leaves')
+    made.platform.configuration = support.configuration(4)
+    made.platform.targets = support.target_list(100, 'stays', 'leaves')
     await made.run(3.0)
-    made.platform.configuration = given.configuration(5)
-    made.platform.targets = given.target_list(120, 'stays', 'starts')
+    made.platform.configuration = support.configuration(5)
+    made.platform.targets = support.target_list(120, 'stays', 'starts')
     await made.run(3.0)
     return made
 
 
 def restore(zone):
     """Show what the copy has, of before ``starts`` and ``leaves`` did so."""
-    zone.platform.configuration = given.configuration(4)
-    zone.platform.targets = given.target_list(ERA + 100, 'stays', 'leaves')
+    zone.platform.configuration = support.configuration(4)
+    zone.platform.targets = support.target_list(ERA + 100, 'stays', 'leaves')
 
 
 def write_again(zone):
     """Show what the operators and the targets have written again."""
-    zone.platform.configuration = given.configuration(5)
-    zone.platform.targets = given.target_list(
+    zone.platform.configuration = support.configuration(5)
+    zone.platform.targets = support.target_list(
         ERA + 104,
         'stays',
         'leaves',
@@ -71,15 +71,15 @@
 async def test_lists_of_the_restored_platform_are_taken(zone):
     restore(zone)
     await zone.run(0.5)
-    zone.platform.targets = given.target_list(ERA + 110, 'stays', 'fresh')
+    zone.platform.targets = support.target_list(ERA + 110, 'stays', 'fresh')
     await zone.run(7.0)
     for one in zone.daemons:
         assert one.target_names == {'stays', 'fresh'}
 
 
 async def test_one_that_was_draining_stays_so(zone):
-    listed = (given.target('stays'), given.target('starts'))
-    drains = given.target('starts', model.TargetState.DRAINING)
+    listed = (support.target('stays'), support.target('starts'))
+    drains = support.target('starts', model.TargetState.DRAINING)
     zone.platform.targets = model.TargetList(130, (listed[0], drains))
     await zone.run(2.0)
     zone.platform.targets = model.TargetList(ERA + 100, listed)
--- a/libraries/zones/tests/cover/test_zones_reading.py
+++ b/libraries/zones/tests/cover/test_zones_reading.py
@@ -1,7 +1,7 @@
 """How a zone keeps up with the platform, under failures of either."""
 
 import pytest
-import zones_support as given
+import zones_support as support
 from sardinepier.entry import model, platform_state
 from sardinepier.telemetry import logs
 from sardinepier.zones import events
@@ -13,16 +13,16 @@
 
 @pytest.fixture
 async def zone():
-    made = given.Zone()
-    made.platform.configuration = given.configuration(1)
-    made.platform.targets = given.target_list(1, 't1', 't2')
+    made = support.Zone()
+    made.platform.configuration = support.configuration(1)
+    made.platform.targets = support.target_list(1, 't1', 't2')
     await made.run(3.0)
     return made
 
 
 def change(zone, version=2):
-    zone.platform.configuration = given.configuration(version)
-    zone.platform.targets = given.target_list(version, 't1')
+    zone.platform.configuration = support.configuration(version)
+    zone.platform.targets = support.target_list(version, 't1')
 
 
 async def test_all_know_what_is_published_within_the_bound(zone):
@@ -76,7 +76,7 @@
 async def test_an_entry_that_lapsed_meanwhile_is_kept_for_a_moment(zone):
     zone.platform.refused = {one.own.daemon_id for one in zone.daemons}
     await zone.run(6.0)
-    zone.platform.targets = given.target_list(2, 't1')
+    zone.platform.targets = support.target_list(2, 't1')
     zone.platform.refused = set()
     await zone.run(1.0, step_s=0.02)
     reader = next(one for one in zone.daemons if one.guard.is_own)
@@ -84,7 +84,7 @@
     while not reader.guard.is_own or reader.held.targets.revision != 2:
         await zone.run(0.1)
     assert reader.target_names == {'t1', 't2'}
-    zone.platform.targets = given.target_list(3, 't1')
+    zone.platform.targets = support.target_list(3, 't1')
     await zone.run(4.0)
     assert {frozenset(one.target_names) for one in zone.daemons} == ONLY_T1
 
@@ -99,7 +99,7 @@
     await once.reading._read(allow_stale=False)
     zone.platform.refused = set()
     await zone.run(3.0)
-    zone.platform.targets = given.target_list(2, 't1')
+    zone.platform.targets = support.target_list(2, 't1')
     zone.platform.refused = {
         one.own.daemon_id for one in zone.daemons if one is not once
     }
@@ -113,8 +113,8 @@
     """Its first reading may be old, and is no sign of an outage."""
     change(zone)
     await zone.run(APPLY_S)
-    newcomer = given.Daemon(zone, given.member(77))
-    newcomer.held.offer_targets(given.target_list(1, 't1', 't2'))
+    newcomer = support.Daemon(zone, support.member(77))
+    newcomer.held.offer_targets(support.target_list(1, 't1', 't2'))
     fresh = zone.platform.targets
     now_s = zone.clock.monotonic_s()
     newcomer.sharing.take_targets(fresh, asked_s=now_s)
@@ -126,13 +126,13 @@
     held = model.TargetList(
         1,
         tuple(
-            given.target(f'{name}@1', name=name, born_ms=1)
+            support.target(f'{name}@1', name=name, born_ms=1)
             for name in ('t1', 't2', 't3')
         ),
     )
     fresh = model.TargetList(
         2,
-        (given.target('t1@2', name='t1', born_ms=2),),
+        (support.target('t1@2', name='t1', born_ms=2),),
     )
     guard = zone.daemons[0].guard
     began_s = zone.clock.monotonic_s()
@@ -149,7 +149,7 @@
 
 
 async def test_a_list_is_as_old_as_the_question_to_the_platform(zone):
-    guard = given.lapses.ExpiredEntryGuard(zone.clock)
+    guard = support.expired_entries.ExpiredEntryGuard(zone.clock)
     guard.heard(0.4)
     assert guard.age_s() == pytest.approx(0.4)
     guard.heard(0.9)
@@ -191,7 +191,7 @@
 
 
 async def test_lost_messages_delay_but_don_t_prevent(zone):
-    zone.hub.faults = given.memory_network.LinkFaults(loss=0.3)
+    zone.hub.faults = support.memory_network.LinkFaults(loss=0.3)
     change(zone)
     await zone.run(4.0)
     assert {one.version for one in zone.daemons} == {2}
@@ -202,13 +202,13 @@
     zone.platform.targets = model.TargetList(
         2,
         (
-            given.target('t1'),
-            given.target('t2', model.TargetState.DRAINING),
+            support.target('t1'),
+            support.target('t2', model.TargetState.DRAINING),
         ),
     )
     await zone.run(APPLY_S)
     for one in zone.daemons:
-        records = one.held.pool(given.SERVICE).targets.records()
+        records = one.held.pool(support.SERVICE).targets.records()
         assert [record.listed.target_id for record in records] == ['t1']
 
 
@@ -218,10 +218,10 @@
     Until it knows the others of its zone each takes itself for the one that
     reads. What it may read at a tenth of the price lets it serve meanwhile.
     """
-    zone = given.Zone(count=12)
+    zone = support.Zone(count=12)
     zone.fleet.has_met = False
-    zone.platform.configuration = given.configuration(1)
-    zone.platform.targets = given.target_list(1, 't1')
+    zone.platform.configuration = support.configuration(1)
+    zone.platform.targets = support.target_list(1, 't1')
     await zone.run(0.5)
     assert all(one.target_names == {'t1'} for one in zone.daemons)
     zone.fleet.meet()
@@ -230,8 +230,8 @@
 
 
 async def test_one_that_meets_nobody_reads_soon():
-    zone = given.Zone(count=1)
-    zone.platform.configuration = given.configuration(1)
-    zone.platform.targets = given.target_list(1, 't1')
+    zone = support.Zone(count=1)
+    zone.platform.configuration = support.configuration(1)
+    zone.platform.targets = support.target_list(1, 't1')
     await zone.run(1.5)
     assert zone.platform.fresh_calls >= 1
--- a/libraries/zones/tests/cover/test_zones_unreachable_zone.py
+++ b/libraries/zones/tests/cover/test_zones_unreachable_zone.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-import zones_support as given
+import zones_support as support
 from sardinepier.core import ids
 from sardinepier.entry import model, attempt_requirements
 from sardinepier.zones import messages as zone_messages
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def zone():
-    return given.Zone(count=3, zones=('z1', 'zone2'))
+    return support.Zone(count=3, zones=('z1', 'zone2'))
 
 
 def here(zone):
@@ -35,28 +35,28 @@
 
 def leave_far_idle(zone):
     """Let the other zone's target seem idle: only changes of it are told."""
-    record = here(zone).held.pool(given.SERVICE).targets.find('far')
+    record = here(zone).held.pool(support.SERVICE).targets.find('far')
     record.estimate.adopt(0.05, zone.clock.monotonic_s() - 1.8)
 
 
 async def with_targets_of_both(zone):
-    zone.platform.configuration = given.configuration(1)
+    zone.platform.configuration = support.configuration(1)
     far = msgspec.structs.replace(
-        given.target('far'),
+        support.target('far'),
         zone=ids.ZoneName('zone2'),
     )
-    zone.platform.targets = model.TargetList(1, (given.target('near'), far))
+    zone.platform.targets = model.TargetList(1, (support.target('near'), far))
     await zone.run(2.0)
 
 
 def serve(daemon, name):
-    pool = daemon.held.pool(given.SERVICE)
+    pool = daemon.held.pool(support.SERVICE)
     pool.answered(pool.targets.find(ids.TargetId(name)), 0.2)
 
 
 def chosen(daemon):
     now_s = daemon.clock.monotonic_s()
-    pool = daemon.held.pool(given.SERVICE)
+    pool = daemon.held.pool(support.SERVICE)
     record = pool.try_acquire(
         attempt_requirements.AttemptRequirements(
             (), 0, now_s, now_s + 0.3, is_final_attempt=True
@@ -116,7 +116,7 @@
     former.carriers.hand_over()
     former.sharing.step()
     await zone.run(2.0)
-    assert not former.held.pool(given.SERVICE).unreachable_zones
+    assert not former.held.pool(support.SERVICE).unreachable_zones
 
 
 async def test_after_a_handover_no_zone_is_taken_for_lost(zone):
@@ -135,10 +135,10 @@
     for _ in range(12):
         await pass_time(zone, 0.25)
         assert here(zone) is not former
-        assert not here(zone).held.pool(given.SERVICE).unreachable_zones
+        assert not here(zone).held.pool(support.SERVICE).unreachable_zones
     lose_second_zone(zone)
     await pass_time(zone, 1.25)
-    assert here(zone).held.pool(given.SERVICE).unreachable_zones == {'zone2'}
+    assert here(zone).held.pool(support.SERVICE).unreachable_zones == {'zone2'}
 
 
 async def test_one_that_takes_over_from_a_dead_one_takes_no_zone_for_lost(
@@ -151,7 +151,7 @@
         await zone.run(0.25)
         for one in zone.living():
             # The zone itself is silent for as long as it takes to take over.
-            lost = one.held.pool(given.SERVICE).unreachable_zones
+            lost = one.held.pool(support.SERVICE).unreachable_zones
             assert 'zone2' not in lost
 
 
--- a/libraries/zones/tests/cover/test_zones_usage.py
+++ b/libraries/zones/tests/cover/test_zones_usage.py
@@ -2,7 +2,7 @@
 
 import random
 
-import zones_support as given
+import zones_support as support
 
 from sardinepier.core import ids
 from sardinepier.entry import model
@@ -34,9 +34,9 @@
 
 
 async def limited_zones():
-    zone = given.Zone(count=3, zones=('z1', 'far'))
+    zone = support.Zone(count=3, zones=('z1', 'far'))
     zone.platform.configuration = with_limit(1)
-    zone.platform.targets = given.target_list(1, 't1')
+    zone.platform.targets = support.target_list(1, 't1')
     await zone.run(2.0)
     return zone
 
@@ -80,8 +80,8 @@
 
 
 async def test_without_limits_nothing_is_told(monkeypatch):
-    zone = given.Zone(count=3, zones=('z1', 'far'))
-    await given.with_targets(zone)
+    zone = support.Zone(count=3, zones=('z1', 'far'))
+    await support.with_targets(zone)
     sent = []
     monkeypatch.setattr(
         type(zone.daemons[0].network),
@@ -111,7 +111,7 @@
 
 async def test_carriers_count_what_was_let_through_before_they_were_known():
     """Guards against a start at which news reach nobody."""
-    zone = given.Zone(count=4, zones=('z1', 'far'))
+    zone = support.Zone(count=4, zones=('z1', 'far'))
     zone.platform.configuration = with_limit(1)
     for one in zone.daemons:
         one.held.offer_configuration(with_limit(1))
@@ -127,7 +127,7 @@
 async def _most_over_a_start(sent_per_s, seed):
     """Return the most requests in a window that holds a loss of power."""
     drawn = random.Random(seed)
-    zone = given.Zone(count=10, zones=('z1', 'far', 'farther'))
+    zone = support.Zone(count=10, zones=('z1', 'far', 'farther'))
     zone.platform.configuration = with_limit(1)
     for one in zone.daemons:
         one.held.offer_configuration(with_limit(1))
--- a/libraries/zones/tests/cover/test_zones_weak_reader.py
+++ b/libraries/zones/tests/cover/test_zones_weak_reader.py
@@ -9,7 +9,7 @@
 pass the bound, where the platform turns the others away, is shown here.
 """
 
-import zones_support as given
+import zones_support as support
 from sardinepier.entry import model
 
 LEAVES_S = 2.0
@@ -24,9 +24,9 @@
 
 
 async def weak_zone():
-    zone = given.Zone()
-    zone.platform.configuration = given.configuration(1)
-    zone.platform.targets = given.target_list(1, 't1', 't2')
+    zone = support.Zone()
+    zone.platform.configuration = support.configuration(1)
+    zone.platform.targets = support.target_list(1, 't1', 't2')
     await zone.run(1.0)
     weak = zone.find(zone.daemons[0].carriers._order.own_zone(1)[-1])
     weak.sharing.take_targets(
@@ -43,8 +43,8 @@
     zone.platform.targets = model.TargetList(
         revision,
         (
-            given.target('t1'),
-            given.target('t2', model.TargetState.DRAINING),
+            support.target('t1'),
+            support.target('t2', model.TargetState.DRAINING),
         ),
     )
     began_s = zone.clock.monotonic_s()
@@ -54,7 +54,7 @@
 
 
 def uses(daemon, name):
-    records = daemon.held.pool(given.SERVICE).targets.records()
+    records = daemon.held.pool(support.SERVICE).targets.records()
     return name in {record.listed.target_id for record in records}
 
 
--- a/tests/adapter/instance_process.py
+++ b/tests/adapter/instance_process.py
@@ -106,7 +106,7 @@
         return f'{self.ports} {self.process.returncode} {printed[-4000:]}'
 
     async def _until(self, listener, path, status):
-        async with asyncio.timeout(targets.PATIENCE_S):
+        async with asyncio.timeout(targets.TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
                     if (await self.get(listener, path))[0] == status:
--- a/tests/adapter/test_adapter_process.py
+++ b/tests/adapter/test_adapter_process.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 async def worker(monkeypatch):
-    names = targets.dialect.HeaderNames(
+    names = targets.header_names.HeaderNames(
         attempt_id='X-Sardinepier-Attempt-Id',
         signature='X-Sardinepier-Response-Signature',
     )
@@ -94,7 +94,7 @@
     worker.behaviours = ['gated']
     writer.close()
     reader, writer = await first.ask('/once/2', 'id-2')
-    await targets.until(lambda: len(worker.seen) == 2)
+    await targets.wait_until(lambda: len(worker.seen) == 2)
     first.process.send_signal(signal.SIGTERM)
     await first.until_ready(503)
     worker.gate.set()
@@ -102,7 +102,7 @@
     assert (status, body) == (200, targets.BODY)
     assert headers['Connection'] == 'close'
     writer.close()
-    async with asyncio.timeout(targets.PATIENCE_S):
+    async with asyncio.timeout(targets.TIMEOUT_S):
         assert await first.process.wait() == 0
 
 
--- a/tests/adapter/test_adapter_stalled_log.py
+++ b/tests/adapter/test_adapter_stalled_log.py
@@ -19,7 +19,7 @@
 @pytest.fixture
 async def stalled(tmp_path, standin, monkeypatch):
     """Yield an instance with its target; its standard output is full soon."""
-    names = targets.dialect.HeaderNames(
+    names = targets.header_names.HeaderNames(
         attempt_id='X-Sardinepier-Attempt-Id',
         signature='X-Sardinepier-Response-Signature',
     )
@@ -47,7 +47,7 @@
 async def test_requests_are_answered_while_nobody_reads_the_lines(stalled):
     """Guards against a daemon that stands still until its lines are read."""
     instance, _ = stalled
-    async with asyncio.timeout(targets.PATIENCE_S):
+    async with asyncio.timeout(targets.TIMEOUT_S):
         await instance.until_ready()
         for number in range(REQUESTS):
             reader, writer = await instance.ask('/once/1', f'id-{number}')
@@ -62,7 +62,7 @@
 ):
     """Guards against an exit that hangs on its last line."""
     instance, reading = stalled
-    async with asyncio.timeout(targets.PATIENCE_S):
+    async with asyncio.timeout(targets.TIMEOUT_S):
         await instance.until_ready()
         for number in range(REQUESTS):
             reader, writer = await instance.ask('/once/1', f'id-{number}')
