--- a/libraries/health/src/sardinepier/health/__init__.py
+++ b/libraries/health/src/sardinepier/health/__init__.py
@@ -1,1 +1,1 @@
-"""Evidence per target, change detection, ejection under the floor, readmission."""
+"""Detects failing targets, ejects them above the floor and readmits them."""
--- a/libraries/health/src/sardinepier/health/change_detection.py
+++ b/libraries/health/src/sardinepier/health/change_detection.py
@@ -1,9 +1,10 @@
-"""Change detection: log-likelihood ratios summed up by a CUSUM.
+"""Change detection: CUSUMs over log-likelihood ratios.
 
-Each hypothesis says how a sick target differs from the others. An attempt's
-log-likelihood ratio says how much likelier it is under the hypothesis than
-for a healthy target. A CUSUM sums these, never below zero: it drifts down to
-zero while the target does as the others do, and climbs from the first fault.
+Each hypothesis states how an unhealthy target differs from the others. The
+log-likelihood ratio of an attempt states how much likelier its outcome is
+under the hypothesis than at a healthy target. A CUSUM sums these ratios and
+never falls below zero: it drifts to zero while the target behaves like the
+others, and rises from the first fault on.
 """
 
 import dataclasses
@@ -16,17 +17,17 @@
 from sardinepier.health import baseline
 
 _SECONDS_PER_DAY: Final = 86400
-_FEWEST_EVENTS_PER_DAY: Final = 10000
+_MIN_EVENTS_PER_DAY: Final = 10000
 
 
 class Hypothesis(enum.IntEnum):
-    """One way of being sick; the value is its place in every score row."""
+    """One kind of fault; the value is its index in every tuple of scores."""
 
     SLOWER = 0
-    """Answers take about twice as long as at the other targets."""
+    """Answers take about twice as long as those of the other targets."""
 
     MUCH_SLOWER = 1
-    """Answers take four times as long or longer, or never come."""
+    """Answers take at least four times as long, or never arrive."""
 
     FAILS_SOMETIMES = 2
     FAILS_MOSTLY = 3
@@ -35,142 +36,149 @@
 HYPOTHESES: Final = tuple(Hypothesis)
 FAILING: Final = (Hypothesis.FAILS_SOMETIMES, Hypothesis.FAILS_MOSTLY)
 
-_FIRST_SHIFT: Final = (3, 8)
+_FIRST_SHIFTS: Final = (3, 8)
 _SHIFT_STEP: Final = 2
 _SHIFT_DECAY: Final = 0.8
-_LOWEST_RATIO: Final = -4.0
-_HIGHEST_RATIO: Final = 5.0
-_OVERDUE_LIMIT: Final = 12.0
-_FAILING_SHARE: Final = (0.1, 0.6)
-_HIGHEST_LEVEL: Final = 2
-"""Thresholds beyond which evidence is not kept, so that it can pass."""
+_MIN_RATIO: Final = -4.0
+_MAX_RATIO: Final = 5.0
+_MAX_OVERDUE_RATIO: Final = 12.0
+_MIN_UNHEALTHY_SHARES: Final = (0.1, 0.6)
+_MAX_LEVEL_THRESHOLDS: Final = 2
+"""Limit of a level, in thresholds, so that a recovered target is cleared."""
 
-_PAUSES_TO_EJECT: Final = 3
-_TINY: Final = 1e-9
-_HIGHEST_SICK_SHARE: Final = 0.9
-_SHARE_FACTOR: Final = 4.0
-_HIGHEST_USUAL_SHARE: Final = 0.5
+_MIN_PAUSES_TO_EJECT: Final = 3
+_EPSILON: Final = 1e-9
+_MAX_UNHEALTHY_SHARE: Final = 0.9
+_UNHEALTHY_SHARE_FACTOR: Final = 4.0
+_MAX_TYPICAL_SHARE: Final = 0.5
 
 
 def threshold(events_per_s: float, false_alarms_per_day: float) -> float:
-    """Return the CUSUM level that keeps to the tolerated false alarms.
+    """Return the CUSUM level that meets the tolerated rate of false alarms.
 
     The mean number of events between two false alarms of a CUSUM over true
-    log-likelihood ratios is at least ``exp(threshold)``. There are as many
-    CUSUMs a target as hypotheses, for the group's evidence and for the own.
+    log-likelihood ratios is at least ``exp(threshold)``. Each target has two
+    CUSUMs per hypothesis: one for the group's evidence, one for the daemon's
+    own.
     """
     events_per_day = max(
-        _FEWEST_EVENTS_PER_DAY,
+        _MIN_EVENTS_PER_DAY,
         events_per_s * _SECONDS_PER_DAY,
     )
-    chances = 2 * len(HYPOTHESES) * events_per_day
-    return math.log(chances / false_alarms_per_day)
+    opportunities = 2 * len(HYPOTHESES) * events_per_day
+    return math.log(opportunities / false_alarms_per_day)
 
 
 class LatencyRatios:
-    """Log-likelihood ratios of residuals, one table a slowness hypothesis."""
+    """Log-likelihood ratios of residuals, a table per slowness hypothesis."""
 
     def __init__(self, spread: baseline.ResidualSpread) -> None:
-        """Work the tables out from the spread as it stands now."""
+        """Compute the tables from the current spread."""
         shares = spread.shares()
         self.tables = tuple(
-            _ratio_table(shares, first_shift) for first_shift in _FIRST_SHIFT
+            _ratio_table(shares, first_shift) for first_shift in _FIRST_SHIFTS
         )
         self._overdue = [
-            min(_OVERDUE_LIMIT, -math.log(tail)) for tail in spread.exceeding()
+            min(_MAX_OVERDUE_RATIO, -math.log(tail))
+            for tail in spread.exceeding()
         ]
 
-    def overdue(self, position: int) -> float:
-        """Return the evidence of one request in flight at this residual."""
-        return self._overdue[position - baseline.LOWEST]
+    def overdue(self, residual_step: int) -> float:
+        """Return the evidence of a request in flight whose age has this residual."""
+        return self._overdue[residual_step - baseline.MIN_RESIDUAL]
 
 
 def _ratio_table(shares: list[float], first_shift: int) -> list[float]:
-    """Return the ratio for each residual; it never falls as they grow."""
-    bins = len(shares)
+    """Return the ratio for each residual, lowest first; it never decreases."""
+    bin_count = len(shares)
     shifted = [0.0 for _ in shares]
     weight = 1.0
-    weights = 0.0
-    for shift in range(first_shift, bins, _SHIFT_STEP):
-        for index in range(shift, bins):
+    total_weight = 0.0
+    for shift in range(first_shift, bin_count, _SHIFT_STEP):
+        for index in range(shift, bin_count):
             shifted[index] += weight * shares[index - shift]
-        weights += weight
+        total_weight += weight
         weight *= _SHIFT_DECAY
     table = []
-    highest = _LOWEST_RATIO
+    running_max = _MIN_RATIO
     for index, share in enumerate(shares):
-        likelihood = shifted[index] / weights + _TINY
+        likelihood = shifted[index] / total_weight + _EPSILON
         ratio = math.log(likelihood / share)
-        highest = max(highest, min(_HIGHEST_RATIO, ratio))
-        table.append(highest)
+        running_max = max(running_max, min(_MAX_RATIO, ratio))
+        table.append(running_max)
     return table
 
 
 def failure_ratios(
-    usual_share: float,
+    typical_share: float,
 ) -> tuple[tuple[float, float], tuple[float, float]]:
     """Return (ratio of a failure, ratio of a success) for both hypotheses.
 
-    ``usual_share`` is the share of failures at the other targets now. When
-    half of everything fails everywhere, failures say nothing any more.
+    ``typical_share`` is the current share of failures at the other targets.
+    When at least half of their requests fail, failures are no evidence.
     """
-    if usual_share >= _HIGHEST_USUAL_SHARE:
+    if typical_share >= _MAX_TYPICAL_SHARE:
         return ((0.0, 0.0), (0.0, 0.0))
-    some, most = _FAILING_SHARE
-    sick_some = max(some, min(_HIGHEST_SICK_SHARE, _SHARE_FACTOR * usual_share))
-    sick_most = max(most, (1 + usual_share) / 2)
+    some, max_level = _MIN_UNHEALTHY_SHARES
+    unhealthy_some = max(
+        some, min(_MAX_UNHEALTHY_SHARE, _UNHEALTHY_SHARE_FACTOR * typical_share)
+    )
+    unhealthy_most = max(max_level, (1 + typical_share) / 2)
     return (
-        _bernoulli_ratios(sick_some, usual_share),
-        _bernoulli_ratios(sick_most, usual_share),
+        _bernoulli_ratios(unhealthy_some, typical_share),
+        _bernoulli_ratios(unhealthy_most, typical_share),
     )
 
 
-def _bernoulli_ratios(sick: float, usual: float) -> tuple[float, float]:
-    return (math.log(sick / usual), math.log((1 - sick) / (1 - usual)))
+def _bernoulli_ratios(unhealthy: float, typical: float) -> tuple[float, float]:
+    return (
+        math.log(unhealthy / typical),
+        math.log((1 - unhealthy) / (1 - typical)),
+    )
 
 
 class PauseAllowance:
-    """Bounds how fast evidence against one target may grow.
+    """Limits how fast the evidence against one target may grow.
 
-    All requests at a target that stands still for a moment are late
-    together: that is one misfortune, not many. Within one tolerated pause
-    the evidence grows by at most a third of the threshold.
+    A short pause of a target delays all its requests at once, so they are not
+    independent evidence. Within one tolerated pause the evidence grows by at
+    most a third of the threshold.
     """
 
-    __slots__ = ('_left', '_refilled_s')
+    __slots__ = ('_available', '_refilled_s')
 
     def __init__(self) -> None:
-        """Start with nothing left and nothing refilled."""
-        self._left = 0.0
+        """Start empty; the first use refills it whole."""
+        self._available = 0.0
         self._refilled_s = -math.inf
 
-    def left(self, now_s: float, limits: 'Limits') -> float:
+    def available(self, now_s: float, limits: 'Limits') -> float:
         """Return how much evidence may be added now."""
-        most = limits.threshold / _PAUSES_TO_EJECT
-        refill = most * (now_s - self._refilled_s) / limits.pause_s
-        return min(most, self._left + refill)
-
-    def take(self, amount: float, now_s: float, limits: 'Limits') -> float:
-        """Return how much of ``amount`` may count now, and use it up."""
-        left = self.left(now_s, limits)
-        granted = min(amount, left)
-        self._left = left - granted
+        capacity = limits.threshold / _MIN_PAUSES_TO_EJECT
+        refill = capacity * (now_s - self._refilled_s) / limits.pause_s
+        return min(capacity, self._available + refill)
+
+    def consume(self, amount: float, now_s: float, limits: 'Limits') -> float:
+        """Consume up to ``amount``; return how much was available."""
+        available = self.available(now_s, limits)
+        granted = min(amount, available)
+        self._available = available - granted
         self._refilled_s = now_s
         return granted
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What evidence is held against at one moment."""
+    """The limits that apply to evidence at one moment."""
 
     threshold: float
     pause_s: float
     observer_limit: float
-    """Most that one observer's evidence adds to a group's score."""
+    """Maximum that one observer's evidence adds to a group's score."""
 
 
 class Cusum:
-    """Evidence for one hypothesis, with each observer's part in it."""
+    """Evidence for one hypothesis, with each observer's share of it."""
 
     __slots__ = ('allowance', 'by_observer', 'level')
 
@@ -186,15 +194,15 @@
         now_s: float,
         limits: Limits,
     ) -> None:
-        """Add each observer's summed ratios of the last tick."""
+        """Add the sum of each observer's ratios of the last tick."""
         total = sum(ratios.values())
         if total <= 0 and self.level <= 0:
             return
         factor = 1.0
         if total > 0:
-            factor = self.allowance.take(total, now_s, limits) / total
-        most = _HIGHEST_LEVEL * limits.threshold
-        self.level = min(most, self.level + total * factor)
+            factor = self.allowance.consume(total, now_s, limits) / total
+        max_level = _MAX_LEVEL_THRESHOLDS * limits.threshold
+        self.level = min(max_level, self.level + total * factor)
         if self.level <= 0:
             self.restart(0.0)
             return
@@ -203,19 +211,19 @@
             self.by_observer[observer] = part + ratio * factor
 
     def capped(self, limit: float) -> float:
-        """Return the level when no observer counts for more than a limit."""
+        """Return the level with each observer's share capped at ``max_level``."""
         if self.level <= 0:
             return 0.0
         parts = self.by_observer.values()
         capped = sum(min(part, limit) for part in parts)
         return min(self.level, capped)
 
-    def strike(self, observer: ids.InstanceId) -> None:
-        """Take out what one observer holds against the target."""
+    def remove_observer(self, observer: ids.InstanceId) -> None:
+        """Remove one observer's evidence against the target."""
         part = self.by_observer.pop(observer, 0.0)
         self.level = max(0.0, self.level - max(0.0, part))
 
     def restart(self, level: float) -> None:
-        """Forget all evidence and stand at ``level``."""
+        """Discard all evidence and set the level."""
         self.level = level
         self.by_observer.clear()
--- a/libraries/health/src/sardinepier/health/ejection.py
+++ b/libraries/health/src/sardinepier/health/ejection.py
@@ -1,9 +1,9 @@
-"""The floor: which of the wanted ejections may be in force.
+"""The capacity floor: which of the wanted ejections may be in force.
 
-Every daemon walks the same list, worst score first and the target id where
-scores are equal, over its own wanted ejections and those heard from peers.
-An ejection fits when the capacity that remains is not below the floor. Two
-daemons that know the same ejections thus keep the same ones.
+Every daemon orders its own wanted ejections and those received from peers in
+the same way: worst score first, then by target id. In this order an ejection
+is accepted if the remaining capacity does not fall below the floor. Daemons
+that know the same ejections therefore keep the same ones.
 """
 
 import dataclasses
@@ -15,79 +15,91 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
-    """A target that this daemon or a peer wants out of service."""
+class WantedEjection:
+    """A target that this daemon or a peer wants to eject."""
 
     target_id: ids.TargetId
     score: float
     own: bool
-    """This daemon wants it; otherwise only peers have ejected it."""
+    """This daemon wants the ejection; otherwise only peers do."""
 
     in_force: bool
-    """This daemon has it ejected already."""
+    """This daemon has already ejected it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Capacity:
-    """Slots with fresh good evidence, and the floor below them."""
+    """Slots of targets with fresh good evidence, and the floor."""
 
     slots: Mapping[ids.TargetId, int]
-    """For each target that counts, its slots. Others count nothing."""
+    """Slots of each target that counts; targets not listed count nothing."""
 
     floor_slots: float
 
 
 def floor_slots(all_slots: Iterable[int], floor_percent: float) -> float:
-    """Return the floor of a service in slots, of all its listed targets."""
+    """Return the floor in slots, a percentage of all listed targets' slots."""
     return sum(all_slots) * floor_percent / _PERCENT
 
 
 def allowed(
-    wanted: Sequence[Wanted],
+    wanted: Sequence[WantedEjection],
     capacity: Capacity,
 ) -> frozenset[ids.TargetId]:
-    """Return the targets that this daemon may have out of service.
+    """Return the targets that this daemon may have ejected.
 
-    An ejection in force stays when it fits into the common walk. A new one
-    must also leave the floor standing with all that peers have ejected
-    already gone, whether or not they will keep it.
+    An ejection in force stays if the common order accepts it. A new one must
+    also keep the floor when all targets that peers have ejected count as out
+    of service, whether or not the peers keep them ejected.
     """
-    fitting = _common_walk(wanted, capacity)
-    kept = {one.target_id for one in wanted if one.own and one.in_force}
+    fitting = _fitting(wanted, capacity)
+    kept = {
+        candidate.target_id
+        for candidate in wanted
+        if candidate.own and candidate.in_force
+    }
     kept &= fitting
-    gone = kept | {one.target_id for one in wanted if not one.own}
-    remaining = _remaining(capacity, gone)
-    for one in _ranked(wanted):
-        if not one.own or one.in_force or one.target_id not in fitting:
+    out = kept | {
+        candidate.target_id for candidate in wanted if not candidate.own
+    }
+    remaining = _remaining(capacity, out)
+    for candidate in _ranked(wanted):
+        if (
+            not candidate.own
+            or candidate.in_force
+            or candidate.target_id not in fitting
+        ):
             continue
-        left = remaining - capacity.slots.get(one.target_id, 0)
-        if left >= capacity.floor_slots:
-            kept.add(one.target_id)
-            remaining = left
+        remaining_after = remaining - capacity.slots.get(candidate.target_id, 0)
+        if remaining_after >= capacity.floor_slots:
+            kept.add(candidate.target_id)
+            remaining = remaining_after
     return frozenset(kept)
 
 
-def _ranked(wanted: Sequence[Wanted]) -> list[Wanted]:
-    return sorted(wanted, key=lambda one: (-one.score, one.target_id))
+def _ranked(wanted: Sequence[WantedEjection]) -> list[WantedEjection]:
+    return sorted(
+        wanted, key=lambda candidate: (-candidate.score, candidate.target_id)
+    )
 
 
-def _common_walk(
-    wanted: Sequence[Wanted],
+def _fitting(
+    wanted: Sequence[WantedEjection],
     capacity: Capacity,
 ) -> set[ids.TargetId]:
     remaining: float = sum(capacity.slots.values())
     fitting = set()
-    for one in _ranked(wanted):
-        left = remaining - capacity.slots.get(one.target_id, 0)
-        if left >= capacity.floor_slots:
-            fitting.add(one.target_id)
-            remaining = left
+    for candidate in _ranked(wanted):
+        remaining_after = remaining - capacity.slots.get(candidate.target_id, 0)
+        if remaining_after >= capacity.floor_slots:
+            fitting.add(candidate.target_id)
+            remaining = remaining_after
     return fitting
 
 
-def _remaining(capacity: Capacity, gone: set[ids.TargetId]) -> float:
+def _remaining(capacity: Capacity, out: set[ids.TargetId]) -> float:
     return sum(
         slots
         for target_id, slots in capacity.slots.items()
-        if target_id not in gone
+        if target_id not in out
     )
--- a/libraries/health/src/sardinepier/health/events.py
+++ b/libraries/health/src/sardinepier/health/events.py
@@ -1,4 +1,4 @@
-"""What a service's health tells the time line."""
+"""Events of a service's health for the time line."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class TargetChanged(msgspec.Struct, frozen=True, tag=True):
-    """A target moved from one state to another, or its reason changed."""
+    """A target changed its state or the reason for it."""
 
     service: ids.ServiceName
     target_id: ids.TargetId
--- a/libraries/health/src/sardinepier/health/evidence.py
+++ b/libraries/health/src/sardinepier/health/evidence.py
@@ -1,9 +1,9 @@
-"""Evidence: what one attempt says about its target, and what peers are told.
+"""Evidence: outcomes of attempts, their signals, and reports to peers.
 
-Everything in an :class:`EvidenceReport` is a fact which only its author
-changes. Scores and counts are cumulative over the life of the author's
-process, so a lost report costs nothing but time, a repeated one changes
-nothing, and an old one is known by its sequence number.
+Only the author of an :class:`EvidenceReport` changes the facts in it. Scores
+and counts are cumulative over the life of the author's process, so a lost
+report only causes delay, a repeated one has no effect, and an old one is
+recognised by its sequence number.
 """
 
 import enum
@@ -15,11 +15,11 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How one attempt at a target ended, as the gateway saw it."""
+    """How one attempt at a target ended, as seen by the gateway."""
 
     ANSWERED = 'answered'
     FAILED = 'failed'
-    """The target answered that it failed, for example with status 500."""
+    """The target answered with a failure, for example status 500."""
 
     WRONG = 'wrong'
     """The answer was truncated or broke the protocol."""
@@ -30,11 +30,11 @@
     SHED = 'shed'
     CANCELLED = 'cancelled'
     CRASH_SUSPECT = 'crash-suspect'
-    """The connection broke under a request that broke others before."""
+    """The connection broke on a request that broke connections before."""
 
 
 class HealthSignal(enum.Enum):
-    """What one finished or overdue attempt says about its target."""
+    """What one finished or overdue attempt indicates about its target."""
 
     GOOD = 'good'
     SLOW = 'slow'
@@ -52,18 +52,19 @@
 }
 
 
-def signal_of(end: AttemptOutcome, slow: bool) -> HealthSignal | None:
-    """Return the sign that an attempt leaves, or None when it says nothing.
+def signal_of(outcome: AttemptOutcome, slow: bool) -> HealthSignal | None:
+    """Return the signal of an attempt, or None if it is no evidence.
 
-    ``slow`` says that the attempt took far longer than its route does at the
-    other targets. A timeout of a request that was given too little time is
-    no evidence; shed, cancelled and crash-suspect attempts never are.
+    ``slow`` means that the attempt took far longer than its route takes at
+    the other targets. A timeout is evidence only if it is slow: otherwise the
+    request had too little time. Shed, cancelled and crash-suspect attempts
+    are never evidence.
     """
-    if end is AttemptOutcome.ANSWERED:
+    if outcome is AttemptOutcome.ANSWERED:
         return HealthSignal.SLOW if slow else HealthSignal.GOOD
-    if end is AttemptOutcome.TIMED_OUT:
+    if outcome is AttemptOutcome.TIMED_OUT:
         return HealthSignal.HUNG if slow else None
-    return _FAILURES.get(end)
+    return _FAILURES.get(outcome)
 
 
 class TargetEvidence(msgspec.Struct, frozen=True, array_like=True):
@@ -71,11 +72,11 @@
 
     ``scores`` holds the cumulative log-likelihood ratio for each hypothesis
     in ``change_detection.HYPOTHESES``, in that order. ``good`` counts good
-    answers, ``attempts`` all attempts that said anything. ``overdue`` is the
-    evidence of requests still in flight at the moment of the report, and
-    ``overdue_ms`` for how long the oldest of these has been overdue.
-    ``in_flight`` counts the other requests in flight: overdue ones may never
-    have arrived, so they do not show that a slot is taken.
+    answers, ``attempts`` all attempts that are evidence. ``overdue`` is the
+    evidence of overdue requests in flight at the time of the report,
+    ``overdue_ms`` how long the oldest of them has been overdue.
+    ``in_flight`` counts the other requests in flight: an overdue request may
+    never have arrived, so it does not show that a slot is in use.
     """
 
     target_id: ids.TargetId
@@ -89,7 +90,7 @@
 
 
 class EjectionNotice(msgspec.Struct, frozen=True, array_like=True):
-    """A target that the author has ejected on the group's evidence."""
+    """A target that the author ejected because of the group's evidence."""
 
     target_id: ids.TargetId
     incarnation: ids.TargetIncarnation
@@ -98,18 +99,18 @@
 
 
 class LeavingNotice(msgspec.Struct, frozen=True, array_like=True):
-    """An incarnation of a target that said it is leaving."""
+    """An incarnation of a target that announced that it is leaving."""
 
     target_id: ids.TargetId
     incarnation: ids.TargetIncarnation
 
 
 class EvidenceReport(msgspec.Struct, frozen=True):
-    """All that one observer tells its group about one service.
+    """All that one observer reports to its group about one service.
 
     ``sequence`` grows with each report of one observer instance. An observer
-    that ``doubts_itself`` sees most targets fail and suspects its own side;
-    nothing it holds against a target counts meanwhile.
+    with ``doubts_itself`` is degraded: it sees most targets fail, so the
+    fault is probably its own, and its evidence against targets is ignored.
     """
 
     sequence: int
--- a/libraries/health/src/sardinepier/health/failure_estimate.py
+++ b/libraries/health/src/sardinepier/health/failure_estimate.py
@@ -1,10 +1,11 @@
-"""How likely a target is failing right now, from its own outcomes.
-
-Targets change between a sound and a failing state by themselves. One failure
-of a target that answered a moment ago may be chance; one of a target that was
-not asked for seconds more likely shows that it is failing. The belief is the
-filter of a hidden Markov model with two states: it is updated by each outcome
-and drifts back to the long-run share of failing time while nothing is heard.
+"""Estimates how likely a target is failing now, from its own outcomes.
+
+Targets change between a healthy and a failing state by themselves. A failure
+of a target that answered a moment ago may be chance; a failure of a target
+that got no request for seconds more likely shows that it is failing. The
+estimate is the filter of a hidden Markov model with two states: each outcome
+updates it, and without outcomes it returns to the long-run share of failing
+time.
 """
 
 import dataclasses
@@ -13,141 +14,153 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EstimateOptions:
-    """What is assumed of the targets of a fleet.
-
-    ``failing_share`` is the long-run share of time in which a target fails,
-    ``memory_s`` the time in which what was seen loses two thirds of its
-    weight. A failing target fails ``failing_failure_share`` of its requests,
-    a sound one ``sound_failure_share``. A failing target mostly fails at
-    once: of all its requests ``failing_late_share`` fail only after the usual
-    time, and of those of a sound one ``sound_early_share`` at once. A target may
-    also hang: ``failing_hung_share`` of the requests of a failing one, and
-    ``sound_hung_share`` of those of a sound one, are still without an answer
-    when that is far overdue. The defaults are those measured on fleets where a
-    third of the targets fails at any time, for some ten seconds each.
+    """Parameters of the hidden Markov model.
+
+    ``failing_share`` is the long-run share of time in which a target fails.
+    ``time_constant_s`` is the time in which an observation loses two thirds
+    of its weight.
+
+    All other parameters are shares of a target's requests. A failing target
+    fails ``failing_failure_share`` of them, a healthy one
+    ``healthy_failure_share``. Failing targets mostly fail early:
+    ``failing_late_share`` fail only after the typical processing time. At
+    healthy targets ``healthy_early_share`` fail early. Requests may also
+    hang: ``failing_hung_share`` at a failing target and
+    ``healthy_hung_share`` at a healthy one have no answer when it is far
+    overdue.
+
+    The defaults were measured on fleets where a third of the targets fails
+    at any time, for about ten seconds each.
     """
 
     failing_share: float = 0.3
-    memory_s: float = 10.0
+    time_constant_s: float = 10.0
     failing_failure_share: float = 0.8
-    sound_failure_share: float = 0.015
+    healthy_failure_share: float = 0.015
     failing_late_share: float = 0.04
-    sound_early_share: float = 0.001
+    healthy_early_share: float = 0.001
     failing_hung_share: float = 0.6
-    sound_hung_share: float = 0.015
+    healthy_hung_share: float = 0.015
 
 
 class FailureEstimate:
-    """The belief about one target.
+    """The estimate for one target.
 
     For example::
 
-        belief = TargetBelief(BeliefOptions(), now_s=0.0)
-        belief.failed(1.0)
-        belief.failure_chance(1.0)   # about 0.80
-        belief.failure_chance(60.0)  # about 0.25, the long-run figure
+        estimate = FailureEstimate(EstimateOptions(), now_s=0.0)
+        estimate.failed(1.0)
+        estimate.failure_probability(1.0)   # about 0.80
+        estimate.failure_probability(60.0)  # about 0.25, the long-run value
     """
 
-    __slots__ = ('_failing', '_options', '_updated_s')
+    __slots__ = ('_failing_probability', '_options', '_updated_s')
 
     def __init__(self, options: EstimateOptions, now_s: float) -> None:
-        """Start with the long-run share."""
+        """Start with the long-run share of failing time."""
         self._options = options
-        self._failing = options.failing_share
+        self._failing_probability = options.failing_share
         self._updated_s = now_s
 
     def failing_probability(self, now_s: float) -> float:
-        """Return the chance, 0 to 1, that the target is failing now."""
+        """Return the probability, 0 to 1, that the target is failing now."""
         options = self._options
-        kept = math.exp(-max(0.0, now_s - self._updated_s) / options.memory_s)
-        drift = options.failing_share * (1 - kept)
-        return drift + self._failing * kept
+        retained = math.exp(
+            -max(0.0, now_s - self._updated_s) / options.time_constant_s
+        )
+        prior = options.failing_share * (1 - retained)
+        return prior + self._failing_probability * retained
 
     def failure_probability(self, now_s: float) -> float:
-        """Return the chance, 0 to 1, that a request sent now fails."""
-        return self._chance(self.failing_probability(now_s))
+        """Return the probability, 0 to 1, that a request sent now fails."""
+        return self._failure_probability(self.failing_probability(now_s))
 
     def failure_probability_after_answer(self, now_s: float) -> float:
-        """Return the chance of failure, had it just given a good answer."""
+        """Return the failure probability after a hypothetical good answer.
+
+        The estimate itself does not change.
+        """
         options = self._options
-        failing = self._weighed(
+        failing_probability = self._posterior(
             now_s,
             1 - options.failing_failure_share,
-            1 - options.sound_failure_share,
+            1 - options.healthy_failure_share,
         )
-        return self._chance(failing)
+        return self._failure_probability(failing_probability)
 
     def answered(self, now_s: float) -> None:
-        """Take in a good answer."""
+        """Record a good answer."""
         options = self._options
         self._update(
             now_s,
             1 - options.failing_failure_share,
-            1 - options.sound_failure_share,
+            1 - options.healthy_failure_share,
         )
 
     def failed(self, now_s: float, *, is_early: bool = True) -> None:
-        """Take in a failed request.
+        """Record a failed request.
 
-        ``is_early`` says that it failed long before its work could be done,
-        as requests do at targets that fail all or most of them.
+        ``is_early`` means that it failed long before it could have been
+        processed, as at targets that fail all or most requests.
         """
         options = self._options
         if is_early:
             self._update(
                 now_s,
                 options.failing_failure_share,
-                options.sound_early_share,
+                options.healthy_early_share,
             )
         else:
             self._update(
                 now_s,
                 options.failing_late_share,
-                options.sound_failure_share,
+                options.healthy_failure_share,
             )
 
     def hung(self, now_s: float) -> None:
-        """Take in a request that was given up when its answer was overdue."""
+        """Record a request that was abandoned when its answer was overdue."""
         options = self._options
         self._update(
             now_s,
             options.failing_hung_share,
-            options.sound_hung_share,
+            options.healthy_hung_share,
         )
 
-    def adopt(self, failing: float, now_s: float) -> None:
-        """Replace the belief by one that another daemon holds."""
-        self._failing = failing
+    def adopt(self, failing_probability: float, now_s: float) -> None:
+        """Replace the estimate by one received from another daemon."""
+        self._failing_probability = failing_probability
         self._updated_s = now_s
 
     @property
     def updated_s(self) -> float:
-        """When the newest outcome was taken in."""
+        """When the estimate was last updated."""
         return self._updated_s
 
     def _update(
         self,
         now_s: float,
         if_failing: float,
-        if_sound: float,
+        if_healthy: float,
     ) -> None:
-        self._failing = self._weighed(now_s, if_failing, if_sound)
+        self._failing_probability = self._posterior(
+            now_s, if_failing, if_healthy
+        )
         self._updated_s = now_s
 
-    def _weighed(
+    def _posterior(
         self,
         now_s: float,
         if_failing: float,
-        if_sound: float,
+        if_healthy: float,
     ) -> float:
-        """Return the chance of failing after an outcome, by Bayes' rule."""
-        failing = self.failing_probability(now_s)
-        weighed = failing * if_failing
-        return weighed / (weighed + (1 - failing) * if_sound)
+        """Return the probability of failing after an outcome (Bayes' rule)."""
+        failing_probability = self.failing_probability(now_s)
+        joint = failing_probability * if_failing
+        return joint / (joint + (1 - failing_probability) * if_healthy)
 
-    def _chance(self, failing: float) -> float:
+    def _failure_probability(self, failing_probability: float) -> float:
         options = self._options
         return (
-            failing * options.failing_failure_share
-            + (1 - failing) * options.sound_failure_share
+            failing_probability * options.failing_failure_share
+            + (1 - failing_probability) * options.healthy_failure_share
         )
--- a/libraries/health/src/sardinepier/health/internal/__init__.py
+++ b/libraries/health/src/sardinepier/health/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the health library; not part of its interface."""
+"""Internals of the health library; not part of its interface."""
--- a/libraries/health/src/sardinepier/health/internal/attempt_recording.py
+++ b/libraries/health/src/sardinepier/health/internal/attempt_recording.py
@@ -1,4 +1,4 @@
-"""Takes in what the gateway and the prober saw, at constant cost."""
+"""Records outcomes of attempts and probes, at constant cost each."""
 
 import enum
 from typing import Final
@@ -8,14 +8,14 @@
 from sardinepier.health import options as health_options
 from sardinepier.health.internal import scoring, tracked_target
 
-_MOST_IN_WINDOW: Final = 4096
+_MAX_WINDOW_ATTEMPTS: Final = 4096
 _VERY_SLOW_RESIDUAL: Final = 8
 _PROBE_ROUTE: Final = ids.RouteName('\x00probe')
-_TRAFFIC_SPEAKS_S: Final = 5.0
+_RECENT_TRAFFIC_S: Final = 5.0
 
 
 class TrialOutcome(enum.Enum):
-    """What the trials of a returning target say so far."""
+    """Outcome of a target's trials so far."""
 
     GOING_ON = 'going-on'
     PASSED = 'passed'
@@ -23,93 +23,100 @@
 
 
 class AttemptRecorder:
-    """Turns ends of attempts into windows; learns the route medians."""
+    """Counts outcomes in each target's window and learns route medians."""
 
     def __init__(self, options: health_options.HealthOptions) -> None:
-        """Know no route yet."""
+        """Start without route medians."""
         self.options = options
         self._medians = baseline.RouteMedians(options.routes_limit)
 
     def started(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         route: ids.RouteName,
         attempt: int,
         now_s: float,
     ) -> None:
-        """Remember an attempt in flight."""
+        """Record an attempt in flight."""
         median = self._medians.get(route)
-        one.flights[attempt] = tracked_target.Flight(now_s, median)
+        target.in_flight_attempts[attempt] = tracked_target.InFlightAttempt(
+            now_s, median
+        )
 
     def finished(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         route: ids.RouteName,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float | None,
         now_s: float,
     ) -> evidence.HealthSignal | None:
-        """Count an end; return its sign, None when it is no evidence."""
-        position = self._position(one, route, end, latency_ms)
-        slow = position is not None and position >= baseline.SLOW_RESIDUAL
-        sign = evidence.signal_of(end, slow)
-        if sign is None or one.state in _UNJUDGED:
-            if sign is evidence.HealthSignal.GOOD:
-                one.warmed = True
-            return sign
-        one.last_traffic_s = now_s
-        if one.window.attempts() < _MOST_IN_WINDOW:
-            _count(one.window, sign, position)
-        if sign is evidence.HealthSignal.GOOD:
-            one.last_good_s = now_s
-        return sign
+        """Count an outcome; return its signal, or None if it is no evidence."""
+        residual = self._residual(target, route, outcome, latency_ms)
+        slow = residual is not None and residual >= baseline.SLOW_RESIDUAL
+        signal = evidence.signal_of(outcome, slow)
+        if signal is None or target.state in _UNJUDGED_STATES:
+            if signal is evidence.HealthSignal.GOOD:
+                target.has_good_answer = True
+            return signal
+        target.last_traffic_s = now_s
+        if target.window.attempts() < _MAX_WINDOW_ATTEMPTS:
+            _count(target.window, signal, residual)
+        if signal is evidence.HealthSignal.GOOD:
+            target.last_good_s = now_s
+        return signal
 
     def probed(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         good: bool,
         latency_ms: float | None,
         now_s: float,
     ) -> None:
-        """Count a probe. A good one speaks only for an unsuspected target."""
-        probing = one.probing
-        suspected = one.suspicion.score() >= scoring.ABOVE_SUSPICION
+        """Record a probe.
+
+        A good probe is good evidence only for an unsuspected target. A
+        failed or very slow probe is evidence against a suspected target
+        without recent traffic.
+        """
+        probing = target.probing
+        suspected = target.suspicion.score() >= scoring.UNTRUSTED_SCORE
         if good:
             probing.bad_in_row = 0
             if not suspected:
-                one.last_good_s = now_s
+                target.last_good_s = now_s
         else:
             probing.bad_in_row += 1
-        if not suspected or _traffic_speaks(one, now_s):
+        if not suspected or _has_recent_traffic(target, now_s):
             return
-        if one.state in _UNJUDGED:
+        if target.state in _UNJUDGED_STATES:
             return
-        position = self._probe_position(latency_ms) if good else None
+        residual = self._probe_residual(latency_ms) if good else None
         if not good:
-            one.window.failures += 1
-        elif position is not None and position >= _VERY_SLOW_RESIDUAL:
-            one.window.residuals.append(position)
-            one.window.successes += 1
+            target.window.failures += 1
+        elif residual is not None and residual >= _VERY_SLOW_RESIDUAL:
+            target.window.residuals.append(residual)
+            target.window.successes += 1
 
-    def _position(
+    def _residual(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         route: ids.RouteName,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float | None,
     ) -> int | None:
-        if latency_ms is None or end not in _TIMED:
+        if latency_ms is None or outcome not in _TIMED:
             return None
         log_value = baseline.log_latency(latency_ms)
         median = self._medians.get(route)
-        answered = end is evidence.AttemptOutcome.ANSWERED
-        if answered and _may_teach(one):
+        answered = outcome is evidence.AttemptOutcome.ANSWERED
+        if answered and _is_trusted(target):
             self._medians.observe(route, log_value)
         if median is None:
             return None
         return baseline.residual(log_value, median)
 
-    def _probe_position(self, latency_ms: float | None) -> int | None:
+    def _probe_residual(self, latency_ms: float | None) -> int | None:
         if latency_ms is None:
             return None
         log_value = baseline.log_latency(latency_ms)
@@ -120,24 +127,24 @@
         return baseline.residual(log_value, median)
 
 
-def trial_result(
-    one: tracked_target.TrackedTarget,
-    sign: evidence.HealthSignal | None,
+def trial_outcome(
+    target: tracked_target.TrackedTarget,
+    signal: evidence.HealthSignal | None,
     options: health_options.HealthOptions,
 ) -> TrialOutcome:
-    """Count a trial; enough good ones in a row pass, a bad one fails."""
-    if sign is None:
+    """Count a trial; several good ones in a row pass, a bad one fails."""
+    if signal is None:
         return TrialOutcome.GOING_ON
-    if sign is not evidence.HealthSignal.GOOD:
+    if signal is not evidence.HealthSignal.GOOD:
         return TrialOutcome.FAILED
-    readmission_state = one.readmission_state
+    readmission_state = target.readmission_state
     readmission_state.good_trials += 1
     if readmission_state.good_trials >= options.trial_successes:
         return TrialOutcome.PASSED
     return TrialOutcome.GOING_ON
 
 
-_UNJUDGED: Final = frozenset(
+_UNJUDGED_STATES: Final = frozenset(
     (targets.TargetState.COLD, targets.TargetState.LEAVING),
 )
 _TIMED: Final = frozenset(
@@ -145,30 +152,32 @@
 )
 
 
-def _may_teach(one: tracked_target.TrackedTarget) -> bool:
+def _is_trusted(target: tracked_target.TrackedTarget) -> bool:
     return (
-        one.state is targets.TargetState.IN_SERVICE
-        and one.suspicion.score() < scoring.ABOVE_SUSPICION
+        target.state is targets.TargetState.IN_SERVICE
+        and target.suspicion.score() < scoring.UNTRUSTED_SCORE
     )
 
 
-def _traffic_speaks(one: tracked_target.TrackedTarget, now_s: float) -> bool:
-    if one.last_traffic_s is None:
+def _has_recent_traffic(
+    target: tracked_target.TrackedTarget, now_s: float
+) -> bool:
+    if target.last_traffic_s is None:
         return False
-    return now_s - one.last_traffic_s < _TRAFFIC_SPEAKS_S
+    return now_s - target.last_traffic_s < _RECENT_TRAFFIC_S
 
 
 def _count(
     window: tracked_target.Window,
-    sign: evidence.HealthSignal,
-    position: int | None,
+    signal: evidence.HealthSignal,
+    residual: int | None,
 ) -> None:
-    if position is not None:
-        window.residuals.append(position)
-    if sign in _SUCCESSES:
+    if residual is not None:
+        window.residuals.append(residual)
+    if signal in _SUCCESSES:
         window.successes += 1
-        window.good += sign is evidence.HealthSignal.GOOD
-    elif sign is evidence.HealthSignal.WRONG:
+        window.good += signal is evidence.HealthSignal.GOOD
+    elif signal is evidence.HealthSignal.WRONG:
         window.wrong += 1
     else:
         window.failures += 1
--- a/libraries/health/src/sardinepier/health/internal/engine.py
+++ b/libraries/health/src/sardinepier/health/internal/engine.py
@@ -1,4 +1,4 @@
-"""The parts behind the facade, wired together."""
+"""Connects the parts behind ``ServiceHealth``."""
 
 import random
 from typing import Final
@@ -8,12 +8,12 @@
 from sardinepier.health import change_detection, evidence, peer_evidence
 from sardinepier.health import options as health_options
 from sardinepier.health.internal import (
-    choices,
     attempt_recording,
     group_scores,
     reporting,
-    target_list,
     scoring,
+    selection,
+    target_list,
     tracked_target,
     verdict,
 )
@@ -22,7 +22,7 @@
 
 
 class Engine:
-    """All state of one service's health, and what keeps it consistent."""
+    """The state of one service's health; keeps its parts consistent."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         """Start without targets and without peers."""
         self.options = options
         self.listed = target_list.TargetList(options)
-        self.intake = attempt_recording.AttemptRecorder(options)
+        self.recorder = attempt_recording.AttemptRecorder(options)
         self.peers = peer_evidence.PeerEvidence(observer, options, clock)
         self.reports = reporting.Reports(self.listed, options)
         self.verdicts = verdict.Verdicts(
@@ -45,42 +45,42 @@
             random_source,
             on_change,
         )
-        self.doubts = False
-        self.choices = choices.Choices()
+        self.is_degraded = False
+        self.selection = selection.Selection()
         self._observer = observer
         self._clock = clock
         self.scorer = scoring.Scorer(observer, options)
 
     def configure(self, options: health_options.HealthOptions) -> None:
-        """Hand changed settings to every part."""
+        """Pass changed options to every part."""
         self.options = options
         self.listed.options = options
-        self.intake.options = options
+        self.recorder.options = options
         self.peers.options = options
         self.reports.options = options
         self.verdicts.options = options
         self.scorer.options = options
 
     def judge(self) -> None:
-        """Judge all targets by what came in since the last time."""
+        """Judge all targets by the evidence since the last call."""
         now_s = self._clock.monotonic_s()
         listed = self.listed.all()
         group = self._group()
         limits = self._limits(group)
-        for one in listed:
-            window = one.window
-            reporting.vote(
-                one,
+        for target in listed:
+            window = target.window
+            reporting.count_vote(
+                target,
                 self._observer,
                 window.attempts(),
                 window.good,
                 now_s,
             )
-        self.scorer.score(listed, now_s, self.doubts)
+        self.scorer.score(listed, now_s, self.is_degraded)
         group_scores.update(listed, group, now_s, limits)
-        self.doubts = group_scores.doubts_itself(listed)
-        self.verdicts.judge(group, now_s, self.doubts, limits.threshold)
-        self.choices.refresh(
+        self.is_degraded = group_scores.is_degraded(listed)
+        self.verdicts.judge(group, now_s, self.is_degraded, limits.threshold)
+        self.selection.refresh(
             self.listed,
             self.peers.in_flight,
             self.options,
@@ -88,11 +88,11 @@
         )
 
     def enforce(self) -> None:
-        """Keep to the floor after a change between two ticks."""
+        """Apply the floor after a change between two ticks."""
         now_s = self._clock.monotonic_s()
         group = self._group()
         self.verdicts.enforce(group, now_s)
-        self.choices.refresh(
+        self.selection.refresh(
             self.listed,
             self.peers.in_flight,
             self.options,
@@ -104,35 +104,35 @@
         observer: ids.InstanceId,
         report: evidence.EvidenceReport,
     ) -> None:
-        """Merge a peer's report, and act on its ejections at once."""
-        increments = self.peers.take(observer, report)
+        """Merge a peer's report and apply its ejections immediately."""
+        increments = self.peers.merge(observer, report)
         if increments is None:
             return
         now_s = self._clock.monotonic_s()
-        for one in self.listed:
-            increment = increments.get(one.target_id)
+        for target in self.listed:
+            increment = increments.get(target.target_id)
             if increment is None:
-                reporting.vote(one, observer, 0, 0, now_s)
-            elif increment.incarnation == one.identity.incarnation:
-                reporting.absorb(one, increment, now_s)
+                reporting.count_vote(target, observer, 0, 0, now_s)
+            elif increment.incarnation == target.identity.incarnation:
+                reporting.add_increment(target, increment, now_s)
                 self.scorer.rate.add(increment.attempts)
                 if increment.good:
-                    one.last_traffic_s = now_s
+                    target.last_traffic_s = now_s
         if report.ejections:
             self.enforce()
 
     def trial_ended(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         outcome: attempt_recording.TrialOutcome,
     ) -> None:
-        """Act on the last good trial or on a bad one."""
+        """Apply the outcome of a trial request."""
         if outcome is attempt_recording.TrialOutcome.PASSED:
             limits = self._limits(self._group())
             now_s = self._clock.monotonic_s()
-            self.verdicts.trial_passed(one, now_s, limits.threshold)
+            self.verdicts.trial_passed(target, now_s, limits.threshold)
         elif outcome is attempt_recording.TrialOutcome.FAILED:
-            self.verdicts.trial_failed(one)
+            self.verdicts.trial_failed(target)
         self.enforce()
 
     def _group(self) -> group_scores.Group:
--- a/libraries/health/src/sardinepier/health/internal/floor.py
+++ b/libraries/health/src/sardinepier/health/internal/floor.py
@@ -1,4 +1,4 @@
-"""Which ejections the floor leaves room for, over the tracked targets."""
+"""Selects the ejections that the capacity floor allows."""
 
 from typing import Final
 
@@ -13,34 +13,34 @@
 
 _States = targets.TargetState
 
-SICK: Final = frozenset(
+EJECTING: Final = frozenset(
     (
         targets.Reason.GROUP_EVIDENCE,
         targets.Reason.OWN_EVIDENCE,
         targets.Reason.PEERS_EJECTED,
     ),
 )
-"""The verdicts for which a target should be out of service."""
+"""The verdicts for which a target should be ejected."""
 
 
-def fitting(
+def allowed_ejections(
     listed: target_list.TargetList,
     group: group_scores.Group,
     now_s: float,
     options: health_options.HealthOptions,
 ) -> frozenset[ids.TargetId]:
-    """Return the targets that this daemon may have out of service now."""
-    if not any(one.verdict in SICK for one in listed):
+    """Return the targets that this daemon may have ejected now."""
+    if not any(target.verdict in EJECTING for target in listed):
         return frozenset()
     wanted = _wanted(listed, group, now_s)
     capacity = ejection.Capacity(
         slots={
-            one.target_id: one.identity.slots
-            for one in listed
-            if _counts(one, now_s, options)
+            target.target_id: target.identity.slots
+            for target in listed
+            if _counts_as_capacity(target, now_s, options)
         },
         floor_slots=ejection.floor_slots(
-            [one.identity.slots for one in listed],
+            [target.identity.slots for target in listed],
             options.floor_percent,
         ),
     )
@@ -51,32 +51,36 @@
     listed: target_list.TargetList,
     group: group_scores.Group,
     now_s: float,
-) -> list[ejection.Wanted]:
+) -> list[ejection.WantedEjection]:
     return [
-        ejection.Wanted(
-            target_id=one.target_id,
-            score=group_scores.rank(one, group),
-            own=one.verdict in SICK,
-            in_force=one.state is _States.EJECTED,
+        ejection.WantedEjection(
+            target_id=target.target_id,
+            score=group_scores.rank(target, group),
+            own=target.verdict in EJECTING,
+            in_force=target.state is _States.EJECTED,
         )
-        for one in listed
-        if one.verdict in SICK or group_scores.peers_ejecting(one, group, now_s)
+        for target in listed
+        if target.verdict in EJECTING
+        or group_scores.peers_ejecting(target, group, now_s)
     ]
 
 
-def _counts(
-    one: tracked_target.TrackedTarget,
+def _counts_as_capacity(
+    target: tracked_target.TrackedTarget,
     now_s: float,
     options: health_options.HealthOptions,
 ) -> bool:
-    """Return whether the target's slots may be relied upon.
+    """Return whether the target's slots count as capacity.
 
-    It must have done well lately and be neither cold, leaving, on trial nor
-    on its way back. An ejected one is listed here too: the walk over the
-    ejections subtracts it.
+    It must have recent good evidence and must not be cold, leaving, on trial
+    or on its ramp. Ejected targets count here: ``ejection.allowed`` subtracts
+    them.
     """
-    if one.state in {_States.COLD, _States.LEAVING, _States.TRIAL}:
+    if target.state in {_States.COLD, _States.LEAVING, _States.TRIAL}:
         return False
-    if one.last_good_s is None or now_s < one.readmission_state.ramp_until_s:
+    if (
+        target.last_good_s is None
+        or now_s < target.readmission_state.ramp_until_s
+    ):
         return False
-    return now_s - one.last_good_s <= options.fresh_evidence_s
+    return now_s - target.last_good_s <= options.fresh_evidence_s
--- a/libraries/health/src/sardinepier/health/internal/group_scores.py
+++ b/libraries/health/src/sardinepier/health/internal/group_scores.py
@@ -1,4 +1,4 @@
-"""From scores to a verdict: is a target sick, and for whom."""
+"""Scores each target from this daemon's and the group's evidence."""
 
 import dataclasses
 import math
@@ -9,42 +9,42 @@
 from sardinepier.health import change_detection, peer_evidence
 from sardinepier.health.internal import others_baseline, tracked_target, voting
 
-SUSPICION: Final = 0.125
-_DOUBT_SCORE: Final = 0.25
-_FEWEST_TO_DOUBT: Final = 3
+SUSPECT_SCORE: Final = 0.125
+_DEGRADED_LEVEL: Final = 0.25
+_MIN_ACTIVE_TARGETS: Final = 3
 _MS_PER_S: Final = 1000
-_USUAL: Final = 0.7
-"""A target is set against the level which this share of others is below."""
+_TYPICAL_QUANTILE: Final = 0.7
+"""A target is compared with this quantile of the other targets' levels."""
 
-_STAND_OUT: Final = 2.0
-"""How far above the others' usual level a target must be."""
+_TYPICAL_LEVEL_FACTOR: Final = 2.0
+"""Only evidence above this multiple of the others' typical level counts."""
 
-_VOTING: Final = 0.35
-"""Above the score that one chance failure leaves behind."""
+_VOTING_SCORE: Final = 0.35
+"""Higher than the score after a single random failure."""
 
 _VOTES_HALF_LIFE_S: Final = 3.0
-"""Votes count half after so long, lest old ones outvote a new fault."""
+"""Votes are halved after this time, so old ones do not outvote a new fault."""
 
-_ACCUSING: Final = 5.0
-"""An observer accuses a target of a hang from so much evidence on."""
+_MIN_OVERDUE_VOTE: Final = 5.0
+"""Overdue evidence from which on an observer votes that a target hangs."""
 
-_STALE_S: Final = 0.5
+_OVERDUE_VALID_S: Final = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Group:
-    """The observers that judge together at this moment."""
+    """The observers that currently judge the targets together."""
 
     own: ids.InstanceId
     peers: Mapping[ids.InstanceId, peer_evidence.Peer]
-    accusing: Mapping[ids.InstanceId, peer_evidence.Peer]
-    """Peers that said a moment ago that requests of theirs are overdue."""
+    with_overdue: Mapping[ids.InstanceId, peer_evidence.Peer]
+    """Peers that have just reported overdue requests."""
 
     ejecting: Sequence[peer_evidence.Peer]
-    """Peers that have ejected some target."""
+    """Peers that have ejected at least one target."""
 
     def size(self) -> int:
-        """Return how many observers there are, this daemon among them."""
+        """Return the number of observers, including this daemon."""
         return len(self.peers) + 1
 
 
@@ -53,14 +53,14 @@
     peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     now_s: float,
 ) -> Group:
-    """Return the group of this daemon and the peers heard lately."""
+    """Return the group of this daemon and its live peers."""
     return Group(
         own=own,
         peers=peers,
-        accusing={
+        with_overdue={
             observer: peer
             for observer, peer in peers.items()
-            if peer.overdue and now_s - peer.received_s < _STALE_S
+            if peer.overdue and now_s - peer.received_s < _OVERDUE_VALID_S
         },
         ejecting=[peer for peer in peers.values() if peer.ejections],
     )
@@ -72,144 +72,151 @@
     now_s: float,
     limits: change_detection.Limits,
 ) -> None:
-    """Bring every target's scores up to date, relative to the others.
+    """Update the scores of all targets, relative to the other targets.
 
-    When all targets look bad at once, each must stand out the more: their
-    scores then differ by chance the more, the higher they all are.
+    When all targets have high levels, a target must exceed the others by
+    more, because random differences grow with the levels.
     """
-    levels = [_levels(one, group, now_s, limits) for one in tracked_targets]
-    usual_own = others_baseline.OthersQuantile(
-        [own for own, _ in levels], _USUAL
+    levels = [
+        _own_and_group_levels(target, group, now_s, limits)
+        for target in tracked_targets
+    ]
+    typical_own = others_baseline.OthersQuantile(
+        [own for own, _ in levels], _TYPICAL_QUANTILE
     )
-    usual_group = others_baseline.OthersQuantile(
+    typical_group = others_baseline.OthersQuantile(
         [pooled for _, pooled in levels],
-        _USUAL,
+        _TYPICAL_QUANTILE,
     )
-    for one, (own, pooled) in zip(tracked_targets, levels, strict=True):
-        suspicion = one.suspicion
+    for target, (own, pooled) in zip(tracked_targets, levels, strict=True):
+        suspicion = target.suspicion
         suspicion.own_level = own / limits.threshold
-        suspicion.own_score = _standing_out(
+        suspicion.own_score = _relative_score(
             own,
-            usual_own.without(own),
+            typical_own.without(own),
             limits.threshold,
         )
-        suspicion.own_loss_score = _standing_out(
+        suspicion.own_loss_score = _relative_score(
             _loss_level(suspicion),
-            usual_own.without(own),
+            typical_own.without(own),
             limits.threshold,
         )
-        suspicion.group_score = _standing_out(
+        suspicion.group_score = _relative_score(
             pooled,
-            usual_group.without(pooled),
+            typical_group.without(pooled),
             limits.threshold,
         )
-        _update_since(suspicion, now_s)
-        suspicion.vote = tracked_target.Vote.OPEN
+        _update_voting(suspicion, now_s)
+        suspicion.vote = tracked_target.GroupVote.OPEN
         if suspicion.group_score >= 1:
-            overdue = overdue_by_observer(one, group)
-            accusers = {
+            overdue = overdue_by_observer(target, group)
+            overdue_observers = {
                 observer
                 for observer, ratio in overdue.items()
-                if ratio >= _ACCUSING
+                if ratio >= _MIN_OVERDUE_VOTE
             }
             suspicion.vote = voting.vote(
-                one,
+                target,
                 group.peers,
-                accusers,
+                overdue_observers,
                 now_s,
             )
-        if suspicion.vote is tracked_target.Vote.CUT_LINK:
-            _strike_cut_links(suspicion)
+        if suspicion.vote is tracked_target.GroupVote.CUT_LINK:
+            _remove_cut_links(suspicion)
 
 
-def _strike_cut_links(suspicion: tracked_target.Suspicion) -> None:
-    """Take out of the group's evidence what cut links explain.
+def _remove_cut_links(suspicion: tracked_target.Suspicion) -> None:
+    """Remove evidence that a cut link explains from the group's evidence.
 
-    It would else outlast the votes: its observers send no more, and the
-    others' good answers take it down but slowly.
+    Otherwise it would outlast the votes: its observers send no more requests,
+    and good answers of the others reduce it only slowly.
     """
     for observer, votes in suspicion.votes.items():
         if 2 * votes.bad > votes.attempts:
             for cusum in suspicion.group:
-                cusum.strike(observer)
+                cusum.remove_observer(observer)
 
 
 def _loss_level(suspicion: tracked_target.Suspicion) -> float:
     failing = max(
-        suspicion.own[place].level for place in change_detection.FAILING
+        suspicion.own[index].level for index in change_detection.FAILING
     )
     return max(failing, suspicion.overdue)
 
 
-def _standing_out(level: float, usual: float, threshold: float) -> float:
-    return (level - _STAND_OUT * usual) / (threshold + usual)
+def _relative_score(level: float, typical: float, threshold: float) -> float:
+    return (level - _TYPICAL_LEVEL_FACTOR * typical) / (threshold + typical)
 
 
-def doubts_itself(
+def is_degraded(
     tracked_targets: Sequence[tracked_target.TrackedTarget],
 ) -> bool:
-    """Return whether most targets look bad to this daemon alone."""
+    """Return whether most targets look bad by this daemon's own evidence."""
     active = [
-        one
-        for one in tracked_targets
-        if one.recent.attempts >= 1 or one.suspicion.overdue
+        target
+        for target in tracked_targets
+        if target.recent.attempts >= 1 or target.suspicion.overdue
+    ]
+    bad = [
+        target
+        for target in active
+        if target.suspicion.own_level >= _DEGRADED_LEVEL
     ]
-    bad = [one for one in active if one.suspicion.own_level >= _DOUBT_SCORE]
-    return len(active) >= _FEWEST_TO_DOUBT and 2 * len(bad) > len(active)
+    return len(active) >= _MIN_ACTIVE_TARGETS and 2 * len(bad) > len(active)
 
 
 def peers_ejecting(
-    one: tracked_target.TrackedTarget, group: Group, now_s: float
+    target: tracked_target.TrackedTarget, group: Group, now_s: float
 ) -> int:
-    """Return how many peers have this incarnation ejected."""
+    """Return how many peers have ejected this incarnation."""
     count = 0
     for peer in group.ejecting:
-        notice = peer.ejections.get(one.target_id)
-        if notice is None or notice.incarnation != one.identity.incarnation:
+        notice = peer.ejections.get(target.target_id)
+        if notice is None or notice.incarnation != target.identity.incarnation:
             continue
         count += notice.deadline_s > now_s
     return count
 
 
-def rank(one: tracked_target.TrackedTarget, group: Group) -> float:
+def rank(target: tracked_target.TrackedTarget, group: Group) -> float:
     """Return the score by which daemons order ejections.
 
-    An ejection in force keeps the score it was made with, so that the order
-    is the same at all who heard of it.
+    An ejection in force keeps its original score, so that all daemons that
+    know of it use the same order.
     """
-    scores = [max(one.ejected_score, one.suspicion.score())]
+    scores = [max(target.ejected_score, target.suspicion.score())]
     for peer in group.ejecting:
-        notice = peer.ejections.get(one.target_id)
-        if notice and notice.incarnation == one.identity.incarnation:
+        notice = peer.ejections.get(target.target_id)
+        if notice and notice.incarnation == target.identity.incarnation:
             scores.append(notice.score)
     return max(scores)
 
 
 def overdue_by_observer(
-    one: tracked_target.TrackedTarget,
+    target: tracked_target.TrackedTarget,
     group: Group,
 ) -> dict[ids.InstanceId, float]:
-    """Return each observer's evidence of requests overdue in flight."""
+    """Return each observer's evidence of overdue requests in flight."""
     overdue = {}
-    if one.suspicion.overdue:
-        overdue[group.own] = one.suspicion.overdue
-    for observer, peer in group.accusing.items():
-        if one.target_id not in peer.overdue:
+    if target.suspicion.overdue:
+        overdue[group.own] = target.suspicion.overdue
+    for observer, peer in group.with_overdue.items():
+        if target.target_id not in peer.overdue:
             continue
-        row = peer.rows[one.target_id]
-        if row.incarnation == one.identity.incarnation:
+        row = peer.rows[target.target_id]
+        if row.incarnation == target.identity.incarnation:
             overdue[observer] = row.overdue
     return overdue
 
 
-def _levels(
-    one: tracked_target.TrackedTarget,
+def _own_and_group_levels(
+    target: tracked_target.TrackedTarget,
     group: Group,
     now_s: float,
     limits: change_detection.Limits,
 ) -> tuple[float, float]:
-    """Return the levels of the own and of the group's evidence."""
-    suspicion = one.suspicion
+    """Return the levels of this daemon's and of the group's evidence."""
+    suspicion = target.suspicion
     if suspicion.pending:
         _add_pending(suspicion, group.own, now_s, limits)
     own = max(cusum.level for cusum in suspicion.own)
@@ -217,23 +224,23 @@
         cusum.capped(limits.observer_limit) for cusum in suspicion.group
     )
     suspicion.finished_level = pooled / limits.threshold
-    if not suspicion.overdue and not group.accusing:
+    if not suspicion.overdue and not group.with_overdue:
         return own, pooled
-    overdue = overdue_by_observer(one, group)
+    overdue = overdue_by_observer(target, group)
     if not overdue:
         return own, pooled
-    place = change_detection.Hypothesis.MUCH_SLOWER
-    age_ms = _overdue_ms(one, group)
+    index = change_detection.Hypothesis.MUCH_SLOWER
+    overdue_ms = _max_overdue_ms(target, group)
     own_slow = _with_overdue(
-        suspicion.own[place],
+        suspicion.own[index],
         {group.own: suspicion.overdue},
         _Moment(now_s, suspicion.overdue_ms, math.inf),
         limits,
     )
     pooled_slow = _with_overdue(
-        suspicion.group[place],
+        suspicion.group[index],
         overdue,
-        _Moment(now_s, age_ms, limits.observer_limit),
+        _Moment(now_s, overdue_ms, limits.observer_limit),
         limits,
     )
     return max(own, own_slow), max(pooled, pooled_slow)
@@ -242,7 +249,7 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Moment:
     now_s: float
-    age_ms: float
+    overdue_ms: float
     observer_limit: float
 
 
@@ -252,10 +259,10 @@
     moment: _Moment,
     limits: change_detection.Limits,
 ) -> float:
-    """Return the level if the overdue requests ended now.
+    """Return the level that includes the overdue requests' evidence.
 
-    Until the oldest has waited for longer than a tolerated pause, they may
-    add no more than what a pause explains.
+    Until the oldest request has been overdue for a tolerated pause, it adds
+    at most the remaining pause allowance.
     """
     parts = cusum.by_observer
     total = sum(
@@ -265,17 +272,19 @@
         )
         for observer in parts.keys() | overdue.keys()
     )
-    if moment.age_ms < limits.pause_s * _MS_PER_S:
-        room = cusum.allowance.left(moment.now_s, limits)
-        total = min(total, cusum.level + room)
+    if moment.overdue_ms < limits.pause_s * _MS_PER_S:
+        allowance = cusum.allowance.available(moment.now_s, limits)
+        total = min(total, cusum.level + allowance)
     return total
 
 
-def _overdue_ms(one: tracked_target.TrackedTarget, group: Group) -> float:
-    ages_ms = [one.suspicion.overdue_ms]
-    for peer in group.accusing.values():
-        if one.target_id in peer.overdue:
-            ages_ms.append(peer.rows[one.target_id].overdue_ms)
+def _max_overdue_ms(
+    target: tracked_target.TrackedTarget, group: Group
+) -> float:
+    ages_ms = [target.suspicion.overdue_ms]
+    for peer in group.with_overdue.values():
+        if target.target_id in peer.overdue:
+            ages_ms.append(peer.rows[target.target_id].overdue_ms)
     return max(ages_ms)
 
 
@@ -287,23 +296,23 @@
 ) -> None:
     pending = suspicion.pending
     own_ratios = pending.get(own)
-    for place, cusum in enumerate(suspicion.group):
+    for index, cusum in enumerate(suspicion.group):
         ratios = {
-            observer: values[place] for observer, values in pending.items()
+            observer: values[index] for observer, values in pending.items()
         }
         cusum.add(ratios, now_s, limits)
         if own_ratios is not None:
-            suspicion.own[place].add({own: own_ratios[place]}, now_s, limits)
+            suspicion.own[index].add({own: own_ratios[index]}, now_s, limits)
     pending.clear()
 
 
-def _update_since(suspicion: tracked_target.Suspicion, now_s: float) -> None:
+def _update_voting(suspicion: tracked_target.Suspicion, now_s: float) -> None:
     score = suspicion.score()
-    if score < SUSPICION:
+    if score < SUSPECT_SCORE:
         suspicion.since_s = None
     elif suspicion.since_s is None:
         suspicion.since_s = now_s
-    if score < _VOTING:
+    if score < _VOTING_SCORE:
         suspicion.voting_since_s = None
         suspicion.votes.clear()
     elif suspicion.voting_since_s is None:
--- a/libraries/health/src/sardinepier/health/internal/others_baseline.py
+++ b/libraries/health/src/sardinepier/health/internal/others_baseline.py
@@ -1,4 +1,4 @@
-"""What is usual at the *other* targets right now."""
+"""Statistics of all targets except one, to compare that one with."""
 
 import bisect
 import math
@@ -7,16 +7,16 @@
 
 from sardinepier.health.internal import tracked_target
 
-_TRIMMED_SHARE: Final = 4
+_TRIM_DIVISOR: Final = 4
 _PRIOR_ATTEMPTS: Final = 10
-_MIDDLE: Final = 0.5
-_FEWEST_NEWEST: Final = 2
-_CHANCE_SLOWNESS: Final = 2.0
+_MEDIAN: Final = 0.5
+_MIN_NEWEST_COUNT: Final = 2
+_MIN_SLOWNESS: Final = 2.0
 _SLOWNESS_FACTOR: Final = 1.33
 
 
 class OthersQuantile:
-    """A quantile of a list of values without one of them, in O(log n)."""
+    """A quantile of a list without one of its values, in O(log n)."""
 
     def __init__(self, values: Sequence[float], quantile: float) -> None:
         """Sort the values once."""
@@ -24,40 +24,41 @@
         self._quantile = quantile
 
     def without(self, value: float) -> float:
-        """Return the quantile of all values but one equal to ``value``.
+        """Return the quantile of all values except one equal to ``value``.
 
-        0 when there is no other value.
+        Returns 0 when there is no other value.
         """
-        others = len(self._sorted) - 1
-        if others < 1:
+        other_count = len(self._sorted) - 1
+        if other_count < 1:
             return 0.0
-        place = math.ceil(self._quantile * (others - 1))
-        if bisect.bisect_left(self._sorted, value) <= place:
-            place += 1
-        return self._sorted[place]
+        index = math.ceil(self._quantile * (other_count - 1))
+        if bisect.bisect_left(self._sorted, value) <= index:
+            index += 1
+        return self._sorted[index]
 
 
 class CommonSlowness:
-    """By how much the other targets are slower than usual, all at once.
+    """How much slower than typical the other targets are, all at once.
 
     The larger of two estimates counts: the median of the targets' means over
-    seconds, and the mean of all answers of the last half second without the
-    slowest target. The first is exact but late, the second the reverse.
+    a few seconds, and the mean of all answers of the last half second
+    without the slowest target. The first is precise but late, the second
+    early but imprecise.
     """
 
     def __init__(self, recents: Sequence[tracked_target.Recent]) -> None:
-        """Take the recent residuals of all targets."""
+        """Summarize the recent residuals of all targets."""
         means = [recent.mean_residual() for recent in recents]
-        self._means = OthersQuantile(means, _MIDDLE)
+        self._means = OthersQuantile(means, _MEDIAN)
         self._slowest = max(recents, key=_newest_mean, default=None)
         self._newest_sum = sum(recent.newest_sum for recent in recents)
         self._newest_count = sum(recent.newest_count for recent in recents)
 
     def without(self, own: tracked_target.Recent) -> int:
-        """Return the others' slowness in whole quarter octaves, from 0 up.
+        """Return the others' slowness in whole quarter octaves, at least 0.
 
-        A little is taken for chance. More is taken one third larger, since
-        targets that are all slow also differ more from each other.
+        A small slowness counts as random. A larger one is increased by a
+        third, because targets that are all slow also differ more.
         """
         total = self._newest_sum - own.newest_sum
         count = self._newest_count - own.newest_count
@@ -65,9 +66,9 @@
         if slowest is not None and slowest is not own:
             total -= slowest.newest_sum
             count -= slowest.newest_count
-        newest = total / count if count >= _FEWEST_NEWEST else 0.0
+        newest = total / count if count >= _MIN_NEWEST_COUNT else 0.0
         slowness = max(newest, self._means.without(own.mean_residual()))
-        if slowness < _CHANCE_SLOWNESS:
+        if slowness < _MIN_SLOWNESS:
             return 0
         return round(slowness * _SLOWNESS_FACTOR)
 
@@ -77,10 +78,11 @@
 
 
 class OthersFailureShare:
-    """The share of failures at the other targets, less the worst quarter.
+    """The share of failures at the other targets, without the worst quarter.
 
-    Leaving out the worst quarter keeps one sick target from excusing the
-    next. A few attempts say little, so they are mixed with the baseline.
+    Without the worst quarter, one unhealthy target does not hide the next.
+    The baseline share serves as a prior, because few attempts are weak
+    evidence.
     """
 
     def __init__(
@@ -88,23 +90,23 @@
         counts: Sequence[tuple[float, float]],
         baseline_share: float,
     ) -> None:
-        """Take (failures, attempts) of every target."""
+        """Summarize (failures, attempts) of every target."""
         self._baseline_share = baseline_share
         shares = sorted(_share(count) for count in counts)
-        trimmed = -(-len(counts) // _TRIMMED_SHARE)
+        trimmed = -(-len(counts) // _TRIM_DIVISOR)
         kept = len(counts) - trimmed
-        self._highest_kept = shares[kept - 1] if kept else -1.0
+        self._max_kept_share = shares[kept - 1] if kept else -1.0
         kept_counts = [
-            count for count in counts if _share(count) <= self._highest_kept
+            count for count in counts if _share(count) <= self._max_kept_share
         ]
         self._failures = sum(failures for failures, _ in kept_counts)
         self._attempts = sum(attempts for _, attempts in kept_counts)
 
     def without(self, failures: float, attempts: float) -> float:
-        """Return the others' share for a target with these counts."""
+        """Return the share of failures of the others, given one target's counts."""
         other_failures = self._failures
         other_attempts = self._attempts
-        if _share((failures, attempts)) <= self._highest_kept:
+        if _share((failures, attempts)) <= self._max_kept_share:
             other_failures -= failures
             other_attempts -= attempts
         prior = self._baseline_share * _PRIOR_ATTEMPTS
--- a/libraries/health/src/sardinepier/health/internal/probing.py
+++ b/libraries/health/src/sardinepier/health/internal/probing.py
@@ -1,4 +1,4 @@
-"""When to probe which target."""
+"""Schedules the probes of targets."""
 
 import random
 from typing import Final
@@ -9,12 +9,12 @@
 from sardinepier.health.internal import target_list, tracked_target
 
 _States = targets.TargetState
-_LEAST_JITTER: Final = 0.8
-_MOST_JITTER: Final = 1.2
+_MIN_JITTER: Final = 0.8
+_MAX_JITTER: Final = 1.2
 
 
 class ProbeSchedule:
-    """Probes every target now and then, and suspects more often."""
+    """Schedules regular probes, more frequent ones for suspected targets."""
 
     def __init__(
         self,
@@ -28,21 +28,23 @@
         self._random = random_source
 
     def due(self, now_s: float) -> tuple[ids.TargetId, ...]:
-        """Return the targets whose probe is due, and set the next one."""
+        """Return the targets with a due probe and schedule their next one."""
         due = []
-        for one in self._listed:
-            if now_s < self._due_s(one) or one.state is _States.LEAVING:
+        for target in self._listed:
+            if now_s < self._due_s(target) or target.state is _States.LEAVING:
                 continue
-            jitter = self._random.uniform(_LEAST_JITTER, _MOST_JITTER)
-            one.probing.due_s = now_s + self.options.probe_interval_s * jitter
-            one.probing.suspect_due_s = (
+            jitter = self._random.uniform(_MIN_JITTER, _MAX_JITTER)
+            target.probing.due_s = (
+                now_s + self.options.probe_interval_s * jitter
+            )
+            target.probing.suspect_due_s = (
                 now_s + self.options.suspect_probe_interval_s * jitter
             )
-            due.append(one.target_id)
+            due.append(target.target_id)
         return tuple(due)
 
-    def _due_s(self, one: tracked_target.TrackedTarget) -> float:
-        calm = one.suspicion.since_s is None
-        if calm and one.state is _States.IN_SERVICE:
-            return one.probing.due_s
-        return one.probing.suspect_due_s
+    def _due_s(self, target: tracked_target.TrackedTarget) -> float:
+        is_unsuspected = target.suspicion.since_s is None
+        if is_unsuspected and target.state is _States.IN_SERVICE:
+            return target.probing.due_s
+        return target.probing.suspect_due_s
--- a/libraries/health/src/sardinepier/health/internal/scoring.py
+++ b/libraries/health/src/sardinepier/health/internal/scoring.py
@@ -1,4 +1,4 @@
-"""From what ended in a tick to log-likelihood ratios for each target."""
+"""Turns the outcomes of a tick into log-likelihood ratios per target."""
 
 import math
 from collections.abc import Sequence
@@ -7,20 +7,21 @@
 from sardinepier.core import ids
 from sardinepier.health import baseline, change_detection
 from sardinepier.health import options as health_options
-from sardinepier.health.internal import rates, others_baseline, tracked_target
+from sardinepier.health.internal import others_baseline, rates, tracked_target
 
-_RESIDUAL_MEMORY_S: Final = 2.0
-_NEWEST_MEMORY_S: Final = 0.5
-_FAILURE_MEMORY_S: Final = 5.0
+_RESIDUAL_TIME_CONSTANT_S: Final = 2.0
+_NEWEST_TIME_CONSTANT_S: Final = 0.5
+_FAILURE_TIME_CONSTANT_S: Final = 5.0
 _TICKS_PER_TABLE: Final = 20
-_FLIGHTS_LOOKED_AT: Final = 8
+_MAX_SCORED_IN_FLIGHT: Final = 8
 _MS_PER_S: Final = 1000
 _WRONG_FACTOR: Final = 2
-ABOVE_SUSPICION: Final = 0.25
+UNTRUSTED_SCORE: Final = 0.25
+"""From this score on, a target's latencies do not train the baselines."""
 
 
 class Scorer:
-    """Scores every target's window against the other targets' windows."""
+    """Scores each target's window relative to those of the other targets."""
 
     def __init__(
         self,
@@ -40,41 +41,41 @@
         self,
         tracked_targets: Sequence[tracked_target.TrackedTarget],
         now_s: float,
-        doubts_itself: bool,
+        is_degraded: bool,
     ) -> None:
-        """Score all windows and empty them."""
+        """Score and clear all windows."""
         self._refresh_tables()
-        self._fade(tracked_targets, now_s)
+        self._decay(tracked_targets, now_s)
         shifts = others_baseline.CommonSlowness(
-            [one.recent for one in tracked_targets],
+            [target.recent for target in tracked_targets],
         )
-        shares = others_baseline.OthersFailureShare(
+        failure_shares = others_baseline.OthersFailureShare(
             [
-                (one.recent.failures, one.recent.attempts)
-                for one in tracked_targets
+                (target.recent.failures, target.recent.attempts)
+                for target in tracked_targets
             ],
             self.options.baseline_failure_percent / 100,
         )
         self.rate.advance(len(tracked_targets), now_s)
-        for one in tracked_targets:
-            shift = shifts.without(one.recent)
-            if one.window.attempts():
-                self.rate.add(one.window.attempts())
-                usual_share = shares.without(
-                    one.recent.failures,
-                    one.recent.attempts,
+        for target in tracked_targets:
+            shift = shifts.without(target.recent)
+            if target.window.attempts():
+                self.rate.add(target.window.attempts())
+                typical_share = failure_shares.without(
+                    target.recent.failures,
+                    target.recent.attempts,
                 )
-                self._score_window(one, shift, usual_share, doubts_itself)
-            if one.flights or one.suspicion.overdue:
-                self._score_flights(one, shift, now_s)
-            one.window.clear()
+                self._score_window(target, shift, typical_share, is_degraded)
+            if target.in_flight_attempts or target.suspicion.overdue:
+                self._score_in_flight(target, shift, now_s)
+            target.window.clear()
 
     def _refresh_tables(self) -> None:
         self._ticks += 1
         if self._ticks % _TICKS_PER_TABLE == 0:
             self._ratios = change_detection.LatencyRatios(self._spread)
 
-    def _fade(
+    def _decay(
         self,
         tracked_targets: Sequence[tracked_target.TrackedTarget],
         now_s: float,
@@ -82,18 +83,18 @@
         last_s = now_s if self._last_s is None else self._last_s
         elapsed_s = now_s - last_s
         self._last_s = now_s
-        residual_fade = math.exp(-elapsed_s / _RESIDUAL_MEMORY_S)
-        newest_fade = math.exp(-elapsed_s / _NEWEST_MEMORY_S)
-        failure_fade = math.exp(-elapsed_s / _FAILURE_MEMORY_S)
-        for one in tracked_targets:
-            recent = one.recent
-            recent.attempts *= failure_fade
-            recent.failures *= failure_fade
-            recent.residual_sum *= residual_fade
-            recent.residual_count *= residual_fade
-            recent.newest_sum *= newest_fade
-            recent.newest_count *= newest_fade
-            window = one.window
+        residual_decay = math.exp(-elapsed_s / _RESIDUAL_TIME_CONSTANT_S)
+        newest_decay = math.exp(-elapsed_s / _NEWEST_TIME_CONSTANT_S)
+        failure_decay = math.exp(-elapsed_s / _FAILURE_TIME_CONSTANT_S)
+        for target in tracked_targets:
+            recent = target.recent
+            recent.attempts *= failure_decay
+            recent.failures *= failure_decay
+            recent.residual_sum *= residual_decay
+            recent.residual_count *= residual_decay
+            recent.newest_sum *= newest_decay
+            recent.newest_count *= newest_decay
+            window = target.window
             recent.attempts += window.attempts()
             recent.failures += window.failures + window.wrong
             if window.residuals:
@@ -101,62 +102,62 @@
 
     def _score_window(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         shift: int,
-        usual_share: float,
-        doubts_itself: bool,
+        typical_share: float,
+        is_degraded: bool,
     ) -> None:
-        window = one.window
+        window = target.window
         ratios = self._latency_ratios(window.residuals, shift)
-        for failure, success in change_detection.failure_ratios(usual_share):
+        for failure, success in change_detection.failure_ratios(typical_share):
             failures = window.failures + _WRONG_FACTOR * window.wrong
             ratios.append(failures * failure + window.successes * success)
-        if doubts_itself:
+        if is_degraded:
             ratios = [min(0.0, ratio) for ratio in ratios]
-        tally = one.tally
+        tally = target.tally
         tally.scores = [
             score + ratio
             for score, ratio in zip(tally.scores, ratios, strict=True)
         ]
         tally.good += window.good
         tally.attempts += window.attempts()
-        one.suspicion.pending[self._own] = ratios
-        if one.suspicion.score() < ABOVE_SUSPICION:
+        target.suspicion.pending[self._own] = ratios
+        if target.suspicion.score() < UNTRUSTED_SCORE:
             self._learn(window.residuals, shift)
 
     def _latency_ratios(self, residuals: list[int], shift: int) -> list[float]:
-        offset = shift + baseline.LOWEST
-        places = [max(0, position - offset) for position in residuals]
+        offset = shift + baseline.MIN_RESIDUAL
+        indexes = [max(0, residual - offset) for residual in residuals]
         return [
-            sum(table[place] for place in places)
+            sum(table[index] for index in indexes)
             for table in self._ratios.tables
         ]
 
     def _learn(self, residuals: list[int], shift: int) -> None:
-        for position in residuals:
-            self._spread.observe(max(baseline.LOWEST, position - shift))
+        for residual in residuals:
+            self._spread.observe(max(baseline.MIN_RESIDUAL, residual - shift))
 
-    def _score_flights(
+    def _score_in_flight(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         shift: int,
         now_s: float,
     ) -> None:
-        suspicion = one.suspicion
+        suspicion = target.suspicion
         suspicion.overdue = 0.0
         suspicion.overdue_ms = 0.0
         suspicion.overdue_count = 0
-        for number, flight in enumerate(one.flights.values()):
-            if number >= _FLIGHTS_LOOKED_AT:
+        for number, attempt in enumerate(target.in_flight_attempts.values()):
+            if number >= _MAX_SCORED_IN_FLIGHT:
                 break
-            if flight.median is None:
+            if attempt.median is None:
                 continue
-            age_ms = (now_s - flight.started_s) * _MS_PER_S
+            age_ms = (now_s - attempt.started_s) * _MS_PER_S
             log_age = baseline.log_latency(age_ms)
-            position = baseline.residual(log_age, flight.median) - shift
-            if position < baseline.SLOW_RESIDUAL:
+            residual = baseline.residual(log_age, attempt.median) - shift
+            if residual < baseline.SLOW_RESIDUAL:
                 continue
             suspicion.overdue_count += 1
-            suspicion.overdue += self._ratios.overdue(position)
-            late_ms = age_ms - baseline.slow_ms(flight.median)
+            suspicion.overdue += self._ratios.overdue(residual)
+            late_ms = age_ms - baseline.slow_ms(attempt.median)
             suspicion.overdue_ms = max(suspicion.overdue_ms, late_ms)
--- a/libraries/health/src/sardinepier/health/internal/choices.py
+++ b/libraries/health/src/sardinepier/health/internal/selection.py
@@ -1,4 +1,4 @@
-"""What the request path reads: computed once a tick, looked up per request."""
+"""Target states for the request path: computed per tick, read per request."""
 
 from collections.abc import Mapping
 
@@ -8,8 +8,8 @@
 from sardinepier.health.internal import target_list, weights
 
 
-class Choices:
-    """The standing of every target, and those that may be chosen."""
+class Selection:
+    """The standing of every target, and the selectable targets."""
 
     def __init__(self) -> None:
         """Start without targets."""
@@ -23,14 +23,14 @@
         options: health_options.HealthOptions,
         now_s: float,
     ) -> None:
-        """Work all standings out anew."""
+        """Compute all standings."""
         self.standings = {
-            one.identity.target_id: targets.Standing(
-                one.state,
-                weights.weight(one, options, now_s),
-                in_flight.get(one.identity.target_id, 0),
+            target.identity.target_id: targets.Standing(
+                target.state,
+                weights.weight(target, options, now_s),
+                in_flight.get(target.identity.target_id, 0),
             )
-            for one in listed
+            for target in listed
         }
         self.selectable = tuple(
             target_id
@@ -39,7 +39,7 @@
         )
 
     def drop(self, target_id: ids.TargetId) -> None:
-        """Take one target out of the choice until the next refresh."""
+        """Make one target unselectable until the next refresh."""
         self.selectable = tuple(
             selectable
             for selectable in self.selectable
--- a/libraries/health/src/sardinepier/health/internal/state_events.py
+++ b/libraries/health/src/sardinepier/health/internal/state_events.py
@@ -1,4 +1,4 @@
-"""Tells the daemon of every change of a target's state."""
+"""Reports every change of a target's state to the daemon."""
 
 from collections.abc import Callable
 
@@ -8,30 +8,30 @@
 
 
 class StateEvents:
-    """Turns a change of a tracked target into an event."""
+    """Turns state changes of tracked targets into events."""
 
     def __init__(
         self,
         service: ids.ServiceName,
         on_event: Callable[[events.TargetChanged], None],
     ) -> None:
-        """Tell ``on_event`` of changes in ``service``."""
+        """Call ``on_event`` with each change in ``service``."""
         self._service = service
         self._on_event = on_event
 
-    def changed(
+    def notify(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         before: targets.TargetState,
     ) -> None:
-        """Tell that ``one`` was in the state ``before`` until now."""
+        """Report that ``target`` has left the state ``before``."""
         self._on_event(
             events.TargetChanged(
                 service=self._service,
-                target_id=one.target_id,
+                target_id=target.target_id,
                 before=before,
-                after=one.state,
-                reason=one.reason,
-                score=one.suspicion.score(),
+                after=target.state,
+                reason=target.reason,
+                score=target.suspicion.score(),
             ),
         )
--- a/libraries/health/src/sardinepier/health/internal/tracked_target.py
+++ b/libraries/health/src/sardinepier/health/internal/tracked_target.py
@@ -1,4 +1,4 @@
-"""All that one daemon remembers about one incarnation of one target."""
+"""The state that a daemon keeps of one incarnation of one target."""
 
 import collections
 import dataclasses
@@ -9,12 +9,12 @@
 from sardinepier.health import change_detection, readmission, targets
 
 _PRIOR_COUNT: Final = 0.5
-_MOST_HEARD: Final = 32
+_MAX_RECENT_GOOD: Final = 32
 
 
 @dataclasses.dataclass(slots=True)
-class Flight:
-    """One attempt in flight; ``median`` is its route's usual log latency."""
+class InFlightAttempt:
+    """One attempt in flight; ``median`` is its route's median log latency."""
 
     started_s: float
     median: float | None
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Window:
-    """What ended since the last tick."""
+    """Outcomes of attempts since the last tick."""
 
     residuals: list[int] = dataclasses.field(default_factory=list)
     failures: int = 0
@@ -31,7 +31,7 @@
     good: int = 0
 
     def attempts(self) -> int:
-        """Return how many attempts said anything."""
+        """Return how many attempts were evidence."""
         return self.failures + self.wrong + self.successes
 
     def clear(self) -> None:
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Recent:
-    """Own counts of the last few seconds, fading away."""
+    """This daemon's counts of the last few seconds, decaying exponentially."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -53,7 +53,7 @@
     residual_count: float = 0.0
     newest_sum: float = 0.0
     newest_count: float = 0.0
-    """The residuals of the last half second, for the whole service's sake."""
+    """Residuals of the last half second, to detect slowness of all targets."""
 
     def add_residuals(self, residuals: list[int]) -> None:
         """Count the residuals of a window."""
@@ -64,13 +64,13 @@
         self.newest_count += len(residuals)
 
     def mean_residual(self) -> float:
-        """Return the mean residual, drawn to zero when there are few."""
+        """Return the mean residual, shrunk towards zero for few residuals."""
         return self.residual_sum / (self.residual_count + _PRIOR_COUNT)
 
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """The cumulative counters which the daemon reports as its author."""
+    """This daemon's cumulative counters for its reports."""
 
     scores: list[float] = dataclasses.field(
         default_factory=lambda: [0.0 for _ in change_detection.HYPOTHESES],
@@ -79,8 +79,8 @@
     attempts: int = 0
 
 
-class Vote(enum.Enum):
-    """What the group's observers make of a target together."""
+class GroupVote(enum.Enum):
+    """The result of the group's vote: undecided, a cut link or a bad target."""
 
     OPEN = 'open'
     CUT_LINK = 'cut-link'
@@ -89,20 +89,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Votes:
-    """One observer's attempts since suspicion arose."""
+    """One observer's attempts since the target was suspected."""
 
     reports: int = 0
     attempts: int = 0
     bad: int = 0
 
     def halve(self) -> None:
-        """Let older votes count for less."""
+        """Reduce the weight of older votes."""
         self.attempts //= 2
         self.bad //= 2
 
 
-def _bounded() -> collections.deque[tuple[float, int]]:
-    return collections.deque(maxlen=_MOST_HEARD)
+def _recent_good() -> collections.deque[tuple[float, int]]:
+    return collections.deque(maxlen=_MAX_RECENT_GOOD)
 
 
 def _cusums() -> list[change_detection.Cusum]:
@@ -111,7 +111,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """Evidence against a target as it stands after the last tick."""
+    """Evidence against a target after the last tick."""
 
     own: list[change_detection.Cusum] = dataclasses.field(
         default_factory=_cusums,
@@ -129,30 +129,30 @@
         default_factory=dict,
     )
     recent_good: collections.deque[tuple[float, int]] = dataclasses.field(
-        default_factory=_bounded,
+        default_factory=_recent_good,
     )
-    """When good answers were heard of lately, and how many."""
+    """Time and number of the newest good answers of all observers."""
 
     since_s: float | None = None
     voting_since_s: float | None = None
     votes_halved_s: float = 0.0
     own_level: float = 0.0
     own_loss_score: float = 0.0
-    """Of failures and requests overdue alone: what a cut link looks like."""
+    """Score of failures and overdue requests only, the signs of a cut link."""
 
     finished_level: float = 0.0
-    """The group's level, of finished attempts only, over the threshold."""
+    """The group's level of finished attempts, as a share of the threshold."""
 
     own_score: float = 0.0
     group_score: float = 0.0
-    vote: Vote = Vote.OPEN
+    vote: GroupVote = GroupVote.OPEN
 
     def score(self) -> float:
         """Return the larger of both scores, as a share of the threshold."""
         return max(self.own_score, self.group_score)
 
     def restart(self, level: float, own: ids.InstanceId) -> None:
-        """Forget all evidence; later evidence starts at ``level``."""
+        """Discard all evidence; later evidence starts at ``level``."""
         for cusum in (*self.own, *self.group):
             cusum.restart(level)
             if level > 0:
@@ -171,7 +171,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Probing:
-    """When the target was probed, and how that went."""
+    """Due times of the target's probes, and failed probes in a row."""
 
     due_s: float = 0.0
     suspect_due_s: float = 0.0
@@ -180,7 +180,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TrackedTarget:
-    """One incarnation of one target."""
+    """One incarnation of one target, with all evidence about it."""
 
     identity: targets.TargetIdentity
     state: targets.TargetState = targets.TargetState.IN_SERVICE
@@ -188,10 +188,14 @@
     verdict: targets.Reason = targets.Reason.NONE
     ejected_score: float = 0.0
     cold_until_s: float = 0.0
-    warmed: bool = False
+    has_good_answer: bool = False
+    """It gave a good answer while it was cold."""
+
     last_good_s: float | None = None
     last_traffic_s: float | None = None
-    flights: dict[int, Flight] = dataclasses.field(default_factory=dict)
+    in_flight_attempts: dict[int, InFlightAttempt] = dataclasses.field(
+        default_factory=dict
+    )
     window: Window = dataclasses.field(default_factory=Window)
     recent: Recent = dataclasses.field(default_factory=Recent)
     tally: Tally = dataclasses.field(default_factory=Tally)
--- a/libraries/health/src/sardinepier/health/internal/verdict.py
+++ b/libraries/health/src/sardinepier/health/internal/verdict.py
@@ -1,4 +1,4 @@
-"""The states of targets: verdicts, the floor, trials and the way back."""
+"""State changes of targets: verdicts, ejections, trials, readmission."""
 
 import random
 from collections.abc import Callable
@@ -15,20 +15,20 @@
 )
 
 _States = targets.TargetState
-_STILL_WANTED: Final = 0.5
-_AGAINST_GROUP: Final = 1.5
-_HEAD_START: Final = 0.33
-_PROBES_IN_ROW: Final = 3
-_QUIET_S: Final = 10.0
+_RELEASE_SCORE: Final = 0.5
+_LOSS_SCORE_AGAINST_GROUP: Final = 1.5
+_TRIAL_PASSED_LEVEL: Final = 0.33
+_FAILED_PROBES_IN_ROW: Final = 3
+_NO_TRAFFIC_S: Final = 10.0
 
-_JUDGED: Final = frozenset((_States.IN_SERVICE, _States.SUSPECT))
+_JUDGED_STATES: Final = frozenset((_States.IN_SERVICE, _States.SUSPECT))
 ChangeHandler = Callable[
     [tracked_target.TrackedTarget, targets.TargetState], None
 ]
 
 
 class Verdicts:
-    """Moves targets between states, always above the floor."""
+    """Changes the states of targets without going below the floor."""
 
     def __init__(
         self,
@@ -45,177 +45,200 @@
         self._random = random_source
         self._on_change = on_change
 
-    def move(
+    def change_state(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         state: targets.TargetState,
         reason: targets.Reason,
     ) -> None:
-        """Set state and reason, and tell when either changed."""
-        before = one.state
-        if before is state and one.reason is reason:
+        """Set state and reason; report the change if there is one."""
+        before = target.state
+        if before is state and target.reason is reason:
             return
-        one.state = state
-        one.reason = reason
-        self._on_change(one, before)
+        target.state = state
+        target.reason = reason
+        self._on_change(target, before)
 
     def judge(
         self,
         group: group_scores.Group,
         now_s: float,
-        doubts: bool,
+        is_degraded: bool,
         threshold: float,
     ) -> None:
-        """Bring every verdict up to date, then keep to the floor."""
-        for one in self._listed:
-            self._advance(one, now_s, threshold)
-            one.verdict = self._verdict(one, group, now_s, doubts)
+        """Update every verdict, then apply the floor."""
+        for target in self._listed:
+            self._advance(target, now_s, threshold)
+            target.verdict = self._verdict(target, group, now_s, is_degraded)
         self.enforce(group, now_s)
 
     def enforce(self, group: group_scores.Group, now_s: float) -> None:
-        """Eject what is wanted and fits; hold or release the rest."""
-        fitting = floor.fitting(self._listed, group, now_s, self.options)
-        for one in self._listed:
-            if one.target_id in fitting:
-                self._eject(one, now_s)
-            elif one.verdict in floor.SICK:
-                self._hold(one)
-            elif one.state in _JUDGED:
-                self._settle(one, now_s)
-
-    def leave(self, one: tracked_target.TrackedTarget) -> None:
-        """Take a leaving target out for good."""
-        one.verdict = targets.Reason.NONE
-        self.move(one, _States.LEAVING, targets.Reason.LEAVING)
-
-    def trial_failed(self, one: tracked_target.TrackedTarget) -> None:
-        """Want the target out again; ``enforce`` decides."""
-        one.verdict = targets.Reason.OWN_EVIDENCE
+        """Eject the allowed targets; update the states of the others."""
+        allowed_ejections = floor.allowed_ejections(
+            self._listed, group, now_s, self.options
+        )
+        for target in self._listed:
+            if target.target_id in allowed_ejections:
+                self._eject(target, now_s)
+            elif target.verdict in floor.EJECTING:
+                self._keep_in_service(target)
+            elif target.state in _JUDGED_STATES:
+                self._set_judged_state(target, now_s)
+
+    def leave(self, target: tracked_target.TrackedTarget) -> None:
+        """Take a leaving target out of service permanently."""
+        target.verdict = targets.Reason.NONE
+        self.change_state(target, _States.LEAVING, targets.Reason.LEAVING)
+
+    def trial_failed(self, target: tracked_target.TrackedTarget) -> None:
+        """Request another ejection; ``enforce`` decides about it."""
+        target.verdict = targets.Reason.OWN_EVIDENCE
 
     def trial_passed(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         now_s: float,
         threshold: float,
     ) -> None:
-        """Put the target back on its ramp, judged from a head start."""
-        one.readmission_state.restore(now_s, self.options)
-        one.suspicion.restart(_HEAD_START * threshold, self._own)
-        one.verdict = targets.Reason.NONE
-        self.move(one, _States.IN_SERVICE, targets.Reason.RETURNING)
+        """Return the target to service on its ramp.
+
+        Its evidence restarts above zero, so a further fault is detected
+        sooner.
+        """
+        target.readmission_state.start_ramp(now_s, self.options)
+        target.suspicion.restart(_TRIAL_PASSED_LEVEL * threshold, self._own)
+        target.verdict = targets.Reason.NONE
+        self.change_state(target, _States.IN_SERVICE, targets.Reason.RETURNING)
 
     def _advance(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         now_s: float,
         threshold: float,
     ) -> None:
-        if one.state is _States.COLD and now_s >= one.cold_until_s:
-            one.last_good_s = now_s if one.warmed else None
-            one.suspicion.restart(0, self._own)
-            self.move(one, _States.IN_SERVICE, targets.Reason.NONE)
+        if target.state is _States.COLD and now_s >= target.cold_until_s:
+            target.last_good_s = now_s if target.has_good_answer else None
+            target.suspicion.restart(0, self._own)
+            self.change_state(target, _States.IN_SERVICE, targets.Reason.NONE)
         elif (
-            one.state is _States.EJECTED
-            and now_s >= one.readmission_state.deadline_s
+            target.state is _States.EJECTED
+            and now_s >= target.readmission_state.deadline_s
         ):
-            one.verdict = targets.Reason.NONE
-            one.probing.suspect_due_s = now_s
-            one.suspicion.restart(0, self._own)
-            self.move(one, _States.TRIAL, targets.Reason.RETURNING)
+            target.verdict = targets.Reason.NONE
+            target.probing.suspect_due_s = now_s
+            target.suspicion.restart(0, self._own)
+            self.change_state(target, _States.TRIAL, targets.Reason.RETURNING)
 
     def _verdict(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         group: group_scores.Group,
         now_s: float,
-        doubts: bool,
+        is_degraded: bool,
     ) -> targets.Reason:
-        if one.state is _States.EJECTED:
-            return self._upgraded(one, group)
-        if one.state not in _JUDGED:
+        if target.state is _States.EJECTED:
+            return self._ejected_verdict(target, group)
+        if target.state not in _JUDGED_STATES:
             return targets.Reason.NONE
-        suspicion = one.suspicion
-        if self._group_says(one, group):
+        suspicion = target.suspicion
+        if self._has_group_evidence(target, group):
             return targets.Reason.GROUP_EVIDENCE
-        if self._own_says(suspicion, group) and not doubts:
+        if self._has_own_evidence(suspicion, group) and not is_degraded:
             return targets.Reason.OWN_EVIDENCE
-        if self._peers_say(one, group, now_s):
+        if self._is_ejected_by_peers(target, group, now_s):
             return targets.Reason.PEERS_EJECTED
-        if one.verdict in floor.SICK and suspicion.score() >= _STILL_WANTED:
-            return one.verdict
+        if (
+            target.verdict in floor.EJECTING
+            and suspicion.score() >= _RELEASE_SCORE
+        ):
+            return target.verdict
         return targets.Reason.NONE
 
-    def _upgraded(
+    def _ejected_verdict(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         group: group_scores.Group,
     ) -> targets.Reason:
-        own = one.verdict is targets.Reason.OWN_EVIDENCE
-        if own and self._group_says(one, group):
+        own = target.verdict is targets.Reason.OWN_EVIDENCE
+        if own and self._has_group_evidence(target, group):
             return targets.Reason.GROUP_EVIDENCE
-        return one.verdict
+        return target.verdict
 
-    def _group_says(
+    def _has_group_evidence(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         group: group_scores.Group,
     ) -> bool:
-        suspicion = one.suspicion
+        suspicion = target.suspicion
         if suspicion.group_score < 1:
             return False
-        return suspicion.vote is tracked_target.Vote.SICK
+        return suspicion.vote is tracked_target.GroupVote.SICK
 
-    def _own_says(
+    def _has_own_evidence(
         self,
         suspicion: tracked_target.Suspicion,
         group: group_scores.Group,
     ) -> bool:
-        """Return whether the own evidence suffices.
+        """Return whether this daemon's own evidence suffices for an ejection.
 
-        Against the group's finished requests only losses count, and they
-        must be many: slow answers come from a queue, not from a cut link.
+        When the group's finished requests show no fault, only failures and
+        overdue requests count, against a higher limit: slow answers come
+        from a queue, not from a cut link.
         """
-        if group.peers and suspicion.finished_level < _STILL_WANTED:
-            return suspicion.own_loss_score >= _AGAINST_GROUP
+        if group.peers and suspicion.finished_level < _RELEASE_SCORE:
+            return suspicion.own_loss_score >= _LOSS_SCORE_AGAINST_GROUP
         return suspicion.own_score >= 1
 
-    def _peers_say(
+    def _is_ejected_by_peers(
         self,
-        one: tracked_target.TrackedTarget,
+        target: tracked_target.TrackedTarget,
         group: group_scores.Group,
         now_s: float,
     ) -> bool:
         if not group.ejecting:
-            one.readmission_state.may_follow = True
+            target.readmission_state.may_follow_peers = True
             return False
-        ejecting = group_scores.peers_ejecting(one, group, now_s)
-        majority = max(2, -(-len(group.peers) // 2))
-        if ejecting < majority:
-            one.readmission_state.may_follow = True
+        ejecting = group_scores.peers_ejecting(target, group, now_s)
+        min_ejecting = max(2, -(-len(group.peers) // 2))
+        if ejecting < min_ejecting:
+            target.readmission_state.may_follow_peers = True
             return False
-        return one.readmission_state.may_follow
-
-    def _eject(self, one: tracked_target.TrackedTarget, now_s: float) -> None:
-        if one.state is not _States.EJECTED:
-            one.readmission_state.may_follow = False
-            one.ejected_score = one.suspicion.score()
-            one.readmission_state.eject(now_s, self.options, self._random)
-        self.move(one, _States.EJECTED, one.verdict)
-
-    def _hold(self, one: tracked_target.TrackedTarget) -> None:
-        if one.state not in {_States.COLD, _States.LEAVING}:
-            self.move(one, _States.SUSPECT, targets.Reason.HELD_BY_FLOOR)
-
-    def _settle(self, one: tracked_target.TrackedTarget, now_s: float) -> None:
-        if _probes_say(one, now_s):
-            self.move(one, _States.SUSPECT, targets.Reason.PROBES_FAILED)
+        return target.readmission_state.may_follow_peers
+
+    def _eject(
+        self, target: tracked_target.TrackedTarget, now_s: float
+    ) -> None:
+        if target.state is not _States.EJECTED:
+            target.readmission_state.may_follow_peers = False
+            target.ejected_score = target.suspicion.score()
+            target.readmission_state.eject(now_s, self.options, self._random)
+        self.change_state(target, _States.EJECTED, target.verdict)
+
+    def _keep_in_service(self, target: tracked_target.TrackedTarget) -> None:
+        if target.state not in {_States.COLD, _States.LEAVING}:
+            self.change_state(
+                target, _States.SUSPECT, targets.Reason.HELD_BY_FLOOR
+            )
+
+    def _set_judged_state(
+        self, target: tracked_target.TrackedTarget, now_s: float
+    ) -> None:
+        if _has_failed_probes(target, now_s):
+            self.change_state(
+                target, _States.SUSPECT, targets.Reason.PROBES_FAILED
+            )
             return
-        suspected = one.suspicion.score() >= group_scores.SUSPICION
+        suspected = target.suspicion.score() >= group_scores.SUSPECT_SCORE
         state = _States.SUSPECT if suspected else _States.IN_SERVICE
-        self.move(one, state, targets.Reason.NONE)
+        self.change_state(target, state, targets.Reason.NONE)
 
 
-def _probes_say(one: tracked_target.TrackedTarget, now_s: float) -> bool:
-    if one.probing.bad_in_row < _PROBES_IN_ROW:
+def _has_failed_probes(
+    target: tracked_target.TrackedTarget, now_s: float
+) -> bool:
+    if target.probing.bad_in_row < _FAILED_PROBES_IN_ROW:
         return False
-    return one.last_traffic_s is None or now_s - one.last_traffic_s > _QUIET_S
+    return (
+        target.last_traffic_s is None
+        or now_s - target.last_traffic_s > _NO_TRAFFIC_S
+    )
--- a/libraries/health/src/sardinepier/health/internal/voting.py
+++ b/libraries/health/src/sardinepier/health/internal/voting.py
@@ -1,8 +1,8 @@
-"""Is the target bad, or only the links from some observers to it?
+"""Votes whether a target is bad or only the links of some observers to it.
 
-The observers that see the worst are set against the rest. Were the target
-itself sick, the rest would see as much of it as they. Until enough of the
-rest have spoken, the vote stays open.
+The vote compares the observers with the worst counts with the remaining
+ones. If the target itself were unhealthy, the remaining observers would see
+as many bad attempts. Until enough of them have reported, the vote stays open.
 """
 
 import math
@@ -13,25 +13,25 @@
 from sardinepier.health import peer_evidence
 from sardinepier.health.internal import tracked_target
 
-_LINK_SHARE: Final = 3
-_LINK_RATIO: Final = 8.0
-_HANG_OPEN_S: Final = 0.6
-_NEWEST_S: Final = 0.25
-_NEWER_S: Final = 1.0
-_REPORTS_TO_SPEAK: Final = 2
-_GOOD_AGAINST_HANG: Final = 2
+_CUT_LINK_SHARE: Final = 3
+_CUT_LINK_RATIO: Final = 8.0
+_HANG_VOTE_WAIT_S: Final = 0.6
+_RECENT_GOOD_MANY_S: Final = 0.25
+_RECENT_GOOD_S: Final = 1.0
+_MIN_REPORTS: Final = 2
+_MIN_GOOD_AGAINST_HANG: Final = 2
 
 
 def vote(
-    one: tracked_target.TrackedTarget,
+    target: tracked_target.TrackedTarget,
     peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     overdue: Set[ids.InstanceId],
     now_s: float,
-) -> tracked_target.Vote:
-    """Return the vote on a target that the pooled evidence condemns."""
+) -> tracked_target.GroupVote:
+    """Return the vote on a target whose group score reached the threshold."""
     if not peers:
-        return tracked_target.Vote.SICK
-    votes = one.suspicion.votes
+        return tracked_target.GroupVote.SICK
+    votes = target.suspicion.votes
     counts = sorted(
         (
             _bad_and_good(votes.get(observer), observer in overdue)
@@ -39,43 +39,47 @@
         ),
         key=lambda count: (-count[0], count[1]),
     )
-    most_accusers = math.ceil((len(peers) + 1) / _LINK_SHARE)
-    accusing = counts[:most_accusers]
-    resting = counts[most_accusers:]
-    if _link_ratio(accusing, resting) >= _LINK_RATIO:
-        return tracked_target.Vote.CUT_LINK
-    if overdue and one.suspicion.finished_level < 1:
-        waiting = _LINK_SHARE * len(overdue) > len(peers) + 1
-        return _vote_on_hang(one, waiting, now_s)
-    spoken = _have_spoken(one, peers, overdue)
-    return tracked_target.Vote.SICK if spoken else tracked_target.Vote.OPEN
+    max_worst = math.ceil((len(peers) + 1) / _CUT_LINK_SHARE)
+    worst = counts[:max_worst]
+    remaining = counts[max_worst:]
+    if _link_ratio(worst, remaining) >= _CUT_LINK_RATIO:
+        return tracked_target.GroupVote.CUT_LINK
+    if overdue and target.suspicion.finished_level < 1:
+        many_wait = _CUT_LINK_SHARE * len(overdue) > len(peers) + 1
+        return _vote_on_hang(target, many_wait, now_s)
+    reported = _have_reported(target, peers, overdue)
+    return (
+        tracked_target.GroupVote.SICK
+        if reported
+        else tracked_target.GroupVote.OPEN
+    )
 
 
 def _vote_on_hang(
-    one: tracked_target.TrackedTarget,
+    target: tracked_target.TrackedTarget,
     many_wait: bool,
     now_s: float,
-) -> tracked_target.Vote:
-    """Return the vote when it takes the requests in flight to condemn.
+) -> tracked_target.GroupVote:
+    """Return the vote when the score depends on requests in flight.
 
-    A hung target has no good answer for anybody. Good answers show a cut
-    link or a long queue; they get a moment to come in, unless more observers wait
-    than one cut link explains.
+    A hung target answers no observer. Good answers indicate a cut link or a
+    long queue; the vote waits briefly for them, unless more observers have
+    overdue requests than one cut link explains.
     """
-    newest_s = _NEWEST_S if many_wait else _NEWER_S
+    recent_s = _RECENT_GOOD_MANY_S if many_wait else _RECENT_GOOD_S
     good_answers = sum(
         count
-        for heard_s, count in one.suspicion.recent_good
-        if now_s - heard_s < newest_s
+        for received_s, count in target.suspicion.recent_good
+        if now_s - received_s < recent_s
     )
-    if good_answers >= _GOOD_AGAINST_HANG:
-        return tracked_target.Vote.CUT_LINK
-    since_s = one.suspicion.voting_since_s
-    waited = since_s is not None and now_s - since_s >= _HANG_OPEN_S
+    if good_answers >= _MIN_GOOD_AGAINST_HANG:
+        return tracked_target.GroupVote.CUT_LINK
+    since_s = target.suspicion.voting_since_s
+    has_waited = since_s is not None and now_s - since_s >= _HANG_VOTE_WAIT_S
     return (
-        tracked_target.Vote.SICK
-        if waited or many_wait
-        else tracked_target.Vote.OPEN
+        tracked_target.GroupVote.SICK
+        if has_waited or many_wait
+        else tracked_target.GroupVote.OPEN
     )
 
 
@@ -89,15 +93,20 @@
 
 
 def _link_ratio(
-    accusing: list[tuple[int, int]],
-    resting: list[tuple[int, int]],
+    worst: list[tuple[int, int]],
+    remaining: list[tuple[int, int]],
 ) -> float:
-    """Return the log-likelihood ratio of two shares of bad against one."""
-    first = _total(accusing)
-    second = _total(resting)
-    both = (first[0] + second[0], first[1] + second[1])
+    """Return the log-likelihood ratio of two shares of bad attempts to one."""
+    worst_total = _total(worst)
+    remaining_total = _total(remaining)
+    combined = (
+        worst_total[0] + remaining_total[0],
+        worst_total[1] + remaining_total[1],
+    )
     return (
-        _log_likelihood(first) + _log_likelihood(second) - _log_likelihood(both)
+        _log_likelihood(worst_total)
+        + _log_likelihood(remaining_total)
+        - _log_likelihood(combined)
     )
 
 
@@ -114,23 +123,23 @@
     )
 
 
-def _have_spoken(
-    one: tracked_target.TrackedTarget,
+def _have_reported(
+    target: tracked_target.TrackedTarget,
     peers: Mapping[ids.InstanceId, peer_evidence.Peer],
     overdue: Set[ids.InstanceId],
 ) -> bool:
-    """Return whether most of those that do not accuse have reported."""
-    votes = one.suspicion.votes
-    resting = [
+    """Return whether half of the peers without bad attempts reported."""
+    votes = target.suspicion.votes
+    remaining = [
         observer
         for observer in peers
         if observer not in overdue and not _has_bad(votes.get(observer))
     ]
-    spoken = sum(
-        observer in votes and votes[observer].reports >= _REPORTS_TO_SPEAK
-        for observer in resting
+    reported = sum(
+        observer in votes and votes[observer].reports >= _MIN_REPORTS
+        for observer in remaining
     )
-    return 2 * spoken >= len(resting)
+    return 2 * reported >= len(remaining)
 
 
 def _has_bad(votes: tracked_target.Votes | None) -> bool:
--- a/libraries/health/src/sardinepier/health/options.py
+++ b/libraries/health/src/sardinepier/health/options.py
@@ -1,7 +1,7 @@
-"""The figures by which one service's health is judged.
+"""Parameters of the health of one service.
 
 Operators set two of them: the tolerated false ejections and the floor. The
-rest have defaults that the experiment in the workbench was run with.
+others have the defaults that the detection experiment in the workbench uses.
 """
 
 import msgspec
@@ -12,57 +12,57 @@
 
 
 class HealthOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of one :class:`service_health.ServiceHealth`.
+    """Parameters of one :class:`service_health.ServiceHealth`.
 
-    For example ``HealthOptions(false_ejections_per_target_day=0.01)`` asks
-    for at most one healthy target taken out wrongly in a hundred days of one
-    target. Raises ``InvalidArgumentError`` for a figure out of its range.
+    For example, ``HealthOptions(false_ejections_per_target_day=0.01)`` allows
+    at most one wrong ejection of a healthy target in a hundred days. Raises
+    ``InvalidArgumentError`` for a value out of range.
     """
 
     false_ejections_per_target_day: float = 0.1
-    """Healthy targets out of service by mistake, per target and day."""
+    """Tolerated ejections of healthy targets, per target and day."""
 
     floor_percent: float = 50
-    """Share of the service's slots which ejections never go below."""
+    """Share of the service's slots that ejections must leave in service."""
 
     tolerated_pause_ms: float = 200
-    """A target may stand still for so long without being called sick."""
+    """Maximum pause of a healthy target; it does not cause an ejection."""
 
     tick_interval_s: float = 0.1
     report_interval_s: float = 0.5
-    """Between two reports to the group while nothing is suspected."""
+    """Time between two reports to the group while no target is suspected."""
 
     urgent_report_interval_s: float = 0.15
     peer_expiry_s: float = 5
-    """An observer that was silent for so long no longer takes part."""
+    """An observer without reports for this time is no longer counted."""
 
     fresh_evidence_s: float = 30
-    """Only a target that did well within this time counts as capacity."""
+    """Only targets with good evidence in this time count as capacity."""
 
     baseline_failure_percent: float = 0.2
-    """Failures below this share are never held against a target."""
+    """Failures below this share are never evidence against a target."""
 
     observer_share: float = 0.6
-    """Most of the threshold that one observer can fill alone."""
+    """Maximum share of the threshold that one observer contributes."""
 
     cold_start_s: float = 20
     ramp_s: float = 10
     ejection_base_s: float = 5
     ejection_limit_s: float = 300
     flap_memory_s: float = 120
-    """In service for so long, a target's next ejection is halved."""
+    """Time in service after which a target's next ejection time is halved."""
 
     trial_successes: int = 3
     probe_interval_s: float = 10
     suspect_probe_interval_s: float = 1
     routes_limit: int = 4096
-    """Routes whose usual latency is remembered; the oldest is dropped."""
+    """Maximum number of routes with a latency median; the oldest is dropped."""
 
     observers_limit: int = 64
-    """Observers whose reports are kept; a new one beyond is not heard."""
+    """Maximum number of observers; reports of further ones are ignored."""
 
     def __post_init__(self) -> None:
-        """Check every figure once, before anything relies on it."""
+        """Check every value."""
         _check_positive(
             'false_ejections_per_target_day',
             self.false_ejections_per_target_day,
--- a/libraries/health/src/sardinepier/health/peer_evidence.py
+++ b/libraries/health/src/sardinepier/health/peer_evidence.py
@@ -1,8 +1,8 @@
-"""Evidence of the group: what each peer said last, merged by maximum.
+"""Evidence of the group: the newest report of each peer.
 
 Of each observer instance only the report with the highest sequence counts,
-so repeated, lost and reordered reports leave the same state behind. What a
-newer report adds to the one before it is handed on as increments.
+so repeated, lost and reordered reports lead to the same state. Differences
+between a newer report and its predecessor are returned as increments.
 """
 
 import dataclasses
@@ -14,13 +14,13 @@
 from sardinepier.health import evidence
 from sardinepier.health import options as health_options
 
-_MEMORY_FACTOR: Final = 12
-"""A silent observer's last sequence is remembered for so many expiries."""
+_EXPIRIES_TO_FORGET: Final = 12
+"""A silent observer's last sequence is kept for this many expiry times."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Increment:
-    """What one observer learned about one target between two reports."""
+    """One observer's new evidence about one target between two reports."""
 
     observer: ids.InstanceId
     target_id: ids.TargetId
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerEjection:
-    """A peer's ejection with its deadline on the local clock."""
+    """A peer's ejection, with its deadline on the local clock."""
 
     incarnation: ids.TargetIncarnation
     deadline_s: float
@@ -41,19 +41,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """The newest facts of one observer instance."""
+    """The newest report of one observer instance."""
 
     sequence: int
     received_s: float
-    doubts_itself: bool
+    is_degraded: bool
     rows: dict[ids.TargetId, evidence.TargetEvidence]
     ejections: dict[ids.TargetId, PeerEjection]
     overdue: frozenset[ids.TargetId]
-    """Targets with requests overdue, none while it doubts itself."""
+    """Targets with overdue requests; empty while the observer is degraded."""
 
 
 class PeerEvidence:
-    """The newest report of every observer heard, in bounded number."""
+    """The newest reports of a bounded number of observers."""
 
     def __init__(
         self,
@@ -61,38 +61,39 @@
         options: health_options.HealthOptions,
         clock: core_clock.Clock,
     ) -> None:
-        """Know nobody yet; reports in the own name are not taken."""
+        """Start without peers; reports of ``own`` itself are ignored."""
         self._own = own
         self.options = options
         self._clock = clock
         self.in_flight: dict[ids.TargetId, int] = {}
-        """Requests in flight of all observers heard, for each target."""
+        """Requests in flight of all known observers, for each target."""
         self._peers: dict[ids.InstanceId, Peer] = {}
 
-    def take(
+    def merge(
         self,
         observer: ids.InstanceId,
         report: evidence.EvidenceReport,
     ) -> dict[ids.TargetId, Increment] | None:
-        """Merge a report; return what is new in it, None for an old one.
+        """Merge a report; return its increments, or None if it is ignored.
 
-        The first report of an observer only sets the mark from which its
-        later ones count: what it saw before this daemon listened is past.
+        Old reports are ignored, and new observers beyond the limit. The
+        first report of an observer is only the base for later increments:
+        its evidence from before this daemon received reports does not count.
         """
-        known = self._peers.get(observer)
-        if known is not None and report.sequence <= known.sequence:
+        previous = self._peers.get(observer)
+        if previous is not None and report.sequence <= previous.sequence:
             return None
-        if observer == self._own or not self._has_room(known):
+        if observer == self._own or not self._has_capacity(previous):
             return None
         peer = self._peer_of(report)
         self._peers[observer] = peer
         self._count_in_flight(peer, 1)
-        if known is None:
+        if previous is None:
             return {}
-        self._count_in_flight(known, -1)
+        self._count_in_flight(previous, -1)
         return {
             increment.target_id: increment
-            for increment in _increments(observer, known.rows, report)
+            for increment in _increments(observer, previous.rows, report)
         }
 
     def forget(self, observer: ids.InstanceId) -> None:
@@ -102,7 +103,7 @@
             self._count_in_flight(peer, -1)
 
     def live(self) -> dict[ids.InstanceId, Peer]:
-        """Return the observers heard lately; forget the long silent ones."""
+        """Return the observers that reported lately; forget long silent ones."""
         now_s = self._clock.monotonic_s()
         expiry_s = self.options.peer_expiry_s
         live = {}
@@ -110,7 +111,7 @@
             silent_s = now_s - peer.received_s
             if silent_s <= expiry_s:
                 live[observer] = peer
-            elif silent_s > expiry_s * _MEMORY_FACTOR:
+            elif silent_s > expiry_s * _EXPIRIES_TO_FORGET:
                 self.forget(observer)
         return live
 
@@ -125,18 +126,18 @@
             else:
                 counts.pop(row.target_id, None)
 
-    def _has_room(self, known: Peer | None) -> bool:
-        if known is not None:
+    def _has_capacity(self, previous: Peer | None) -> bool:
+        if previous is not None:
             return True
         return len(self._peers) < self.options.observers_limit
 
     def _peer_of(self, report: evidence.EvidenceReport) -> Peer:
         now_s = self._clock.monotonic_s()
-        longest_s = 2 * self.options.ejection_limit_s
+        limit_s = 2 * self.options.ejection_limit_s
         return Peer(
             sequence=report.sequence,
             received_s=now_s,
-            doubts_itself=report.doubts_itself,
+            is_degraded=report.doubts_itself,
             rows={row.target_id: row for row in report.evidence},
             overdue=frozenset(
                 row.target_id
@@ -146,7 +147,7 @@
             ejections={
                 notice.target_id: PeerEjection(
                     notice.incarnation,
-                    now_s + min(longest_s, notice.remaining_s),
+                    now_s + min(limit_s, notice.remaining_s),
                     notice.score,
                 )
                 for notice in report.ejections
@@ -160,29 +161,29 @@
     report: evidence.EvidenceReport,
 ) -> Iterator[Increment]:
     for row in report.evidence:
-        earlier = before.get(row.target_id)
-        if earlier is None or earlier.incarnation != row.incarnation:
+        previous = before.get(row.target_id)
+        if previous is None or previous.incarnation != row.incarnation:
             continue
-        if row.attempts <= earlier.attempts:
+        if row.attempts <= previous.attempts:
             continue
         yield Increment(
             observer=observer,
             target_id=row.target_id,
             incarnation=row.incarnation,
-            ratios=_added(earlier.scores, row.scores, report.doubts_itself),
-            good=row.good - earlier.good,
-            attempts=row.attempts - earlier.attempts,
+            ratios=_added(previous.scores, row.scores, report.doubts_itself),
+            good=row.good - previous.good,
+            attempts=row.attempts - previous.attempts,
         )
 
 
 def _added(
     before: tuple[float, ...],
     after: tuple[float, ...],
-    doubts_itself: bool,
+    is_degraded: bool,
 ) -> tuple[float, ...]:
     added = (
-        later - earlier for earlier, later in zip(before, after, strict=False)
+        later - previous for previous, later in zip(before, after, strict=False)
     )
-    if doubts_itself:
+    if is_degraded:
         return tuple(min(0.0, ratio) for ratio in added)
     return tuple(added)
--- a/libraries/health/src/sardinepier/health/service_health.py
+++ b/libraries/health/src/sardinepier/health/service_health.py
@@ -1,4 +1,4 @@
-"""The health of one service's targets, as one daemon and its group see it."""
+"""The health of one service's targets, judged by a daemon and its group."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -24,16 +24,16 @@
 class ServiceHealth:
     """Judges the targets of one service; synchronous and without I/O.
 
-    Tell it of every attempt and probe, call :meth:`tick` every
+    Record every attempt and probe, call :meth:`tick` every
     ``tick_interval_s``, send :meth:`report` to the group whenever
-    :meth:`report_due` says so, and pass what arrives to :meth:`heard`.
+    :meth:`report_due` is true, and pass received reports to
+    :meth:`receive_report`.
 
-    For example a target that keeps failing is not selectable a moment
-    later::
+    For example, a target that keeps failing soon stops being selectable::
 
         health.set_targets([TargetIdentity('t1', 'a', 3), ...])
         health.started('t1', 'search', 7)
-        health.finished('t1', 'search', 7, AttemptEnd.FAILED, None)
+        health.finished('t1', 'search', 7, AttemptOutcome.FAILED, None)
         health.tick()
         health.selectable()
     """
@@ -47,14 +47,14 @@
         random_source: random.Random,
         on_event: Callable[[events.TargetChanged], None],
     ) -> None:
-        """Judge ``service`` as ``observer``, without targets at first."""
+        """Judge ``service`` as ``observer``; start without targets."""
         self._clock = clock
         self._engine = engine.Engine(
             observer,
             options,
             clock,
             random_source,
-            state_events.StateEvents(service, on_event).changed,
+            state_events.StateEvents(service, on_event).notify,
         )
 
         self._probes = probing.ProbeSchedule(
@@ -64,22 +64,22 @@
         )
 
     def configure(self, options: health_options.HealthOptions) -> None:
-        """Put changed settings in force, keeping what was learned."""
+        """Apply changed options; keep all evidence."""
         self._engine.configure(options)
         self._probes.options = options
         self._engine.enforce()
 
     def set_targets(self, listed: Iterable[targets.TargetIdentity]) -> None:
-        """Take the service's whole list of targets.
+        """Apply the complete list of the service's targets.
 
-        A target whose incarnation is unchanged keeps all its state, its
-        leaving mark among it. A new incarnation starts cold.
+        A target with an unchanged incarnation keeps its state, including its
+        leaving mark. A new incarnation starts cold.
         """
         parts = self._engine
         parts.listed.replace(listed, self._clock.monotonic_s())
-        for one in parts.listed:
-            if parts.listed.is_leaving(one):
-                parts.verdicts.leave(one)
+        for target in parts.listed:
+            if parts.listed.is_leaving(target):
+                parts.verdicts.leave(target)
         parts.enforce()
 
     def started(
@@ -88,17 +88,17 @@
         route: ids.RouteName,
         attempt: int,
     ) -> None:
-        """Note that an attempt goes out; ``attempt`` names it until it ends.
+        """Record that an attempt was sent; ``attempt`` identifies it.
 
-        A target that is not listed is passed over, as in all methods here.
+        Unlisted targets are ignored, here and in all other methods.
         """
-        one = self._engine.listed.get(target_id)
-        if one is None:
+        target = self._engine.listed.get(target_id)
+        if target is None:
             return
         now_s = self._clock.monotonic_s()
-        self._engine.intake.started(one, route, attempt, now_s)
-        if one.state is targets.TargetState.TRIAL:
-            self._engine.choices.drop(target_id)
+        self._engine.recorder.started(target, route, attempt, now_s)
+        if target.state is targets.TargetState.TRIAL:
+            self._engine.selection.drop(target_id)
 
     def finished(
         self,
@@ -108,31 +108,31 @@
         outcome: evidence.AttemptOutcome,
         latency_ms: float | None,
     ) -> None:
-        """Note how an attempt ended, and after how many milliseconds.
+        """Record how an attempt ended and how long it took.
 
-        Without ``latency_ms`` a timeout took the time since ``started``; an
-        answer without it says nothing about speed.
+        Without ``latency_ms``, a timeout counts with the time since
+        ``started``, and an answer is no evidence about speed.
         """
-        one = self._engine.listed.get(target_id)
-        if one is None:
+        target = self._engine.listed.get(target_id)
+        if target is None:
             return
         now_s = self._clock.monotonic_s()
-        flight = one.flights.pop(attempt, None)
+        in_flight = target.in_flight_attempts.pop(attempt, None)
         timed_out = outcome is evidence.AttemptOutcome.TIMED_OUT
-        if latency_ms is None and timed_out and flight is not None:
-            latency_ms = (now_s - flight.started_s) * _MS_PER_S
-        sign = self._engine.intake.finished(
-            one,
+        if latency_ms is None and timed_out and in_flight is not None:
+            latency_ms = (now_s - in_flight.started_s) * _MS_PER_S
+        signal = self._engine.recorder.finished(
+            target,
             route,
             outcome,
             latency_ms,
             now_s,
         )
-        if one.state is targets.TargetState.TRIAL:
-            trial_outcome = attempt_recording.trial_result(
-                one, sign, self._engine.options
+        if target.state is targets.TargetState.TRIAL:
+            trial_outcome = attempt_recording.trial_outcome(
+                target, signal, self._engine.options
             )
-            self._engine.trial_ended(one, trial_outcome)
+            self._engine.trial_ended(target, trial_outcome)
 
     def probed(
         self,
@@ -140,79 +140,79 @@
         good: bool,
         latency_ms: float | None,
     ) -> None:
-        """Note a probe's result; a good one never clears a bad target."""
-        one = self._engine.listed.get(target_id)
-        if one is not None:
+        """Record the result of a probe; a good one never clears a target."""
+        target = self._engine.listed.get(target_id)
+        if target is not None:
             now_s = self._clock.monotonic_s()
-            self._engine.intake.probed(one, good, latency_ms, now_s)
+            self._engine.recorder.probed(target, good, latency_ms, now_s)
 
     def mark_leaving(
         self,
         target_id: ids.TargetId,
         incarnation: ids.TargetIncarnation,
     ) -> bool:
-        """Note that an incarnation is leaving; return True when it is news.
+        """Mark an incarnation as leaving; return whether the mark is new.
 
-        The mark stays for good: nothing selects this incarnation again.
+        The mark is permanent: this incarnation is never selected again.
         """
         parts = self._engine
         notice = evidence.LeavingNotice(target_id, incarnation)
         if not parts.listed.mark_leaving(notice):
             return False
-        one = parts.listed.get(target_id)
-        if one is not None and one.identity.incarnation == incarnation:
-            parts.verdicts.leave(one)
+        target = parts.listed.get(target_id)
+        if target is not None and target.identity.incarnation == incarnation:
+            parts.verdicts.leave(target)
             parts.enforce()
         return True
 
     def tick(self) -> None:
-        """Judge all targets by what came in since the last tick."""
+        """Judge all targets by the evidence since the last tick."""
         self._engine.judge()
 
     def standing(self, target_id: ids.TargetId) -> targets.Standing:
-        """Return how a target stands; one that is not listed has left."""
-        return self._engine.choices.standings.get(target_id, _NOT_LISTED)
+        """Return the state of a target; an unlisted one is leaving."""
+        return self._engine.selection.standings.get(target_id, _NOT_LISTED)
 
     def selectable(self) -> tuple[ids.TargetId, ...]:
-        """Return the targets with a weight above 0, in the list's order."""
-        return self._engine.choices.selectable
+        """Return the targets with a weight above 0, in the order of the list."""
+        return self._engine.selection.selectable
 
     def due_probes(self) -> tuple[ids.TargetId, ...]:
-        """Return the targets to probe now; each is handed out once."""
+        """Return the targets to probe now and schedule their next probes."""
         return self._probes.due(self._clock.monotonic_s())
 
     def report_due(self) -> bool:
-        """Return whether a report should go out: soon under suspicion."""
+        """Return whether a report is due; sooner while targets are suspected."""
         return self._engine.reports.is_due(self._clock.monotonic_s())
 
     def report(self) -> evidence.EvidenceReport:
-        """Return all that the group should know, as the newest report."""
+        """Return a new report with all evidence for the group."""
         now_s = self._clock.monotonic_s()
-        return self._engine.reports.make(now_s, self._engine.doubts)
+        return self._engine.reports.make(now_s, self._engine.is_degraded)
 
     def receive_report(
         self,
         observer: ids.InstanceId,
         report: evidence.EvidenceReport,
     ) -> None:
-        """Merge a peer's report; an old or repeated one changes nothing."""
+        """Merge a peer's report; an old or repeated one has no effect."""
         for notice in report.leaving:
             self.mark_leaving(notice.target_id, notice.incarnation)
         self._engine.receive_report(observer, report)
 
     def forget(self, observer: ids.InstanceId) -> None:
-        """Drop what an observer said; it died or left the group."""
+        """Drop the report of an observer that died or left the group."""
         self._engine.peers.forget(observer)
 
     def status(self) -> tuple[targets.TargetStatus, ...]:
-        """Return one line a target for operators."""
+        """Return the status of each target for operators."""
         now_s = self._clock.monotonic_s()
         options = self._engine.options
         return tuple(
             reporting.status(
-                one,
-                weights.weight(one, options, now_s),
+                target,
+                weights.weight(target, options, now_s),
                 now_s,
             )
-            for one in self._engine.listed
+            for target in self._engine.listed
         )
--- a/libraries/health/src/sardinepier/health/targets.py
+++ b/libraries/health/src/sardinepier/health/targets.py
@@ -1,4 +1,4 @@
-"""Targets as the rest of the daemon sees them: who they are, how they stand."""
+"""Targets as seen by the rest of the daemon: identities and states."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class TargetIdentity(msgspec.Struct, frozen=True):
-    """One start of one target and how much work it takes at a time."""
+    """One incarnation of a target, and how many requests it takes at a time."""
 
     target_id: ids.TargetId
     incarnation: ids.TargetIncarnation
@@ -16,41 +16,41 @@
 
 
 class TargetState(enum.Enum):
-    """Where a target is between coming, serving, being out and leaving."""
+    """The lifecycle state of a target."""
 
     COLD = 'cold'
-    """A new incarnation: work grows slowly, nothing counts against it."""
+    """A new incarnation: its load rises slowly, and it is not judged yet."""
 
     IN_SERVICE = 'in-service'
     SUSPECT = 'suspect'
-    """Something speaks against it, or this daemon alone cannot reach it."""
+    """There is evidence against it, or only this daemon cannot reach it."""
 
     EJECTED = 'ejected'
     TRIAL = 'trial'
-    """Back from an ejection for single idempotent requests."""
+    """After an ejection; gets single idempotent requests."""
 
     LEAVING = 'leaving'
-    """Said goodbye. Never chosen again in this incarnation."""
+    """Announced that it is leaving; this incarnation is not chosen again."""
 
 
 class Reason(enum.Enum):
-    """Why a target stands as it does."""
+    """Why a target is in its state."""
 
     NONE = 'none'
     GROUP_EVIDENCE = 'group-evidence'
     """The group's evidence against it passed the threshold."""
 
     OWN_EVIDENCE = 'own-evidence'
-    """Bad for this daemon and good for others: the link may be cut."""
+    """Bad for this daemon but good for others: the link may be cut."""
 
     PEERS_EJECTED = 'peers-ejected'
-    """Two or more observers ejected it, nothing here speaks for it."""
+    """At least two peers, and at least half of them, ejected it."""
 
     PROBES_FAILED = 'probes-failed'
-    """Its probes fail and no traffic speaks for it; it gets little work."""
+    """Its probes fail and it has no traffic; it gets few requests."""
 
     HELD_BY_FLOOR = 'held-by-floor'
-    """Would be out, but the floor leaves no room; it gets little work."""
+    """The floor forbids its ejection; it gets few requests."""
 
     RETURNING = 'returning'
     NEW_INCARNATION = 'new-incarnation'
@@ -58,11 +58,11 @@
 
 
 class Standing(msgspec.Struct, frozen=True):
-    """What the choice of a target needs to know about one of them.
+    """The state of one target, as needed to choose a target.
 
     ``weight`` is 0 for a target that must not be chosen and 1 for one in
-    full service. ``peers_in_flight`` counts the group's requests there as
-    last heard, without this daemon's own.
+    full service. ``peers_in_flight`` counts the requests in flight of the
+    group's other daemons, from their newest reports.
     """
 
     state: TargetState
@@ -71,10 +71,10 @@
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
-    """One target's line in the daemon's status answer.
+    """One target in the daemon's status answer.
 
-    ``score`` is the evidence against the target as a share of the threshold
-    at which it is ejected: 1 and more means that it would be out.
+    ``score`` is the evidence against the target as a share of the ejection
+    threshold: from 1 on it should be ejected.
     """
 
     target_id: ids.TargetId
--- a/libraries/health/tests/cover/test_health_floor.py
+++ b/libraries/health/tests/cover/test_health_floor.py
@@ -216,7 +216,7 @@
 
 _WANTED = st.lists(
     st.builds(
-        ejection.Wanted,
+        ejection.WantedEjection,
         _NAME,
         st.floats(0, 9),
         st.booleans(),
@@ -254,7 +254,9 @@
     union = set()
     for daemon in range(3):
         view = [
-            ejection.Wanted(one.target_id, one.score, owner == daemon, True)
+            ejection.WantedEjection(
+                one.target_id, one.score, owner == daemon, True
+            )
             for one, owner in zip(wanted, owners, strict=True)
         ]
         union |= ejection.allowed(view, capacity)
--- a/libraries/health/tests/cover/test_health_reports.py
+++ b/libraries/health/tests/cover/test_health_reports.py
@@ -74,9 +74,9 @@
     mixed = peer_evidence.PeerEvidence('d~0', options.HealthOptions(), time)
     straight = peer_evidence.PeerEvidence('d~0', options.HealthOptions(), time)
     for observer, report in arriving:
-        mixed.take(observer, report)
+        mixed.merge(observer, report)
     for observer, report in newest:
-        straight.take(observer, report)
+        straight.merge(observer, report)
     assert _facts(mixed) == _facts(straight)
 
 
@@ -87,7 +87,7 @@
     )
     counted = 0
     for report in history + history:
-        added = peers.take('x~0', report) or {}
+        added = peers.merge('x~0', report) or {}
         counted += sum(one.good for one in added.values())
     if len(history) > 1:
         first, last = history[0].evidence, history[-1].evidence
@@ -96,7 +96,7 @@
             for before, after in zip(first, last, strict=True)
         )
     for report in history:
-        assert peers.take('x~0', report) is None
+        assert peers.merge('x~0', report) is None
 
 
 def test_memory_of_observers_is_bounded_and_fades():
@@ -105,14 +105,14 @@
     peers = peer_evidence.PeerEvidence('d~0', settings, time)
     report = evidence.EvidenceReport(1, False, (), (), ())
     for place in range(9):
-        peers.take(f'x{place}~0', report)
+        peers.merge(f'x{place}~0', report)
     assert len(peers.live()) == 3
-    assert peers.take('d~0', report) is None
+    assert peers.merge('d~0', report) is None
     time.advance(5.1)
     assert not peers.live()
     time.advance(60)
     peers.live()
-    assert peers.take('x8~0', report) is not None
+    assert peers.merge('x8~0', report) is not None
 
 
 def test_a_report_survives_its_encoding(bench):
@@ -175,7 +175,7 @@
             't0', 'a', (9.0 * sequence, -sequence), 0, sequence, 8.0, 9.0, 1
         )
         report = evidence.EvidenceReport(sequence, doubts, (row,), (), ())
-        added = peers.take('x~0', report)
+        added = peers.merge('x~0', report)
         if doubts:
             assert added['t0'].ratios == (0, -1)
             assert not peers.live()['x~0'].overdue
@@ -191,25 +191,25 @@
         one.suspicion.own_level = level
         return one
 
-    assert group_scores.doubts_itself([seen(1), seen(1), seen(0)])
-    assert not group_scores.doubts_itself([seen(1), seen(0), seen(0)])
-    assert not group_scores.doubts_itself([seen(1), seen(1)])
-    assert not group_scores.doubts_itself([seen(1), seen(1, 0), seen(0)])
+    assert group_scores.is_degraded([seen(1), seen(1), seen(0)])
+    assert not group_scores.is_degraded([seen(1), seen(0), seen(0)])
+    assert not group_scores.is_degraded([seen(1), seen(1)])
+    assert not group_scores.is_degraded([seen(1), seen(1, 0), seen(0)])
 
 
 @pytest.mark.parametrize(
     ('good', 'elapsed_s', 'expected'),
     [
-        (3, 0.1, tracked_target.Vote.CUT_LINK),
-        (3, 2.0, tracked_target.Vote.SICK),
-        (0, 0.1, tracked_target.Vote.SICK),
+        (3, 0.1, tracked_target.GroupVote.CUT_LINK),
+        (3, 2.0, tracked_target.GroupVote.SICK),
+        (0, 0.1, tracked_target.GroupVote.SICK),
     ],
 )
 def test_answers_heard_just_before_suspicion_veto_a_hang(
     good, elapsed_s, expected
 ):
     one = tracked_target.TrackedTarget(targets.TargetIdentity('t', 'a', 3))
-    reporting.vote(one, 'x~0', good, good, now_s=10.0)
+    reporting.count_vote(one, 'x~0', good, good, now_s=10.0)
     observers = [f'o{place}~0' for place in range(5)]
     peers = dict.fromkeys(observers)
     now_s = 10 + elapsed_s
--- a/libraries/health/tests/cover/test_health_statistics.py
+++ b/libraries/health/tests/cover/test_health_statistics.py
@@ -45,7 +45,7 @@
     ratios = change_detection.LatencyRatios(_spread())
     for table in ratios.tables:
         assert table == sorted(table)
-        assert table[-baseline.LOWEST] < 0
+        assert table[-baseline.MIN_RESIDUAL] < 0
         assert table[-1] > 0
     late = [ratios.overdue(place) for place in range(0, 32)]
     assert late == sorted(late)
@@ -66,7 +66,7 @@
             )
             for _ in range(2000)
         ]
-        total = sum(table[place - baseline.LOWEST] for place in places)
+        total = sum(table[place - baseline.MIN_RESIDUAL] for place in places)
         return total / len(places)
 
     assert mean(1) < -1
@@ -177,9 +177,9 @@
         ratios = {'d0~0': 0.3, 'd1~0': 0.1}
         cusum.add(ratios, 10 + step / 10, _LIMITS)
     assert cusum.level == pytest.approx(8)
-    cusum.strike('d0~0')
+    cusum.remove_observer('d0~0')
     assert cusum.level == pytest.approx(2)
     assert set(cusum.by_observer) == {'d1~0'}
-    cusum.strike('d9~0')
-    cusum.strike('d1~0')
+    cusum.remove_observer('d9~0')
+    cusum.remove_observer('d1~0')
     assert cusum.level == pytest.approx(0, abs=1e-9)
