--- a/libraries/health/tests/conftest.py
+++ b/libraries/health/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small group of daemons over scripted targets, for the health tests."""
+"""A small group of daemons with scripted targets, for the health tests."""
 
 import random
 
@@ -7,20 +7,21 @@
 from sardinepier.core import clock
 from sardinepier.health import evidence, options, service_health, targets
 
-_END = evidence.AttemptOutcome
+_OUTCOMES = evidence.AttemptOutcome
 _STEP_S = 0.02
 
 
 def good_answer(random_source):
-    """Answer as a healthy target does: 40 ms, give or take."""
-    return _END.ANSWERED, random_source.lognormvariate(3.7, 0.4)
+    """Answer like a healthy target, in about 40 ms."""
+    return _OUTCOMES.ANSWERED, random_source.lognormvariate(3.7, 0.4)
 
 
-class Bench:
-    """Daemons that share targets ``t0`` to ``tN``; some scripted to be bad.
+class DaemonGroup:
+    """Daemons that share the targets ``t0`` to ``tN``.
 
-    A script takes the random source and returns how an attempt ends and its
-    latency, or None for one that never ends.
+    A script simulates a faulty target, for all daemons or for one. It takes
+    the random source and returns the outcome and latency of an attempt, or
+    None for an attempt that never ends.
     """
 
     def __init__(self, daemons=3, target_count=6, **settings):
@@ -29,22 +30,22 @@
         self.events = []
         self.scripts = {}
         self.options = options.HealthOptions(**settings)
-        self.names = [f't{place}' for place in range(target_count)]
+        self.names = [f't{index}' for index in range(target_count)]
         self.incarnations = dict.fromkeys(self.names, 'a')
         self.daemons = [
             service_health.ServiceHealth(
                 'search',
-                f'd{place}~0',
+                f'd{index}~0',
                 self.options,
                 self.clock,
-                random.Random(place),
+                random.Random(index),
                 self.events.append,
             )
-            for place in range(daemons)
+            for index in range(daemons)
         ]
         self.attempt = 0
-        self.cut = set()
-        self.idle = set()
+        self.cut_links = set()
+        self.idle_daemons = set()
         self.list_targets()
 
     def list_targets(self):
@@ -56,27 +57,27 @@
             daemon.set_targets(listed)
 
     def run(self, seconds):
-        """Send each daemon's requests round by round, tick and report."""
+        """Send requests from each daemon in rounds, tick and send reports."""
         for step in range(round(seconds / _STEP_S)):
             self.clock.advance(_STEP_S)
-            for place, daemon in enumerate(self.daemons):
-                if place not in self.idle:
-                    self._request(place, daemon)
-                if step % 5 == place % 5:
+            for index, daemon in enumerate(self.daemons):
+                if index not in self.idle_daemons:
+                    self._request(index, daemon)
+                if step % 5 == index % 5:
                     daemon.tick()
                 if daemon.report_due():
-                    self.tell(place)
+                    self.send_report(index)
 
-    def tell(self, sender):
+    def send_report(self, sender):
         report = self.daemons[sender].report()
-        for place, daemon in enumerate(self.daemons):
-            if place != sender and (sender, place) not in self.cut:
+        for index, daemon in enumerate(self.daemons):
+            if index != sender and (sender, index) not in self.cut_links:
                 daemon.receive_report(f'd{sender}~0', report)
 
     def state(self, daemon, name):
         return self.daemons[daemon].standing(name).state
 
-    def out(self, daemon):
+    def ejected(self, daemon):
         """Return the targets that a daemon has ejected."""
         return {
             name
@@ -84,27 +85,27 @@
             if self.state(daemon, name) is targets.TargetState.EJECTED
         }
 
-    def ever_out(self):
+    def ever_ejected(self):
         return {
             event.target_id
             for event in self.events
             if event.after is targets.TargetState.EJECTED
         }
 
-    def _request(self, place, daemon):
+    def _request(self, index, daemon):
         selectable = daemon.selectable()
         if not selectable:
             return
         name = self.random.choice(selectable)
-        script = self.scripts.get((place, name))
+        script = self.scripts.get((index, name))
         script = script or self.scripts.get(name, good_answer)
         self.attempt += 1
         daemon.started(name, 'list', self.attempt)
-        end = script(self.random)
-        if end is not None:
-            daemon.finished(name, 'list', self.attempt, *end)
+        outcome = script(self.random)
+        if outcome is not None:
+            daemon.finished(name, 'list', self.attempt, *outcome)
 
 
 @pytest.fixture
-def bench():
-    return Bench
+def make_group():
+    return DaemonGroup
--- a/libraries/health/tests/cover/test_health_floor.py
+++ b/libraries/health/tests/cover/test_health_floor.py
@@ -1,8 +1,8 @@
-"""Ejections never take the service below its floor, whatever happens.
+"""Ejections never take the service below its capacity floor.
 
-A daemon's ejections are in force only while the targets it has not ejected
-hold the floor with fresh good evidence. The model here keeps its own book of
-that evidence, and may only overstate it.
+A daemon's ejections are in force only while the targets that it has not
+ejected reach the floor with fresh good evidence. The model in this test
+records that evidence independently, and may only overestimate it.
 """
 
 import itertools
@@ -20,9 +20,9 @@
     targets,
 )
 
-_NAMES = [f't{place}' for place in range(6)]
+_NAMES = [f't{index}' for index in range(6)]
 _NAME = st.sampled_from(_NAMES)
-_END = st.sampled_from(list(evidence.AttemptOutcome))
+_OUTCOME = st.sampled_from(list(evidence.AttemptOutcome))
 _STATES = targets.TargetState
 _ROW = st.builds(
     evidence.TargetEvidence,
@@ -56,7 +56,7 @@
 
 
 class FloorMachine(stateful.RuleBasedStateMachine):
-    """Arbitrary evidence, membership, peers, settings and time."""
+    """Arbitrary evidence, target lists, peer reports, options and time steps."""
 
     @stateful.initialize(count=st.integers(1, 3))
     def start(self, count):
@@ -70,18 +70,18 @@
         self.daemons = [
             service_health.ServiceHealth(
                 'search',
-                f'd{place}~0',
+                f'd{index}~0',
                 self.settings,
                 self.clock,
-                random.Random(place),
+                random.Random(index),
                 lambda _event: None,
             )
-            for place in range(count)
+            for index in range(count)
         ]
         self.slots = {}
         self.incarnations = {}
-        self.good_s = {}
-        self.left = set()
+        self.last_good_s = {}
+        self.leaving = set()
         self.attempt = 0
         self.list_targets([(name, 'a', 2) for name in _NAMES])
 
@@ -89,26 +89,28 @@
         listed=st.lists(
             st.tuples(_NAME, st.sampled_from('ab'), st.integers(1, 9)),
             min_size=1,
-            unique_by=lambda one: one[0],
+            unique_by=lambda listed: listed[0],
         ),
     )
     def list_targets(self, listed):
         self.slots = {name: slots for name, _, slots in listed}
-        self.incarnations = {name: start for name, start, _ in listed}
+        self.incarnations = {
+            name: incarnation for name, incarnation, _ in listed
+        }
         for daemon in self.daemons:
             daemon.set_targets(
                 targets.TargetIdentity(*identity) for identity in listed
             )
 
-    @stateful.rule(name=_NAME, end=_END, count=st.integers(1, 30))
-    def traffic(self, name, end, count):
-        for place, daemon in enumerate(self.daemons):
+    @stateful.rule(name=_NAME, outcome=_OUTCOME, count=st.integers(1, 30))
+    def traffic(self, name, outcome, count):
+        for index, daemon in enumerate(self.daemons):
             for _ in range(count):
                 self.attempt += 1
                 daemon.started(name, 'list', self.attempt)
-                daemon.finished(name, 'list', self.attempt, end, 40.0)
-            if end is evidence.AttemptOutcome.ANSWERED:
-                self._good(place, name)
+                daemon.finished(name, 'list', self.attempt, outcome, 40.0)
+            if outcome is evidence.AttemptOutcome.ANSWERED:
+                self._record_good(index, name)
 
     @stateful.rule(bad=st.sets(_NAME, max_size=5), seconds=st.integers(1, 20))
     def some_fail_for_a_while(self, bad, seconds):
@@ -119,32 +121,32 @@
                 self.traffic(name, failed if name in bad else answered, 2)
             self.clock.advance(0.5)
             self.tick_all()
-            self.talk(lost=False)
+            self.exchange_reports(lost=False)
 
     @stateful.rule(name=_NAME, good=st.booleans())
     def probe(self, name, good):
-        for place, daemon in enumerate(self.daemons):
+        for index, daemon in enumerate(self.daemons):
             daemon.probed(name, good, 2.0)
             if good:
-                self._good(place, name)
+                self._record_good(index, name)
 
     @stateful.rule(
         report=_REPORT,
         observer=st.sampled_from(['x~0', 'y~0', 'd0~0']),
     )
-    def hear_anything(self, report, observer):
-        self.left |= {
-            (one.target_id, one.incarnation) for one in report.leaving
+    def receive_arbitrary_report(self, report, observer):
+        self.leaving |= {
+            (notice.target_id, notice.incarnation) for notice in report.leaving
         }
         for daemon in self.daemons:
             daemon.receive_report(observer, report)
 
     @stateful.rule(lost=st.booleans())
-    def talk(self, lost):
+    def exchange_reports(self, lost):
         for sender, daemon in enumerate(self.daemons):
             report = daemon.report()
-            for place, peer in enumerate(self.daemons):
-                if place != sender and not (lost and place == 0):
+            for index, peer in enumerate(self.daemons):
+                if index != sender and not (lost and index == 0):
                     peer.receive_report(f'd{sender}~0', report)
 
     @stateful.rule(percent=st.floats(0, 100))
@@ -161,7 +163,7 @@
 
     @stateful.rule(name=_NAME, incarnation=st.sampled_from('ab'))
     def leave(self, name, incarnation):
-        self.left.add((name, incarnation))
+        self.leaving.add((name, incarnation))
         for daemon in self.daemons:
             daemon.mark_leaving(name, incarnation)
 
@@ -176,34 +178,36 @@
             daemon.tick()
 
     @stateful.invariant()
-    def ejections_leave_the_floor_standing(self):
+    def ejections_keep_the_floor(self):
         floor = sum(self.slots.values()) * self.settings.floor_percent / 100
-        for place, daemon in enumerate(self.daemons):
-            states = {one.target_id: one.state for one in daemon.status()}
+        for index, daemon in enumerate(self.daemons):
+            states = {
+                status.target_id: status.state for status in daemon.status()
+            }
             if _STATES.EJECTED not in states.values():
                 continue
             serving = [
                 name
                 for name, state in states.items()
                 if state in {_STATES.IN_SERVICE, _STATES.SUSPECT}
-                and self._is_fresh(place, name)
+                and self._is_fresh(index, name)
             ]
             assert sum(self.slots[name] for name in serving) >= floor
 
     @stateful.invariant()
-    def leaving_is_for_good(self):
+    def leaving_is_permanent(self):
         for daemon in self.daemons:
             for name, incarnation in self.incarnations.items():
-                if (name, incarnation) in self.left:
+                if (name, incarnation) in self.leaving:
                     assert daemon.standing(name).state is _STATES.LEAVING
                     assert name not in daemon.selectable()
 
-    def _good(self, place, name):
-        key = (place, name, self.incarnations.get(name))
-        self.good_s[key] = self.clock.monotonic_s()
+    def _record_good(self, index, name):
+        key = (index, name, self.incarnations.get(name))
+        self.last_good_s[key] = self.clock.monotonic_s()
 
-    def _is_fresh(self, place, name):
-        good_s = self.good_s.get((place, name, self.incarnations[name]))
+    def _is_fresh(self, index, name):
+        good_s = self.last_good_s.get((index, name, self.incarnations[name]))
         if good_s is None:
             return False
         elapsed_s = self.clock.monotonic_s() - good_s
@@ -222,7 +226,7 @@
         st.booleans(),
         st.booleans(),
     ),
-    unique_by=lambda one: one.target_id,
+    unique_by=lambda wanted: wanted.target_id,
 )
 _CAPACITY = st.builds(
     ejection.Capacity,
@@ -236,7 +240,9 @@
     wanted, capacity, random_source
 ):
     allowed = ejection.allowed(wanted, capacity)
-    assert allowed <= {one.target_id for one in wanted if one.own}
+    assert allowed <= {
+        candidate.target_id for candidate in wanted if candidate.own
+    }
     remaining = sum(
         slots for name, slots in capacity.slots.items() if name not in allowed
     )
@@ -255,9 +261,9 @@
     for daemon in range(3):
         view = [
             ejection.WantedEjection(
-                one.target_id, one.score, owner == daemon, True
+                candidate.target_id, candidate.score, owner == daemon, True
             )
-            for one, owner in zip(wanted, owners, strict=True)
+            for candidate, owner in zip(wanted, owners, strict=True)
         ]
         union |= ejection.allowed(view, capacity)
     remaining = sum(
@@ -270,10 +276,10 @@
     return evidence.AttemptOutcome.FAILED, 5.0
 
 
-def test_two_sides_of_a_partition_converge_above_the_floor(bench):
-    group = bench(daemons=4, floor_percent=60)
+def test_two_sides_of_a_partition_converge_above_the_floor(make_group):
+    group = make_group(daemons=4, floor_percent=60)
     for left, right in itertools.product((0, 1), (2, 3)):
-        group.cut |= {(left, right), (right, left)}
+        group.cut_links |= {(left, right), (right, left)}
     group.run(12)
     for left, right in itertools.product((0, 1), (2, 3)):
         for name in ('t0', 't1'):
@@ -281,17 +287,19 @@
         for name in ('t2', 't3'):
             group.scripts[right, name] = _fail
     group.run(2)
-    assert all(len(group.out(daemon)) == 2 for daemon in range(4))
-    group.cut.clear()
+    assert all(len(group.ejected(daemon)) == 2 for daemon in range(4))
+    group.cut_links.clear()
     for sender in range(4):
-        group.tell(sender)
-    for judging in group.daemons:
-        judging.tick()
-    union = set().union(*(group.out(daemon) for daemon in range(4)))
+        group.send_report(sender)
+    for service in group.daemons:
+        service.tick()
+    union = set().union(*(group.ejected(daemon) for daemon in range(4)))
     assert len(union) == 2
-    held = [
-        one
-        for one in group.daemons[0].status() + group.daemons[2].status()
-        if one.reason is targets.Reason.HELD_BY_FLOOR
+    kept_by_floor = [
+        status
+        for status in group.daemons[0].status() + group.daemons[2].status()
+        if status.reason is targets.Reason.HELD_BY_FLOOR
     ]
-    assert held and all(0 < one.weight < 0.5 for one in held)
+    assert kept_by_floor and all(
+        0 < status.weight < 0.5 for status in kept_by_floor
+    )
--- a/libraries/health/tests/cover/test_health_incarnations.py
+++ b/libraries/health/tests/cover/test_health_incarnations.py
@@ -1,4 +1,4 @@
-"""What a new name for the start of a target changes, and what it does not."""
+"""How a target's state changes when a list names another incarnation."""
 
 import random
 
@@ -32,7 +32,9 @@
         ('', True, 'a', _States.COLD),
     ),
 )
-def test_state_after_a_list_names_a_start(before, is_leaving, after, state):
+def test_state_after_a_list_with_a_new_incarnation(
+    before, is_leaving, after, state
+):
     health = _health()
     health.set_targets((targets.TargetIdentity('t1', before, 3),))
     if is_leaving:
--- a/libraries/health/tests/cover/test_health_reports.py
+++ b/libraries/health/tests/cover/test_health_reports.py
@@ -1,4 +1,4 @@
-"""Reports merge by maximum: order, repeats and loss leave the same facts."""
+"""Reports merge by sequence: order, repeats and loss change no result."""
 
 import msgspec
 import pytest
@@ -24,11 +24,11 @@
     )
 
 
-def _report(sequence, doubts, good, others):
-    overdue, in_flight, ejected = others
+def _report(sequence, is_degraded, good, fields):
+    overdue, in_flight, ejected = fields
     return evidence.EvidenceReport(
         sequence,
-        doubts,
+        is_degraded,
         tuple(
             _row(name, count, overdue, in_flight)
             for name, count in zip(_NAMES, good, strict=True)
@@ -40,19 +40,19 @@
 
 @st.composite
 def _histories(draw):
-    """One observer's reports, in the order in which it made them."""
+    """Draw the reports of one observer, in the order of their creation."""
     good = [0 for _ in _NAMES]
     reports = []
     for sequence in range(1, draw(st.integers(2, 6))):
         good = [count + draw(st.integers(0, 9)) for count in good]
-        others = draw(
+        fields = draw(
             st.tuples(
                 st.sampled_from([0.0, 4.0]),
                 st.integers(0, 3),
                 st.lists(st.sampled_from(_NAMES), unique=True),
             ),
         )
-        reports.append(_report(sequence, draw(st.booleans()), good, others))
+        reports.append(_report(sequence, draw(st.booleans()), good, fields))
     return reports
 
 
@@ -61,23 +61,27 @@
 
 
 @given(_histories(), _histories(), st.data())
-def test_any_order_with_repeats_leaves_the_facts_of_the_newest(
-    first, second, data
-):
-    sent = [('x~0', one) for one in first] + [('y~0', one) for one in second]
-    newest = [('x~0', one) for one in first[-1:]]
-    newest += [('y~0', one) for one in second[-1:]]
-    arriving = data.draw(
+def test_merge_is_independent_of_order_and_repeats(first, second, data):
+    sent = [('x~0', report) for report in first] + [
+        ('y~0', report) for report in second
+    ]
+    newest = [('x~0', report) for report in first[-1:]]
+    newest += [('y~0', report) for report in second[-1:]]
+    arrivals = data.draw(
         st.permutations(sent + sent[: data.draw(st.integers(0, 4))])
     )
-    time = clock.ManualClock()
-    mixed = peer_evidence.PeerEvidence('d~0', options.HealthOptions(), time)
-    straight = peer_evidence.PeerEvidence('d~0', options.HealthOptions(), time)
-    for observer, report in arriving:
-        mixed.merge(observer, report)
+    manual_clock = clock.ManualClock()
+    unordered = peer_evidence.PeerEvidence(
+        'd~0', options.HealthOptions(), manual_clock
+    )
+    newest_only = peer_evidence.PeerEvidence(
+        'd~0', options.HealthOptions(), manual_clock
+    )
+    for observer, report in arrivals:
+        unordered.merge(observer, report)
     for observer, report in newest:
-        straight.merge(observer, report)
-    assert _facts(mixed) == _facts(straight)
+        newest_only.merge(observer, report)
+    assert _facts(unordered) == _facts(newest_only)
 
 
 @given(_histories())
@@ -87,8 +91,8 @@
     )
     counted = 0
     for report in history + history:
-        added = peers.merge('x~0', report) or {}
-        counted += sum(one.good for one in added.values())
+        increments = peers.merge('x~0', report) or {}
+        counted += sum(increment.good for increment in increments.values())
     if len(history) > 1:
         first, last = history[0].evidence, history[-1].evidence
         assert counted == sum(
@@ -99,24 +103,24 @@
         assert peers.merge('x~0', report) is None
 
 
-def test_memory_of_observers_is_bounded_and_fades():
-    time = clock.ManualClock()
+def test_observers_are_bounded_and_silent_ones_expire():
+    manual_clock = clock.ManualClock()
     settings = options.HealthOptions(observers_limit=3, peer_expiry_s=5)
-    peers = peer_evidence.PeerEvidence('d~0', settings, time)
+    peers = peer_evidence.PeerEvidence('d~0', settings, manual_clock)
     report = evidence.EvidenceReport(1, False, (), (), ())
-    for place in range(9):
-        peers.merge(f'x{place}~0', report)
+    for index in range(9):
+        peers.merge(f'x{index}~0', report)
     assert len(peers.live()) == 3
     assert peers.merge('d~0', report) is None
-    time.advance(5.1)
+    manual_clock.advance(5.1)
     assert not peers.live()
-    time.advance(60)
+    manual_clock.advance(60)
     peers.live()
     assert peers.merge('x8~0', report) is not None
 
 
-def test_a_report_survives_its_encoding(bench):
-    group = bench(daemons=1)
+def test_a_report_survives_its_encoding(make_group):
+    group = make_group(daemons=1)
     group.daemons[0].mark_leaving('t5', 'a')
     group.run(2)
     report = group.daemons[0].report()
@@ -126,12 +130,12 @@
     assert len(encoded) < 600
 
 
-def test_a_leaving_mark_passes_on_and_outlives_the_list(bench):
-    group = bench(daemons=2)
+def test_leaving_mark_reaches_peers_and_outlives_the_list(make_group):
+    group = make_group(daemons=2)
     first, second = group.daemons
     assert first.mark_leaving('t1', 'a')
     assert not first.mark_leaving('t1', 'a')
-    group.tell(0)
+    group.send_report(0)
     for daemon in (first, second):
         assert daemon.standing('t1').state is targets.TargetState.LEAVING
     group.names.remove('t1')
@@ -144,21 +148,21 @@
     assert second.standing('t1').state is targets.TargetState.COLD
 
 
-def test_marks_of_unlisted_targets_are_bounded(bench):
-    daemon = bench(daemons=1).daemons[0]
+def test_marks_of_unlisted_targets_are_bounded(make_group):
+    daemon = make_group(daemons=1).daemons[0]
     daemon.mark_leaving('t0', 'a')
-    for place in range(5000):
-        daemon.mark_leaving(f'gone{place}', 'a')
+    for index in range(5000):
+        daemon.mark_leaving(f'gone{index}', 'a')
     assert len(daemon.report().leaving) <= 300
     assert daemon.standing('t0').state is targets.TargetState.LEAVING
 
 
-def test_peers_in_flight_are_told_and_dropped_with_the_observer(bench):
-    group = bench(daemons=2)
+def test_peers_in_flight_are_reported_and_dropped_with_the_observer(make_group):
+    group = make_group(daemons=2)
     first, second = group.daemons
     first.started('t0', 'list', 1)
     first.started('t0', 'list', 2)
-    group.tell(0)
+    group.send_report(0)
     second.tick()
     assert second.standing('t0').peers_in_flight == 2
     second.forget('d0~0')
@@ -166,35 +170,41 @@
     assert second.standing('t0').peers_in_flight == 0
 
 
-def test_an_observer_that_doubts_itself_accuses_nobody():
+def test_evidence_of_a_degraded_observer_is_ignored():
     peers = peer_evidence.PeerEvidence(
         'd~0', options.HealthOptions(), clock.ManualClock()
     )
-    for sequence, doubts in ((1, False), (2, True), (3, False)):
+    for sequence, is_degraded in ((1, False), (2, True), (3, False)):
         row = evidence.TargetEvidence(
             't0', 'a', (9.0 * sequence, -sequence), 0, sequence, 8.0, 9.0, 1
         )
-        report = evidence.EvidenceReport(sequence, doubts, (row,), (), ())
-        added = peers.merge('x~0', report)
-        if doubts:
-            assert added['t0'].ratios == (0, -1)
+        report = evidence.EvidenceReport(sequence, is_degraded, (row,), (), ())
+        increments = peers.merge('x~0', report)
+        if is_degraded:
+            assert increments['t0'].ratios == (0, -1)
             assert not peers.live()['x~0'].overdue
-    assert added['t0'].ratios == (9, -1)
+    assert increments['t0'].ratios == (9, -1)
     assert peers.live()['x~0'].overdue == {'t0'}
 
 
-def test_doubt_takes_a_majority_of_the_targets_in_use():
-    def seen(level, attempts=9.0):
+def test_degraded_requires_a_majority_of_active_targets():
+    def make_target(level, attempts=9.0):
         identity = targets.TargetIdentity('t', 'a', 3)
-        one = tracked_target.TrackedTarget(identity)
-        one.recent.attempts = attempts
-        one.suspicion.own_level = level
-        return one
+        target = tracked_target.TrackedTarget(identity)
+        target.recent.attempts = attempts
+        target.suspicion.own_level = level
+        return target
 
-    assert group_scores.is_degraded([seen(1), seen(1), seen(0)])
-    assert not group_scores.is_degraded([seen(1), seen(0), seen(0)])
-    assert not group_scores.is_degraded([seen(1), seen(1)])
-    assert not group_scores.is_degraded([seen(1), seen(1, 0), seen(0)])
+    assert group_scores.is_degraded(
+        [make_target(1), make_target(1), make_target(0)]
+    )
+    assert not group_scores.is_degraded(
+        [make_target(1), make_target(0), make_target(0)]
+    )
+    assert not group_scores.is_degraded([make_target(1), make_target(1)])
+    assert not group_scores.is_degraded(
+        [make_target(1), make_target(1, 0), make_target(0)]
+    )
 
 
 @pytest.mark.parametrize(
@@ -205,14 +215,14 @@
         (0, 0.1, tracked_target.GroupVote.SICK),
     ],
 )
-def test_answers_heard_just_before_suspicion_veto_a_hang(
+def test_answers_just_before_suspicion_prevent_a_hang_vote(
     good, elapsed_s, expected
 ):
-    one = tracked_target.TrackedTarget(targets.TargetIdentity('t', 'a', 3))
-    reporting.count_vote(one, 'x~0', good, good, now_s=10.0)
-    observers = [f'o{place}~0' for place in range(5)]
+    target = tracked_target.TrackedTarget(targets.TargetIdentity('t', 'a', 3))
+    reporting.count_vote(target, 'x~0', good, good, now_s=10.0)
+    observers = [f'o{index}~0' for index in range(5)]
     peers = dict.fromkeys(observers)
     now_s = 10 + elapsed_s
-    one.suspicion.voting_since_s = now_s
-    verdict = voting.vote(one, peers, set(observers[:4]), now_s)
+    target.suspicion.voting_since_s = now_s
+    verdict = voting.vote(target, peers, set(observers[:4]), now_s)
     assert verdict is expected
--- a/libraries/health/tests/cover/test_health_statistics.py
+++ b/libraries/health/tests/cover/test_health_statistics.py
@@ -1,4 +1,4 @@
-"""The statistics under the decisions, each on its own."""
+"""Unit tests of the statistics that the decisions are based on."""
 
 import math
 import random
@@ -24,7 +24,7 @@
 
 
 @given(st.floats(0.002, 0.99))
-def test_a_failure_never_speaks_for_a_target_nor_a_success_against(share):
+def test_failures_count_against_a_target_and_successes_for_it(share):
     for failure, success in change_detection.failure_ratios(share):
         assert failure >= 0
         assert success <= 0
@@ -41,23 +41,23 @@
     return spread
 
 
-def test_slower_answers_are_never_better_evidence_and_usual_ones_clear():
+def test_slow_answers_count_against_a_target_and_typical_ones_for_it():
     ratios = change_detection.LatencyRatios(_spread())
     for table in ratios.tables:
         assert table == sorted(table)
         assert table[-baseline.MIN_RESIDUAL] < 0
         assert table[-1] > 0
-    late = [ratios.overdue(place) for place in range(0, 32)]
+    late = [ratios.overdue(residual) for residual in range(0, 32)]
     assert late == sorted(late)
 
 
-def test_healthy_answers_drift_down_and_slow_ones_climb_within_a_few():
+def test_mean_ratio_is_negative_if_healthy_and_positive_if_slow():
     ratios = change_detection.LatencyRatios(_spread())
     random_source = random.Random(2)
     table = ratios.tables[change_detection.Hypothesis.MUCH_SLOWER]
 
     def mean(factor):
-        places = [
+        residuals = [
             baseline.residual(
                 baseline.log_latency(
                     factor * random_source.lognormvariate(0, 0.5)
@@ -66,14 +66,16 @@
             )
             for _ in range(2000)
         ]
-        total = sum(table[place - baseline.MIN_RESIDUAL] for place in places)
-        return total / len(places)
+        total = sum(
+            table[residual - baseline.MIN_RESIDUAL] for residual in residuals
+        )
+        return total / len(residuals)
 
     assert mean(1) < -1
     assert mean(5) > 2
 
 
-def test_route_median_settles_and_memory_of_routes_is_bounded():
+def test_route_median_converges_and_routes_are_bounded():
     medians = baseline.RouteMedians(limit=3)
     random_source = random.Random(3)
     for _ in range(500):
@@ -82,12 +84,12 @@
     level = medians.get('list')
     assert level == pytest.approx(baseline.log_latency(40), abs=1)
     assert medians.get('other') is None
-    for place in range(3):
-        medians.observe(f'r{place}', 1.0)
+    for index in range(3):
+        medians.observe(f'r{index}', 1.0)
     assert medians.get('list') is None
 
 
-def test_evidence_within_one_pause_stays_a_third_of_the_threshold():
+def test_evidence_of_one_pause_is_limited_to_a_third():
     cusum = change_detection.Cusum()
     cusum.add({'d0~0': 500.0}, 10.0, _LIMITS)
     assert cusum.level == pytest.approx(20 / 3)
@@ -105,13 +107,13 @@
 @given(st.lists(st.floats(0, 9), min_size=2, max_size=9), st.data())
 def test_others_quantile_leaves_out_just_one_equal_value(values, data):
     own = data.draw(st.sampled_from(values))
-    others = list(values)
-    others.remove(own)
-    expected = sorted(others)[math.ceil(0.7 * (len(others) - 1))]
+    other_values = list(values)
+    other_values.remove(own)
+    expected = sorted(other_values)[math.ceil(0.7 * (len(other_values) - 1))]
     assert others_baseline.OthersQuantile(values, 0.7).without(own) == expected
 
 
-def test_one_failing_target_does_not_excuse_itself_nor_the_next():
+def test_one_failing_target_does_not_hide_itself_or_the_next():
     counts = [(30, 30), (30, 30), *((0, 30) for _ in range(14))]
     shares = others_baseline.OthersFailureShare(counts, 0.002)
     assert shares.without(30, 30) < 0.01
@@ -122,21 +124,23 @@
     assert common.without(9, 30) > 0.15
 
 
-def test_common_slowness_is_seen_at_once_and_one_slow_target_is_not():
+def test_common_slowness_needs_more_than_one_slow_target():
     def recents(slow):
-        made = [tracked_target.Recent() for _ in range(6)]
-        for place, one in enumerate(made):
-            one.add_residuals([8, 9, 8] if place < slow else [0, -1, 1])
-        return made
+        all_recent = [tracked_target.Recent() for _ in range(6)]
+        for index, recent in enumerate(all_recent):
+            recent.add_residuals([8, 9, 8] if index < slow else [0, -1, 1])
+        return all_recent
 
     for slow, least, most in ((1, 0, 0), (6, 8, 12)):
-        made = recents(slow)
-        common = others_baseline.CommonSlowness(made)
-        assert all(least <= common.without(one) <= most for one in made)
+        all_recent = recents(slow)
+        common = others_baseline.CommonSlowness(all_recent)
+        assert all(
+            least <= common.without(recent) <= most for recent in all_recent
+        )
 
 
 @pytest.mark.parametrize(
-    ('end', 'slow', 'sign'),
+    ('outcome', 'slow', 'signal'),
     [
         ('ANSWERED', False, 'GOOD'),
         ('ANSWERED', True, 'SLOW'),
@@ -151,9 +155,11 @@
         ('CRASH_SUSPECT', True, None),
     ],
 )
-def test_sign_of_every_end(end, slow, sign):
-    expected = None if sign is None else evidence.HealthSignal[sign]
-    assert evidence.signal_of(evidence.AttemptOutcome[end], slow) is expected
+def test_signal_of_every_outcome(outcome, slow, signal):
+    expected = None if signal is None else evidence.HealthSignal[signal]
+    assert (
+        evidence.signal_of(evidence.AttemptOutcome[outcome], slow) is expected
+    )
 
 
 @pytest.mark.parametrize(
@@ -171,7 +177,7 @@
         options.HealthOptions(**wrong)
 
 
-def test_striking_an_observer_takes_out_its_part_and_no_more():
+def test_removing_an_observer_removes_only_its_evidence():
     cusum = change_detection.Cusum()
     for step in range(20):
         ratios = {'d0~0': 0.3, 'd1~0': 0.1}
