--- a/libraries/health/src/sardinepier/health/baseline.py
+++ b/libraries/health/src/sardinepier/health/baseline.py
@@ -15,7 +15,7 @@
 STEPS_PER_OCTAVE: Final = 4
 MIN_RESIDUAL: Final = -12
 MAX_RESIDUAL: Final = 32
-"""Residuals are clipped to [LOWEST, HIGHEST] quarter octaves."""
+"""Residuals are clipped to [MIN_RESIDUAL, MAX_RESIDUAL] quarter octaves."""
 
 SLOW_RESIDUAL: Final = 6
 """Answers with at least this residual are slow: 2.8 times the median."""
--- a/libraries/health/src/sardinepier/health/change_detection.py
+++ b/libraries/health/src/sardinepier/health/change_detection.py
@@ -44,7 +44,7 @@
 _MAX_OVERDUE_RATIO: Final = 12.0
 _MIN_UNHEALTHY_SHARES: Final = (0.1, 0.6)
 _MAX_LEVEL_THRESHOLDS: Final = 2
-"""Limit of a level, in thresholds, so that a recovered target is cleared."""
+"""Limit of a level, in thresholds, so that old evidence can decay."""
 
 _MIN_PAUSES_TO_EJECT: Final = 3
 _EPSILON: Final = 1e-9
@@ -84,7 +84,7 @@
         ]
 
     def overdue(self, residual_step: int) -> float:
-        """Return the evidence of a request in flight whose age has this residual."""
+        """Return the evidence of a request in flight with this residual age."""
         return self._overdue[residual_step - baseline.MIN_RESIDUAL]
 
 
@@ -119,11 +119,12 @@
     """
     if typical_share >= _MAX_TYPICAL_SHARE:
         return ((0.0, 0.0), (0.0, 0.0))
-    some, max_level = _MIN_UNHEALTHY_SHARES
+    min_some, min_most = _MIN_UNHEALTHY_SHARES
     unhealthy_some = max(
-        some, min(_MAX_UNHEALTHY_SHARE, _UNHEALTHY_SHARE_FACTOR * typical_share)
+        min_some,
+        min(_MAX_UNHEALTHY_SHARE, _UNHEALTHY_SHARE_FACTOR * typical_share),
     )
-    unhealthy_most = max(max_level, (1 + typical_share) / 2)
+    unhealthy_most = max(min_most, (1 + typical_share) / 2)
     return (
         _bernoulli_ratios(unhealthy_some, typical_share),
         _bernoulli_ratios(unhealthy_most, typical_share),
@@ -211,7 +212,7 @@
             self.by_observer[observer] = part + ratio * factor
 
     def capped(self, limit: float) -> float:
-        """Return the level with each observer's share capped at ``max_level``."""
+        """Return the level with each observer's share capped at ``limit``."""
         if self.level <= 0:
             return 0.0
         parts = self.by_observer.values()
--- a/libraries/health/src/sardinepier/health/internal/attempt_recording.py
+++ b/libraries/health/src/sardinepier/health/internal/attempt_recording.py
@@ -82,11 +82,11 @@
         probing = target.probing
         suspected = target.suspicion.score() >= scoring.UNTRUSTED_SCORE
         if good:
-            probing.bad_in_row = 0
+            probing.failed_in_row = 0
             if not suspected:
                 target.last_good_s = now_s
         else:
-            probing.bad_in_row += 1
+            probing.failed_in_row += 1
         if not suspected or _has_recent_traffic(target, now_s):
             return
         if target.state in _UNJUDGED_STATES:
--- a/libraries/health/src/sardinepier/health/internal/others_baseline.py
+++ b/libraries/health/src/sardinepier/health/internal/others_baseline.py
@@ -103,7 +103,7 @@
         self._attempts = sum(attempts for _, attempts in kept_counts)
 
     def without(self, failures: float, attempts: float) -> float:
-        """Return the share of failures of the others, given one target's counts."""
+        """Return the failure share of the others, given one target's counts."""
         other_failures = self._failures
         other_attempts = self._attempts
         if _share((failures, attempts)) <= self._max_kept_share:
--- a/libraries/health/src/sardinepier/health/internal/tracked_target.py
+++ b/libraries/health/src/sardinepier/health/internal/tracked_target.py
@@ -175,7 +175,7 @@
 
     due_s: float = 0.0
     suspect_due_s: float = 0.0
-    bad_in_row: int = 0
+    failed_in_row: int = 0
 
 
 @dataclasses.dataclass(slots=True)
--- a/libraries/health/src/sardinepier/health/internal/verdict.py
+++ b/libraries/health/src/sardinepier/health/internal/verdict.py
@@ -236,7 +236,7 @@
 def _has_failed_probes(
     target: tracked_target.TrackedTarget, now_s: float
 ) -> bool:
-    if target.probing.bad_in_row < _FAILED_PROBES_IN_ROW:
+    if target.probing.failed_in_row < _FAILED_PROBES_IN_ROW:
         return False
     return (
         target.last_traffic_s is None
--- a/libraries/health/src/sardinepier/health/internal/voting.py
+++ b/libraries/health/src/sardinepier/health/internal/voting.py
@@ -13,7 +13,9 @@
 from sardinepier.health import peer_evidence
 from sardinepier.health.internal import tracked_target
 
-_CUT_LINK_SHARE: Final = 3
+_OBSERVERS_PER_CUT_LINK: Final = 3
+"""A cut link explains the bad counts of one in three observers at most."""
+
 _CUT_LINK_RATIO: Final = 8.0
 _HANG_VOTE_WAIT_S: Final = 0.6
 _RECENT_GOOD_MANY_S: Final = 0.25
@@ -39,13 +41,13 @@
         ),
         key=lambda count: (-count[0], count[1]),
     )
-    max_worst = math.ceil((len(peers) + 1) / _CUT_LINK_SHARE)
+    max_worst = math.ceil((len(peers) + 1) / _OBSERVERS_PER_CUT_LINK)
     worst = counts[:max_worst]
     remaining = counts[max_worst:]
     if _link_ratio(worst, remaining) >= _CUT_LINK_RATIO:
         return tracked_target.GroupVote.CUT_LINK
     if overdue and target.suspicion.finished_level < 1:
-        many_wait = _CUT_LINK_SHARE * len(overdue) > len(peers) + 1
+        many_wait = _OBSERVERS_PER_CUT_LINK * len(overdue) > len(peers) + 1
         return _vote_on_hang(target, many_wait, now_s)
     reported = _have_reported(target, peers, overdue)
     return (
--- a/libraries/health/src/sardinepier/health/peer_evidence.py
+++ b/libraries/health/src/sardinepier/health/peer_evidence.py
@@ -103,7 +103,7 @@
             self._count_in_flight(peer, -1)
 
     def live(self) -> dict[ids.InstanceId, Peer]:
-        """Return the observers that reported lately; forget long silent ones."""
+        """Return the observers with recent reports; forget long silent ones."""
         now_s = self._clock.monotonic_s()
         expiry_s = self.options.peer_expiry_s
         live = {}
--- a/libraries/health/src/sardinepier/health/service_health.py
+++ b/libraries/health/src/sardinepier/health/service_health.py
@@ -9,11 +9,11 @@
 from sardinepier.health import events, evidence, targets
 from sardinepier.health import options as health_options
 from sardinepier.health.internal import (
-    state_events,
-    engine,
     attempt_recording,
+    engine,
     probing,
     reporting,
+    state_events,
     weights,
 )
 
@@ -174,7 +174,7 @@
         return self._engine.selection.standings.get(target_id, _NOT_LISTED)
 
     def selectable(self) -> tuple[ids.TargetId, ...]:
-        """Return the targets with a weight above 0, in the order of the list."""
+        """Return the targets with a weight above 0, in list order."""
         return self._engine.selection.selectable
 
     def due_probes(self) -> tuple[ids.TargetId, ...]:
@@ -182,7 +182,7 @@
         return self._probes.due(self._clock.monotonic_s())
 
     def report_due(self) -> bool:
-        """Return whether a report is due; sooner while targets are suspected."""
+        """Return whether a report is due; sooner if targets are suspected."""
         return self._engine.reports.is_due(self._clock.monotonic_s())
 
     def report(self) -> evidence.EvidenceReport:
--- a/libraries/health/tests/cover/test_health_floor.py
+++ b/libraries/health/tests/cover/test_health_floor.py
@@ -56,7 +56,7 @@
 
 
 class FloorMachine(stateful.RuleBasedStateMachine):
-    """Arbitrary evidence, target lists, peer reports, options and time steps."""
+    """Arbitrary evidence, target lists, peer reports, options and times."""
 
     @stateful.initialize(count=st.integers(1, 3))
     def start(self, count):
