--- a/libraries/entry/src/sardinepier/entry/__init__.py
+++ b/libraries/entry/src/sardinepier/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Serving hosts and prefixes: the request path of an entry instance."""
+"""The request path of an entry instance, which routes by host and prefix."""
--- a/libraries/entry/src/sardinepier/entry/answer_stream.py
+++ b/libraries/entry/src/sardinepier/entry/answer_stream.py
@@ -1,4 +1,4 @@
-"""The rest of an answer that is too large to be held whole."""
+"""Streaming of an answer that is too large to be buffered whole."""
 
 import asyncio
 import contextlib
@@ -10,13 +10,14 @@
 
 
 class AnswerStream:
-    """What a target still has to send of its answer.
+    """The remainder of an answer that its target is still sending.
 
-    The target is read only as fast as the chunks are taken, so that a slow
-    caller slows the target down and nothing piles up here. Whoever holds it
-    takes all chunks or closes it; at ``deadline_s``, a time of the event
-    loop, it closes by itself. ``ending`` is what happens when it ends, and
-    ``length_bytes`` that of the whole answer, None where it was not stated.
+    Chunks are read from the target only as fast as they are consumed, so that
+    a slow caller slows the target down instead of filling memory here. The
+    owner must consume all chunks or close the stream; at ``deadline_s``, a
+    time of the event loop, the stream closes itself. ``on_close`` holds the
+    callbacks that run when it closes. ``length_bytes`` is the length of the
+    whole answer, None if the target did not state it.
     """
 
     def __init__(
@@ -24,41 +25,41 @@
         response: client_reqrep.ClientResponse,
         deadline_s: float,
     ) -> None:
-        """Go on with an answer whose beginning was read."""
-        self.ending = contextlib.ExitStack()
+        """Continue an answer whose first bytes have been read."""
+        self.on_close = contextlib.ExitStack()
         self.length_bytes = response.content_length
         self._response = response
         self.deadline_s = deadline_s
-        self._alarm = asyncio.get_running_loop().call_at(
+        self._close_timer = asyncio.get_running_loop().call_at(
             deadline_s,
             self.close,
         )
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Return the bytes as they come.
+        """Yield the bytes as they arrive.
 
-        Raises ``TruncatedAnswerError`` when they end before the answer does.
+        Raises ``TruncatedAnswerError`` if the connection ends too early.
         """
-        while piece := await read_chunk(self._response):
-            yield piece
+        while chunk := await read_chunk(self._response):
+            yield chunk
 
     def close(self) -> None:
-        """End the exchange; a connection that is not at its end is closed."""
-        self._alarm.cancel()
+        """End the exchange; close the connection if the answer is incomplete."""
+        self._close_timer.cancel()
         if not self._response.content.at_eof():
             self._response.close()
-        self.ending.close()
+        self.on_close.close()
 
 
 async def read_chunk(response: client_reqrep.ClientResponse) -> bytes:
-    """Return what has come of an answer, nothing at its end.
+    """Return the bytes of an answer that have arrived, none at its end.
 
-    Raises ``TruncatedAnswerError`` when it ended before it was whole.
+    Raises ``TruncatedAnswerError`` if the connection ends too early.
     """
     try:
         return await response.content.readany()
     except (client_exceptions.ClientError, OSError) as error:
         raise errors.TruncatedAnswerError(
-            f"The target's answer ended before it was whole ({error!r})",
-            'Find out whether the request ran before sending it anew',
+            f"The target's answer was truncated ({error!r})",
+            'Check whether the request ran before sending it again',
         ) from error
--- a/libraries/entry/src/sardinepier/entry/answers.py
+++ b/libraries/entry/src/sardinepier/entry/answers.py
@@ -1,4 +1,4 @@
-"""A target's answer, read and checked before any of it is passed on."""
+"""Reading and checking a target's answer before any of it is forwarded."""
 
 import dataclasses
 from typing import Final
@@ -11,18 +11,18 @@
 
 Headers = multidict.CIMultiDictProxy[str]
 
-_FIRST_FAILURE: Final = 500
-_FIRST_OTHER: Final = 300
-_MISDIRECTED: Final = 421
-_LOAD_PARTS: Final = 3
+_FIRST_SERVER_ERROR_STATUS: Final = 500
+_FIRST_NON_SUCCESS_STATUS: Final = 300
+_MISDIRECTED_STATUS: Final = 421
+_LOAD_FIELDS: Final = 3
 _SHED_RETRY_AFTER_S: Final = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True, weakref_slot=True)
 class Answer:
-    """What a target answered.
+    """A target's answer.
 
-    ``body`` is all of it, unless there is a ``stream``.
+    ``body`` is the whole body, or its beginning if there is a ``stream``.
     """
 
     status: int
@@ -33,25 +33,25 @@
 
     @property
     def is_good(self) -> bool:
-        """Tell whether the target did what was asked or explains why not."""
-        return self.status < _FIRST_FAILURE
+        """Return whether the target handled the request: any status below 500."""
+        return self.status < _FIRST_SERVER_ERROR_STATUS
 
     @property
     def length_bytes(self) -> int:
-        """Return the length of the whole answer, as far as it is known."""
+        """Return the body's length; that of the beginning if it is unknown."""
         if self.stream is None or self.stream.length_bytes is None:
             return len(self.body)
         return self.stream.length_bytes
 
     def close(self) -> None:
-        """Give the answer up; it is not passed on."""
+        """Discard an answer that is not forwarded."""
         if self.stream is not None:
             self.stream.close()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What a target says of its own load."""
+    """The load that a target reports of itself, in requests."""
 
     running: int
     waiting: int
@@ -59,7 +59,7 @@
 
 
 class OtherTargetError(errors.ProvedNotRunError):
-    """Another target start has the address; it did not run the request."""
+    """Another target or incarnation has the address; the request did not run."""
 
 
 async def read(
@@ -68,27 +68,27 @@
     max_bytes: int,
     deadline_s: float,
 ) -> Answer:
-    """Return the answer, whole if it has no more than ``max_bytes``.
+    """Return the answer, buffered whole if it has at most ``max_bytes``.
 
-    The rest of a longer one may be read until ``deadline_s``, a time of the
-    event loop. Raises ``ShedError`` and ``OtherTargetError`` when the target
-    says that the request did not run, ``TruncatedAnswerError`` when the
-    answer is not whole and ``BadAnswerError`` when it is not the target's
-    own, or tells of a failure at great length.
+    The remainder of a longer one may be read until ``deadline_s``, a time of
+    the event loop. Raises ``ShedError`` or ``OtherTargetError`` if the target
+    states that the request did not run, ``TruncatedAnswerError`` if the
+    connection ends too early, and ``BadAnswerError`` if a success has no
+    signature of the target or a server error has more than ``max_bytes``.
     """
-    body, is_whole = await _beginning(response, max_bytes)
-    _refuse_not_run(response, names)
-    is_success = response.status < _FIRST_OTHER
+    body, is_whole = await _read_beginning(response, max_bytes)
+    _raise_if_not_run(response, names)
+    is_success = response.status < _FIRST_NON_SUCCESS_STATUS
     if is_success and names.signature not in response.headers:
         raise errors.BadAnswerError(
-            f'An answer {response.status} came without the proof of a target',
-            'Find out whether the request ran before sending it anew',
+            f'The answer {response.status} has no signature of a target',
+            'Check whether the request ran before sending it again',
         )
-    if not is_whole and response.status >= _FIRST_FAILURE:
+    if not is_whole and response.status >= _FIRST_SERVER_ERROR_STATUS:
         raise errors.BadAnswerError(
             f'The target failed with {response.status} and over '
             f'{max_bytes} bytes',
-            'Let the target tell of failures in few words',
+            'Shorten the error answers of the target',
         )
     return Answer(
         response.status,
@@ -99,14 +99,14 @@
     )
 
 
-async def _beginning(
+async def _read_beginning(
     response: client_reqrep.ClientResponse,
     max_bytes: int,
 ) -> tuple[bytes, bool]:
-    """Return the first bytes, and whether that is all."""
+    """Return the first bytes, and whether they are the whole body."""
     parts = bytearray()
-    while piece := await answer_stream.read_chunk(response):
-        parts += piece
+    while chunk := await answer_stream.read_chunk(response):
+        parts += chunk
         if len(parts) > max_bytes:
             return bytes(parts), False
     return bytes(parts), True
@@ -116,12 +116,12 @@
     response: client_reqrep.ClientResponse,
     names: header_names.HeaderNames,
 ) -> Load | None:
-    """Return the load that the target told, None when it told none."""
+    """Return the load that the target reported, None without a valid one."""
     text = response.headers.get(names.load)
     if text is None:
         return None
     parts = text.split(',')
-    if len(parts) != _LOAD_PARTS or not all(
+    if len(parts) != _LOAD_FIELDS or not all(
         part.strip().isdigit() for part in parts
     ):
         return None
@@ -129,11 +129,11 @@
     return Load(running, waiting, slots)
 
 
-def _refuse_not_run(
+def _raise_if_not_run(
     response: client_reqrep.ClientResponse,
     names: header_names.HeaderNames,
 ) -> None:
-    if response.status == _MISDIRECTED:
+    if response.status == _MISDIRECTED_STATUS:
         raise OtherTargetError(
             'Another target has this address now',
             'Send the request to a target that is listed',
--- a/libraries/entry/src/sardinepier/entry/attempt.py
+++ b/libraries/entry/src/sardinepier/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one target, from its first byte to the end of the answer."""
+"""One attempt to run a request at one target."""
 
 import asyncio
 import contextlib
@@ -9,32 +9,32 @@
 
 from sardinepier.entry import (
     answers,
+    caller_request,
     context,
     events,
     service_pool,
     target_record,
 )
-from sardinepier.entry import caller_request
 from sardinepier.gateway import connections, errors, statements
 
-_CONNECT_S: Final = 0.35
-"""A connection within a region takes a few milliseconds. One that takes this
-long goes to a dead instance or over a link that loses packets, and nothing
-was sent, so that another target may get the request."""
+_CONNECT_TIMEOUT_S: Final = 0.35
+"""A connection within a region takes a few milliseconds. One that takes longer
+than this leads to a dead instance or crosses a link that loses packets. Nothing
+was sent yet, so that another target may get the request."""
 
 _MS_PER_S: Final = 1000
 _OK: Final = 'ok'
-_FAILURE: Final = 'target_failed'
-_NOT_TO_BLAME: Final = (errors.TargetLeftError, errors.TargetRestsError)
+_TARGET_FAILED: Final = 'target_failed'
+_NOT_TARGET_FAILURES: Final = (errors.TargetLeftError, errors.TargetRestsError)
 
 
 class Attempt:
-    """One attempt of ``item`` at the target whose slot is reserved."""
+    """One attempt of ``request`` at a target that has a slot reserved for it."""
 
     def __init__(
         self,
         shared: context.EntryContext,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
@@ -42,95 +42,99 @@
     ) -> None:
         """Take over the reserved slot.
 
-        ``is_hedge`` says that another attempt of ``item`` is still open.
+        ``is_hedge`` means that another attempt of ``request`` is in flight.
         """
         self._shared = shared
-        self._item = item
+        self._request = request
         self._pool = pool
         self._record = record
-        self._number = pool.started(record)
+        self._attempt_number = pool.started(record)
         self._started_s = shared.clock.monotonic_s()
         self._is_sent = False
-        reason = _reason(item, record, is_hedge=is_hedge)
-        shared.metrics.attempt_begun(item.service, reason)
-        item.attempts += 1
+        reason = _reason(request, record, is_hedge=is_hedge)
+        shared.metrics.attempt_begun(request.service, reason)
+        request.attempts += 1
         self._choice = shared.decision_log.log_attempt(
-            item,
+            request,
             record,
             reason,
             pool.typical_latency_s,
         )
 
     async def run(self) -> answers.Answer:
-        """Return the target's answer, and tell the pool how it went.
+        """Return the target's answer, and report the outcome to the pool.
 
         Raises a subclass of ``ProvedNotRunError`` or ``UnknownFateError``.
         """
         with contextlib.ExitStack() as slot:
-            slot.callback(self._pool.finished, self._record, self._number)
+            slot.callback(
+                self._pool.finished, self._record, self._attempt_number
+            )
             try:
-                answer = await self._within_deadline()
+                answer = await self._exchange_in_time()
             except errors.GatewayError as error:
-                self._blame(error)
-                self._failed_by(type(error).__name__, error.what)
+                self._record_error(error)
+                self._report_failure(type(error).__name__, error.what)
                 raise
             except asyncio.CancelledError:
-                self._given_up()
+                self._record_cancellation()
                 raise
-            self._judge(answer)
+            self._record_outcome(answer)
             if answer.stream is not None:
-                # The target works on it until its last byte is out.
-                answer.stream.ending = slot.pop_all()
+                # The slot is used until the last byte of the answer was read.
+                answer.stream.on_close = slot.pop_all()
         return answer
 
-    def _judge(self, answer: answers.Answer) -> None:
-        taken_s = self._taken_s()
+    def _record_outcome(self, answer: answers.Answer) -> None:
+        elapsed_s = self._elapsed_s()
         if answer.is_good:
-            self._pool.answered(self._record, taken_s, len(answer.body))
+            self._pool.answered(self._record, elapsed_s, len(answer.body))
             self._shared.metrics.attempt_ended(
-                self._item.service,
+                self._request.service,
                 _OK,
-                taken_s,
+                elapsed_s,
             )
         else:
-            self._pool.failed(self._record, taken_s)
-            self._failed_by(_FAILURE, f'answered {answer.status}')
+            self._pool.failed(self._record, elapsed_s)
+            self._report_failure(_TARGET_FAILED, f'answered {answer.status}')
 
-    async def _within_deadline(self) -> answers.Answer:
+    async def _exchange_in_time(self) -> answers.Answer:
         try:
-            async with asyncio.timeout(self._item.left_s(self._shared.clock)):
+            async with asyncio.timeout(
+                self._request.left_s(self._shared.clock)
+            ):
                 return await self._exchange()
         except TimeoutError as error:
             if not self._is_sent:
-                self._item.require_time_left(self._shared.clock)
+                self._request.require_time_left(self._shared.clock)
             raise errors.AnswerOverdueError(
-                'The target did not answer before the time ran out',
-                'Find out whether the request ran before sending it anew',
+                'The target did not answer before the deadline',
+                'Check whether the request ran before sending it again',
             ) from error
 
     async def _exchange(self) -> answers.Answer:
         response = await self._shared.client.open(
-            self._item.method,
+            self._request.method,
             self._record.url,
             self._headers(),
-            self._item.body,
+            self._request.body,
             fresh=False,
-            connect_timeout_s=_CONNECT_S,
-            permit=self._permit,
-            path=self._item.path,
+            connect_timeout_s=_CONNECT_TIMEOUT_S,
+            permit=self._require_sendable,
+            path=self._request.path,
             expects=connections.Expectation(
-                self._accepts,
+                self._is_own_answer,
                 self._record.known_since_s,
             ),
         )
         self._record.mark_reachable()
-        self._hear(response)
+        self._record_reports(response)
         try:
             answer = await answers.read(
                 response,
                 self._shared.names,
                 self._shared.buffer_budget.answer_limit_bytes(),
-                self._read_until_s(),
+                self._read_deadline_s(),
             )
         except BaseException:
             response.close()
@@ -138,44 +142,48 @@
         self._shared.buffer_budget.charge(answer, len(answer.body))
         return answer
 
-    def _read_until_s(self) -> float:
-        """Return when the caller gives up, as a time of the event loop."""
-        left_s = self._item.caller_deadline_s - self._shared.clock.monotonic_s()
+    def _read_deadline_s(self) -> float:
+        """Return the caller's deadline, as a time of the event loop."""
+        left_s = (
+            self._request.caller_deadline_s - self._shared.clock.monotonic_s()
+        )
         return asyncio.get_running_loop().time() + left_s
 
     def _headers(self) -> list[tuple[str, str]]:
         names = self._shared.names
-        item = self._item
-        left_s = item.caller_deadline_s - self._shared.clock.monotonic_s()
+        request = self._request
+        left_s = request.caller_deadline_s - self._shared.clock.monotonic_s()
         return [
-            *item.headers,
-            (names.attempt_id, item.request_id),
+            *request.headers,
+            (names.attempt_id, request.request_id),
             (names.deadline_ms, str(max(1, int(left_s * _MS_PER_S)))),
             (names.expected_target, self._record.listed.stable_name),
         ]
 
-    def _permit(self) -> None:
-        """Allow the first byte, unless time ran out or the target wants nothing.
+    def _require_sendable(self) -> None:
+        """Mark the request as sent, or raise if it must not be sent any more.
 
-        Since it was chosen a connection was made, which takes up to a third
-        of a second, and longer on a busy instance: of the two seconds that
-        the users allow from a target's leaving to its last request.
+        Runs before the first byte. Connecting has taken up to a third of a
+        second since the target was chosen, and longer on a busy instance. The
+        last request to a leaving target may come at most two seconds after it
+        began to leave, so that the target has to be checked again.
         """
-        self._item.require_time_left(self._shared.clock)
+        self._request.require_time_left(self._shared.clock)
         self._pool.targets.require_accepting(self._record)
-        self._shared.quarantine.raise_if_quarantined(self._item.fingerprint)
+        self._shared.quarantine.raise_if_quarantined(self._request.fingerprint)
         self._is_sent = True
-        self._item.was_sent = True
+        self._request.was_sent = True
 
-    def _accepts(self, headers: 'answers.Headers') -> bool:
-        """Tell whether an answer is the one to this request."""
+    def _is_own_answer(self, headers: 'answers.Headers') -> bool:
+        """Return whether an answer belongs to this request."""
         echoed = headers.get(self._shared.names.attempt_id)
-        return echoed is None or echoed == self._item.request_id
+        return echoed is None or echoed == self._request.request_id
 
-    def _hear(self, response: client_reqrep.ClientResponse) -> None:
-        """Take in what the target says of itself, whatever it answered.
+    def _record_reports(self, response: client_reqrep.ClientResponse) -> None:
+        """Record the load and the statement that the target reports.
 
-        An answer 421 is that of another target at the same address.
+        These hold for any status but 421, which another target at the same
+        address has sent.
         """
         if response.status == http.HTTPStatus.MISDIRECTED_REQUEST:
             return
@@ -202,67 +210,71 @@
         )
         if is_new:
             shared.decision_log.log_statement(
-                self._item, self._record, statement
+                self._request,
+                self._record,
+                statement,
             )
 
-    def _blame(self, error: errors.GatewayError) -> None:
-        """Take in what an attempt without an answer says of the target."""
+    def _record_error(self, error: errors.GatewayError) -> None:
+        """Record what an attempt without an answer shows about the target."""
         if isinstance(error, answers.OtherTargetError):
             self._pool.targets.remove(self._record.listed.target_id)
         elif isinstance(error, errors.ShedError):
             self._pool.mark_full(self._record)
-        elif isinstance(error, _NOT_TO_BLAME):
+        elif isinstance(error, _NOT_TARGET_FAILURES):
             return
         elif isinstance(error, errors.AnswerOverdueError):
-            self._overdue()
+            self._record_timeout()
         else:
-            self._failed(error)
+            self._record_failure(error)
 
-    def _failed(self, error: errors.GatewayError) -> None:
+    def _record_failure(self, error: errors.GatewayError) -> None:
         if isinstance(error, errors.ConnectTimeoutError):
             self._record.mark_unreachable(self._shared.clock.monotonic_s())
         else:
-            self._pool.failed(self._record, self._taken_s())
+            self._pool.failed(self._record, self._elapsed_s())
 
-    def _given_up(self) -> None:
+    def _record_cancellation(self) -> None:
         if self._is_sent:
             self._pool.failed(
                 self._record,
-                self._taken_s(),
+                self._elapsed_s(),
                 is_given_up=True,
             )
 
-    def _overdue(self) -> None:
-        """Blame the target for a timeout only when it took overlong.
+    def _record_timeout(self) -> None:
+        """Count a timeout as a failure only if the target seems to hang.
 
-        A route may allow less time than its work usually takes.
+        The route's timeout may be shorter than the typical latency.
         """
-        taken_s = self._taken_s()
-        if target_record.is_hang(taken_s, self._pool.typical_latency_s):
+        elapsed_s = self._elapsed_s()
+        if target_record.is_hang(elapsed_s, self._pool.typical_latency_s):
             self._pool.failed(self._record, 0)
 
-    def _failed_by(self, how: str, what: str) -> None:
-        taken_s = self._taken_s()
-        self._shared.metrics.attempt_ended(self._item.service, how, taken_s)
+    def _report_failure(self, kind: str, what: str) -> None:
+        elapsed_s = self._elapsed_s()
+        self._shared.metrics.attempt_ended(
+            self._request.service, kind, elapsed_s
+        )
         self._shared.decision_log.log_attempt_failed(
-            self._item,
+            self._request,
             self._choice,
-            f'{how}: {what}',
-            taken_s,
+            f'{kind}: {what}',
+            elapsed_s,
         )
 
-    def _taken_s(self) -> float:
+    def _elapsed_s(self) -> float:
         return self._shared.clock.monotonic_s() - self._started_s
 
 
 def _reason(
-    item: caller_request.CallerRequest,
+    request: caller_request.CallerRequest,
     record: target_record.TargetRecord,
     *,
     is_hedge: bool,
 ) -> events.Reason:
     if is_hedge:
         return events.Reason.BESIDE
-    if item.attempts:
+    if request.attempts:
         return events.Reason.AGAIN
     return events.Reason.TURN if record.is_exploration else events.Reason.FIRST
--- a/libraries/entry/src/sardinepier/entry/authentication.py
+++ b/libraries/entry/src/sardinepier/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Whose request it is, and whether it may be served."""
+"""Identification of the customer that sends a request."""
 
 from typing import Final
 
@@ -12,51 +12,54 @@
     refusals,
 )
 
-_CONFIRM_S: Final = 0.3
-"""How long a request waits for the configuration to be confirmed: asking a
-neighbour takes milliseconds, and asking the platform a few hundredths of a
-second."""
+_CONFIRMATION_TIMEOUT_S: Final = 0.3
+"""How long a request waits for the configuration to be confirmed: this takes a
+few milliseconds by another daemon of the zone, and a few hundredths of a second
+by the platform."""
 
 _RETRY_AFTER_S: Final = 0.3
 
 
 class Authenticator:
-    """Finds the customer of each request, by the configuration in force."""
+    """Identifies customers by their keys in the configuration in force."""
 
     def __init__(self, shared: context.EntryContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the services and header names of ``shared``."""
         self._shared = shared
 
     async def await_confirmation(self) -> None:
-        """Wait a moment for a confirmation, where keys need one."""
+        """Wait briefly for a confirmation, if requests need keys."""
         if self._shared.services.customers is not None:
-            await self._shared.services.confirmation.wait(_CONFIRM_S)
+            await self._shared.services.confirmation.wait(
+                _CONFIRMATION_TIMEOUT_S
+            )
 
     def customer_of(
         self,
         request: web_request.BaseRequest,
         route: model.Route,
     ) -> model.Customer | None:
-        """Return who sends the request, None where no key is needed.
+        """Return the customer of the request, None if no key is needed.
 
-        Raises ``UnknownKeyError`` for a key that nobody holds, and
-        ``NotConfirmedError`` while a key may have been withdrawn unheard.
+        Raises ``UnknownKeyError`` for a key of no customer, and
+        ``NotConfirmedError`` while the configuration in force may be outdated,
+        so that the key may have been withdrawn.
         """
         table = self._shared.services.customers
         if table is None:
             return None
         if route.is_public:
-            return self._known(request, table)
+            return self._optional_customer(request, table)
         if not self._shared.services.confirmation.is_valid():
             raise refusals.NotConfirmedError(
                 'This daemon has not heard from the platform for too long to '
                 'tell whether the key is still valid',
-                'Ask again after the stated time, or ask another daemon',
+                'Retry after the stated time, or at another daemon',
                 _RETRY_AFTER_S,
             )
-        return self._required(request, table)
+        return self._required_customer(request, table)
 
-    def _required(
+    def _required_customer(
         self,
         request: web_request.BaseRequest,
         table: customers.CustomerTable,
@@ -70,12 +73,12 @@
             raise credentials.unknown_key('a key that nobody holds', names)
         return customer
 
-    def _known(
+    def _optional_customer(
         self,
         request: web_request.BaseRequest,
         table: customers.CustomerTable,
     ) -> model.Customer | None:
-        """Return the customer of a request that needs no key."""
+        """Return the customer of a request on a public route, if it is known."""
         try:
             digest = credentials.sent_digest(
                 request.headers,
--- a/libraries/entry/src/sardinepier/entry/buffer_budget.py
+++ b/libraries/entry/src/sardinepier/entry/buffer_budget.py
@@ -1,54 +1,60 @@
-"""How much of answers one daemon holds in memory at a time.
+"""Memory budget of one daemon for buffered answers.
 
-An answer that is read whole before its first byte goes on can be replaced by
-another target's when it breaks, unseen by its caller. That takes memory until a
-slow caller has read it, so that large answers are passed on as they come, and
-all of them once many are held.
+If an answer is buffered whole before its first byte is forwarded, the request
+can be retried at another target when the answer breaks, without the caller
+noticing. A buffered answer takes memory until a slow caller has read it.
+Therefore large answers are streamed, and the limit for buffering shrinks as the
+budget is used up.
 """
 
 import weakref
 from typing import Final
 
 DEFAULT_BUDGET_BYTES: Final = 33_554_432
-"""Of all answers held whole: a sixth of the memory of the smallest instances,
-which have two hundred megabytes and use some sixty."""
+"""For all buffered answers: a sixth of the memory of the smallest instances,
+which have 200 MB and use about 60 MB otherwise."""
 
 MAX_BUFFERED_ANSWER_BYTES: Final = 1_048_576
-"""Of one answer: twice the longest of the documents that are asked for."""
+"""For one answer: twice the size of the longest requested documents."""
 
 MIN_BUFFERED_ANSWER_BYTES: Final = 65_536
-"""Of one answer when much is held: what its connection buffers anyway."""
+"""For one answer even if the budget is used up: its connection buffers as much
+anyway."""
 
-_SHARE: Final = 8
-"""An answer may take this part of what is left, so that it never runs out."""
+_REMAINING_BUDGET_DIVISOR: Final = 8
+"""An answer may take this fraction of the remaining budget, so that the budget
+is never used up by one."""
 
 
 class BufferBudget:
-    """Counts the bytes of answers that are held whole.
+    """Counts the bytes of buffered answers.
 
     For example::
 
-        most_bytes = held.bound()
-        held.charge(answer, len(answer.body))  # until ``answer`` is gone
+        max_bytes = budget.answer_limit_bytes()
+        budget.charge(answer, len(answer.body))  # until ``answer`` is freed
     """
 
     def __init__(self, max_bytes: int = DEFAULT_BUDGET_BYTES) -> None:
-        """Hold up to about ``max_bytes``."""
+        """Allow about ``max_bytes`` in total."""
         self.buffered_bytes = 0
-        self._most_bytes = max_bytes
+        self._max_bytes = max_bytes
 
     def answer_limit_bytes(self) -> int:
-        """Return how many bytes of the next answer may be read whole."""
-        left_bytes = max(0, self._most_bytes - self.buffered_bytes)
+        """Return up to how many bytes the next answer may be buffered whole."""
+        remaining_bytes = max(0, self._max_bytes - self.buffered_bytes)
         return max(
             MIN_BUFFERED_ANSWER_BYTES,
-            min(MAX_BUFFERED_ANSWER_BYTES, left_bytes // _SHARE),
+            min(
+                MAX_BUFFERED_ANSWER_BYTES,
+                remaining_bytes // _REMAINING_BUDGET_DIVISOR,
+            ),
         )
 
-    def charge(self, holder: object, held_bytes: int) -> None:
-        """Count ``held_bytes`` for as long as ``holder`` lives."""
-        self.buffered_bytes += held_bytes
-        weakref.finalize(holder, self._release, held_bytes)
+    def charge(self, answer: object, size_bytes: int) -> None:
+        """Count ``size_bytes`` until ``answer`` is garbage collected."""
+        self.buffered_bytes += size_bytes
+        weakref.finalize(answer, self._release, size_bytes)
 
-    def _release(self, held_bytes: int) -> None:
-        self.buffered_bytes -= held_bytes
+    def _release(self, size_bytes: int) -> None:
+        self.buffered_bytes -= size_bytes
--- a/libraries/entry/src/sardinepier/entry/caller_request.py
+++ b/libraries/entry/src/sardinepier/entry/caller_request.py
@@ -1,4 +1,4 @@
-"""One request while the daemon has it."""
+"""A caller's request while the daemon handles it."""
 
 import dataclasses
 from typing import Final
@@ -14,11 +14,13 @@
 class CallerRequest:
     """A request that was read whole, with its route.
 
-    ``caller_deadline_s`` is until when the caller waits, ``deadline_s`` the
-    sooner of that and the route's own bound. ``headers`` go on to the target
-    as they are. ``customer`` is None where no key was needed or known, and
-    ``priority`` is the customer's or else the route's. ``attempts`` counts those begun, ``was_sent`` tells that a first byte went to a target, and
-    ``is_abandoned`` that the caller has left, after which nothing new starts.
+    ``caller_deadline_s`` is when the caller stops waiting, and ``deadline_s``
+    the earlier of that and the end of the route's timeout. ``headers`` are
+    forwarded to the target unchanged. ``customer`` is None if no key was needed
+    or the key was unknown. ``priority`` is the customer's, or else the route's.
+    ``attempts`` counts the attempts that were started. ``was_sent`` means that
+    the first byte was sent to a target. ``is_abandoned`` means that the caller
+    has disconnected, after which no new attempt starts.
     """
 
     request_id: str
@@ -39,14 +41,14 @@
     is_abandoned: bool = False
 
     def left_s(self, clock: clocks.Clock) -> float:
-        """Return the seconds until the request is given up, not below 0."""
+        """Return the seconds until the deadline, not below 0."""
         return max(0.0, self.deadline_s - clock.monotonic_s())
 
     def require_time_left(self, clock: clocks.Clock) -> None:
-        """Raise ``TimeUpError`` when there is none left."""
+        """Raise ``TimeUpError`` if the deadline has passed."""
         if self.left_s(clock) <= 0:
             raise refusals.TimeUpError(
-                'The time for the request ran out before it was sent',
-                'Send it again with more time',
+                'The deadline of the request passed before it was sent',
+                'Send it again with a later deadline',
                 _RETRY_AFTER_S,
             )
--- a/libraries/entry/src/sardinepier/entry/caller_server.py
+++ b/libraries/entry/src/sardinepier/entry/caller_server.py
@@ -29,47 +29,49 @@
 BoundsGetter = Callable[[], model.CallerBounds]
 
 _BACKLOG: Final = 512
-_LINGERING_S: Final = 2.0
-_MOST_HEADERS: Final = 100
+_LINGERING_TIME_S: Final = 2.0
+_MAX_HEADERS: Final = 100
 
 
 class CallerConnection(web_protocol.RequestHandler):
     """One connection of a caller.
 
-    Requests that a caller sends before it has the answer to an earlier one
-    are begun at once where ``start_pipelined`` takes them; answers still go out
-    in the order of the requests.
+    Pipelined requests, sent before the answer to an earlier one, are started
+    at once if ``start_pipelined`` accepts them. Responses are still sent in the
+    order of the requests.
     """
 
     def __init__(self, server: 'HttpServer', **options: Any) -> None:
-        """Answer by the handler of ``server``."""
+        """Answer requests by the handler of ``server``."""
         super().__init__(server, **options)
-        self._begin_early = server.start_pipelined
-        self._early: dict[int, asyncio.Task[web_response.StreamResponse]] = {}
+        self._start_pipelined = server.start_pipelined
+        self._early_responses: dict[
+            int, asyncio.Task[web_response.StreamResponse]
+        ] = {}
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes, and begin what is queued behind other requests."""
+        """Parse bytes, and start requests that are queued behind others."""
         super().data_received(data)
-        if self._begin_early is None or not self._messages:
+        if self._start_pipelined is None or not self._messages:
             return
         if len(self._messages) > 1 or self._request_in_progress:
             for message, payload in self._messages:
-                self._begin(message, payload)
+                self._start_early(message, payload)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End what was begun for a caller that is gone."""
+        """Cancel the pipelined requests of a caller that disconnected."""
         super().connection_lost(exc)
-        for task in self._early.values():
+        for task in self._early_responses.values():
             task.cancel()
-            task.add_done_callback(_give_up)
-        self._early.clear()
+            task.add_done_callback(_abort_stream)
+        self._early_responses.clear()
 
     def pipelined_response(
         self,
         request: web_request.BaseRequest,
     ) -> 'asyncio.Task[web_response.StreamResponse] | None':
-        """Return the answer that was begun for ``request``, if any."""
-        return self._early.pop(id(request._message), None)  # noqa: SLF001
+        """Return the task that answers ``request``, if it was started early."""
+        return self._early_responses.pop(id(request._message), None)  # noqa: SLF001
 
     def handle_error(
         self,
@@ -78,9 +80,9 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web_response.StreamResponse:
-        """Answer what can't be parsed; nothing of it was run."""
+        """Answer a request that can't be parsed, or whose handler failed."""
         if request.writer.output_size > 0:
-            raise ConnectionResetError('The answer broke on its way')
+            raise ConnectionResetError('The answer was interrupted')
         if exc is not None and not isinstance(
             exc,
             http_exceptions.HttpProcessingError,
@@ -88,7 +90,7 @@
             logs.failure('request-failed', exc, level=logs.Level.ERROR)
             error: refusals.EntryError = refusals.InternalError(
                 f'The daemon failed: {type(exc).__name__}',
-                'Find out whether the request ran before sending it anew',
+                'Check whether the request ran before sending it again',
             )
         else:
             error = refusals.BadRequestError(
@@ -99,11 +101,11 @@
         response.force_close()
         return response
 
-    def _begin(self, message: Any, payload: Any) -> None:
+    def _start_early(self, message: Any, payload: Any) -> None:
         is_parsed = isinstance(message, http_parser.RawRequestMessage)
-        if not is_parsed or id(message) in self._early:
+        if not is_parsed or id(message) in self._early_responses:
             return
-        if self._begin_early is None or not payload.is_eof():
+        if self._start_pipelined is None or not payload.is_eof():
             return
         request = web_request.BaseRequest(
             message,
@@ -113,13 +115,13 @@
             cast(Any, self._task_handler),
             self._loop,
         )
-        task = self._begin_early(request)
+        task = self._start_pipelined(request)
         if task is not None:
-            self._early[id(message)] = task
+            self._early_responses[id(message)] = task
 
 
 class HttpServer(web_server.Server):
-    """Listens at one address and answers by one handler.
+    """Listens on one address and answers requests by one handler.
 
     For example::
 
@@ -133,10 +135,10 @@
         bounds: BoundsGetter,
         start_pipelined: StartPipelined | None = None,
     ) -> None:
-        """Answer requests by ``handler``, which is cancelled on a hang-up.
+        """Answer by ``handler``, which is cancelled if the caller disconnects.
 
-        ``start_pipelined`` may begin the answer to a request whose turn has not
-        come, and returns None for one that has to wait.
+        ``start_pipelined`` may start to answer a request that is queued behind
+        others of its connection, and returns None for one that has to wait.
         """
         super().__init__(handler, handler_cancellation=True)
         self.start_pipelined = start_pipelined
@@ -144,22 +146,22 @@
         self._listener: asyncio.Server | None = None
 
     def __call__(self) -> CallerConnection:
-        """Make the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         bounds = self._bounds()
         return CallerConnection(
             self,
             loop=asyncio.get_running_loop(),
             access_log=None,
             keepalive_timeout=bounds.idle_timeout_s,
-            lingering_time=_LINGERING_S,
+            lingering_time=_LINGERING_TIME_S,
             max_line_size=bounds.header_bytes,
             max_field_size=bounds.header_bytes,
-            max_headers=_MOST_HEADERS,
+            max_headers=_MAX_HEADERS,
             auto_decompress=False,
         )
 
     async def start(self, ip: str, port: int) -> int:
-        """Listen, and return the port, which the system chose for 0."""
+        """Listen, and return the port; the system chooses one if it is 0."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             self,
@@ -171,12 +173,12 @@
         return bound
 
     def stop_listening(self) -> None:
-        """Take no new connections; those that are open are served."""
+        """Accept no new connections; open ones are still served."""
         if self._listener is not None:
             self._listener.close()
 
     async def close(self, within_s: float) -> None:
-        """Close all connections, after answers in hand went out."""
+        """Close all connections, after the answers in flight were sent."""
         self.stop_listening()
         self.pre_shutdown()
         with contextlib.suppress(TimeoutError):
@@ -184,8 +186,8 @@
                 await self.shutdown(within_s)
 
 
-def _give_up(task: 'asyncio.Task[web_response.StreamResponse]') -> None:
-    """End what is left of an answer that nobody will read."""
+def _abort_stream(task: 'asyncio.Task[web_response.StreamResponse]') -> None:
+    """Abort the stream of an answer whose caller disconnected."""
     if task.cancelled() or task.exception() is not None:
         return
     response = task.result()
@@ -196,7 +198,7 @@
 def pipelined_response(
     request: web_request.BaseRequest,
 ) -> 'asyncio.Task[web_response.StreamResponse] | None':
-    """Return the answer that was begun before its turn, if there is one."""
+    """Return the task that answers a pipelined request, if it was started early."""
     connection = request.protocol
     if isinstance(connection, CallerConnection):
         return connection.pipelined_response(request)
--- a/libraries/entry/src/sardinepier/entry/context.py
+++ b/libraries/entry/src/sardinepier/entry/context.py
@@ -1,26 +1,27 @@
-"""What the parts of one daemon's request path share."""
+"""The objects that the parts of one daemon's request path share."""
 
 import dataclasses
 
 from sardinepier.core import clock as clocks
 from sardinepier.entry import (
+    buffer_budget,
     decision_log,
     header_names,
-    buffer_budget,
     request_metrics,
     service_registry,
 )
-from sardinepier.gateway import client, active_requests
+from sardinepier.gateway import active_requests, client
 from sardinepier.once import quarantine
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryContext:
-    """The collaborators of the request path.
+    """The shared objects of the request path.
 
-    ``services`` holds the newest configuration with the targets in use,
-    ``decision_log`` writes the log lines and ``metrics`` keeps the numbers.
-    ``buffer_budget`` bounds what is kept of answers.
+    ``services`` holds the configuration in force and the targets in use,
+    ``activity`` the number of requests in flight. ``decision_log`` writes the
+    log lines and ``metrics`` counts requests and attempts. ``buffer_budget``
+    bounds the memory for buffered answers.
     """
 
     clock: clocks.Clock
--- a/libraries/entry/src/sardinepier/entry/credentials.py
+++ b/libraries/entry/src/sardinepier/entry/credentials.py
@@ -1,7 +1,7 @@
-"""Reading the key that a caller sends with a request.
+"""Reading of the key that a caller sends with a request.
 
-Keys are compared by their digests, and only digests are kept or passed on to
-other daemons: a key that was read stays in the request that brought it.
+Keys are compared by their digests, and only digests are stored or sent to other
+daemons. The key itself is not kept beyond its request.
 """
 
 import hashlib
@@ -11,13 +11,13 @@
 
 _DIGEST_BYTES: Final = 16
 _PURPOSE: Final = b'customer-key'
-"""Keeps these digests apart from those of the same text made elsewhere."""
+"""Makes these digests differ from other digests of the same text."""
 
-_MOST_KEY_CHARACTERS: Final = 512
+_MAX_KEY_CHARACTERS: Final = 512
 
 
 class Headers(Protocol):
-    """The headers of a request, whose names are compared without case."""
+    """The headers of a request, by case-insensitive names."""
 
     def getall(self, name: str, default: list[str]) -> list[str]:
         """Return the values of all headers with this name."""
@@ -25,7 +25,7 @@
 
 
 def key_digest(key: str) -> bytes:
-    """Return what stands for ``key``; 16 bytes."""
+    """Return the digest of ``key``, 16 bytes."""
     return hashlib.blake2b(
         key.encode(errors='surrogateescape'),
         digest_size=_DIGEST_BYTES,
@@ -37,20 +37,20 @@
     headers: Headers,
     names: header_names.HeaderNames,
 ) -> bytes | None:
-    """Return the digest of the key in a request, None without any.
+    """Return the digest of the key in a request, None without credentials.
 
-    Raises ``UnknownKeyError`` for credentials that hold no single key: another
+    Raises ``UnknownKeyError`` for credentials other than a single key: another
     scheme, several headers or several words.
     """
-    sent = headers.getall(names.credentials, [])
-    if not sent:
+    received = headers.getall(names.credentials, [])
+    if not received:
         return None
-    if len(sent) > 1:
+    if len(received) > 1:
         raise unknown_key('several headers with credentials', names)
-    scheme, _, key = sent[0].partition(' ')
+    scheme, _, key = received[0].partition(' ')
     if scheme.lower() != names.key_scheme.lower():
         raise unknown_key('credentials of another scheme', names)
-    if not key or len(key) > _MOST_KEY_CHARACTERS or not key.isascii():
+    if not key or len(key) > _MAX_KEY_CHARACTERS or not key.isascii():
         raise unknown_key('credentials without a usable key', names)
     if any(character.isspace() or character == ',' for character in key):
         raise unknown_key('credentials with more than one word', names)
@@ -61,7 +61,7 @@
     what: str,
     names: header_names.HeaderNames,
 ) -> refusals.UnknownKeyError:
-    """Return the refusal of a request that has ``what``."""
+    """Return the error for a request that has ``what``, such as no key."""
     return refusals.UnknownKeyError(
         f'The request has {what}',
         f'Send one header {names.credentials}: {names.key_scheme} KEY',
--- a/libraries/entry/src/sardinepier/entry/customers.py
+++ b/libraries/entry/src/sardinepier/entry/customers.py
@@ -1,4 +1,4 @@
-"""The customers of a configuration, found by the digests of their keys."""
+"""Lookup of the customers of a configuration by the digests of their keys."""
 
 from collections.abc import Iterable
 
@@ -12,9 +12,9 @@
 
 
 class CustomerTable:
-    """Finds the customer that holds a key.
+    """Finds the customer of a key.
 
-    For example ``CustomerTable(customers).find(credentials.digest_of(key))``.
+    For example ``CustomerTable(customers).find(credentials.key_digest(key))``.
     """
 
     def __init__(self, customers: Iterable[model.Customer]) -> None:
@@ -31,25 +31,25 @@
 
 
 def require_distinct_keys(customers: Iterable[model.Customer]) -> None:
-    """Raise ``SharedKeyError`` where two customers hold the same key.
+    """Raise ``SharedKeyError`` if two customers have the same key.
 
-    A request with that key could be taken for either's.
+    The customer of a request with that key would be ambiguous.
     """
-    holders: dict[bytes, model.Customer] = {}
+    owners: dict[bytes, model.Customer] = {}
     for customer in customers:
         for digest in customer.key_digests:
-            holder = holders.setdefault(digest, customer)
-            if holder.name != customer.name:
+            owner = owners.setdefault(digest, customer)
+            if owner.name != customer.name:
                 raise SharedKeyError(
-                    f'{holder.name} and {customer.name} have the same key',
-                    'Give each customer keys of its own',
+                    f'{owner.name} and {customer.name} have the same key',
+                    'Give each customer its own keys',
                 )
 
 
 def rate_limits(
     customers: Iterable[model.Customer],
 ) -> dict[ids.CustomerName, fleet_bucket.Limit]:
-    """Return the limits of those that have one."""
+    """Return the limits of the customers that have one."""
     return {
         customer.name: fleet_bucket.Limit(
             customer.rate_per_s,
--- a/libraries/entry/src/sardinepier/entry/events.py
+++ b/libraries/entry/src/sardinepier/entry/events.py
@@ -1,4 +1,4 @@
-"""What the request path writes to the log, a class for each kind of line."""
+"""The log events of the request path."""
 
 import enum
 from collections.abc import Sequence
@@ -10,47 +10,47 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a request."""
+    """How a request ended."""
 
     ANSWERED = 'answered'
-    """A target answered well, or said why it would not."""
+    """A target answered with a status below 500."""
 
     TARGET_FAILED = 'target_failed'
-    """A target answered that it failed, and that was passed on."""
+    """A target answered with a server error, which was forwarded."""
 
     REFUSED = 'refused'
-    """Nothing ran, and the caller was told so."""
+    """The daemon answered with an error; nothing ran."""
 
     UNKNOWN = 'unknown'
-    """It may have run; no answer of a target came."""
+    """The request may have run, but no target answered."""
 
     ABANDONED = 'abandoned'
-    """The caller left before there was an answer."""
+    """The caller disconnected before there was an answer."""
 
 
 class Reason(enum.Enum):
     """Why an attempt was made."""
 
     FIRST = 'first'
-    """The surest target that had room."""
+    """The best target with a free slot."""
 
     TURN = 'turn'
-    """The first one, to a target that had been idle or doubted for long enough
-    to have its turn."""
+    """The first attempt, sent to an idle or suspected target to learn whether it
+    works (exploration)."""
 
     AGAIN = 'again'
-    """After one that failed or did not run."""
+    """A retry, after an attempt that failed or did not run."""
 
     BESIDE = 'beside'
-    """While another one takes long."""
+    """A hedge, while another attempt takes long."""
 
 
 class Choice(msgspec.Struct, frozen=True, kw_only=True):
-    """Which target an attempt goes to, and what that was decided by.
+    """The target that an attempt is sent to, and the data behind that choice.
 
-    ``chance`` is the chance of failure that the choice went by, from the
-    belief of ``belief_age_ms`` ago that rests on what ``belief_source`` saw.
-    ``in_flight`` is what the target has, with this one.
+    ``chance`` is the target's estimated failure probability. The estimate was
+    updated ``belief_age_ms`` ago with an observation of ``belief_source``.
+    ``in_flight`` counts the requests of the target, including this one.
     """
 
     attempt: int
@@ -64,11 +64,11 @@
 
 
 class RequestSent(line_events.LineEvent, frozen=True):
-    """A target was chosen and the attempt begins.
+    """A target was chosen and the attempt starts.
 
-    Written before the outcome is known, so that it is there even when the
-    daemon is not any more. ``targets_age_ms`` is how long ago the platform was
-    asked for the list that the choice goes by, -1 for unknown.
+    Written before the outcome is known, so that the line exists even if the
+    daemon crashes. ``targets_age_ms`` is how long ago the target list in use
+    was requested from the platform, -1 if unknown.
     """
 
     request_id: str
@@ -84,10 +84,11 @@
 
 
 class TargetStated(line_events.LineEvent, frozen=True):
-    """A target told something else of itself than in its answer before.
+    """A target's statement differs from the one in its previous answer.
 
-    ``limit_per_s`` is -1 when it names no limit, and ``rest_ms`` 0 when it asks
-    for no rest. ``request_id`` names the request that it answered.
+    ``limit_per_s`` is -1 if the target states no limit. ``rest_ms`` is how long
+    it asks to back off, 0 if not at all. ``request_id`` is the request that it
+    answered.
     """
 
     request_id: str
@@ -99,7 +100,7 @@
 
 
 class AttemptFailed(line_events.LineEvent, frozen=True):
-    """An attempt got no good answer."""
+    """An attempt failed, or got a server error."""
 
     request_id: str
     route: str
@@ -111,12 +112,11 @@
 
 
 class RequestEnded(line_events.LineEvent, frozen=True):
-    """A request was not simply answered at the first attempt.
+    """A request ended otherwise than by a good answer to its first attempt.
 
-    ``customer`` is empty where none was known by a key.
-    ``error`` and ``what`` are empty when a target's answer was passed on.
-    ``targets`` are those known of the service, ``with_room`` of them would
-    work on one more request at once.
+    ``customer`` is empty if the request had no known key. ``error`` and
+    ``what`` are empty if a target's answer was forwarded. ``targets`` counts
+    the known targets of the service, ``with_room`` those with a free slot.
     """
 
     request_id: str
@@ -136,16 +136,17 @@
 
 
 class LinesDropped(line_events.LineEvent, frozen=True):
-    """More lines were due than are written: so many of each sort are not."""
+    """Log lines were dropped by the rate limit: the number of each kind."""
 
     sent: int
     failed: int
 
 
 class TargetsChanged(line_events.LineEvent, frozen=True):
-    """A newer list of targets is in use.
+    """A newer target list is in use.
 
-    ``age_ms`` is how long ago the platform was asked for it, -1 for unknown.
+    ``age_ms`` is how long ago the list was requested from the platform, -1 if
+    unknown.
     """
 
     revision: int
--- a/libraries/entry/src/sardinepier/entry/header_names.py
+++ b/libraries/entry/src/sardinepier/entry/header_names.py
@@ -1,7 +1,7 @@
-"""The names of headers that callers and targets use with the daemon.
+"""The names of the HTTP headers between callers, the daemon and targets.
 
-Installations differ in these names, so that they are given to the request
-path instead of being written into it.
+Installations use different names, so that the request path gets them as a
+parameter.
 """
 
 import dataclasses
@@ -9,17 +9,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Which header carries what.
+    """The header name for each purpose.
 
-    ``attempt_id`` names one attempt of a caller; targets echo it.
-    ``deadline_ms`` is how many milliseconds are left. ``expected_target``
-    names the only target start that may run the request. ``not_run`` marks an
-    answer of a target that did not run it. ``signature`` proves that an
-    answer is a target's own. ``load`` is the target's running and waiting
-    requests and its slots. ``leaving`` and ``limit`` are told by targets as
-    :mod:`sardinepier.gateway.statements` reads them. ``credentials`` holds a
-    caller's key, behind ``key_scheme`` and a space. ``customer`` tells targets
-    whose request it is.
+    ``attempt_id`` identifies one attempt of a caller; targets echo it.
+    ``deadline_ms`` is the remaining time in milliseconds. ``expected_target``
+    names the only target incarnation that may run the request. ``not_run``
+    marks the answer of a target that did not run the request. ``signature``
+    proves that a target produced the answer. ``load`` is the number of running
+    and of waiting requests of the target, and of its slots. ``leaving`` and
+    ``limit`` are statements of a target, which
+    :mod:`sardinepier.gateway.statements` reads. ``credentials`` holds a
+    caller's key after ``key_scheme`` and a space. ``customer`` names the
+    customer of the request to the target.
     """
 
     attempt_id: str = 'Sardinepier-Attempt'
--- a/libraries/entry/src/sardinepier/entry/outcome_recorder.py
+++ b/libraries/entry/src/sardinepier/entry/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What is written and counted when a request ends."""
+"""Logs and counts the outcome of each request."""
 
 from typing import Final
 
@@ -7,49 +7,51 @@
 from sardinepier.core import errors as core_errors
 from sardinepier.entry import (
     answers,
+    caller_request,
     context,
     decision_log,
     events,
     refusals,
 )
-from sardinepier.entry import caller_request
 
 _NO_STATUS: Final = 0
 _HEAD_BYTES: Final = 1000
-"""Of the heads of a request and its answer with what their packets carry
-beside, as seen on loopback: some four hundred for either."""
+"""Estimated size of the heads of a request and its answer with the overhead of
+their packets: about 400 bytes each on loopback."""
 
 
 class OutcomeRecorder:
-    """Follows one request to its end, which is told once.
+    """Records the outcome of one request, once.
 
-    ``item`` is set as soon as the request was read.
+    ``request`` is set as soon as the request was read.
     """
 
     def __init__(
         self,
         shared: context.EntryContext,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
     ) -> None:
-        """Begin with a request that was not read yet."""
-        self.item: caller_request.CallerRequest | None = None
+        """Start the timer of a request that has not been read yet."""
+        self.request: caller_request.CallerRequest | None = None
         self._shared = shared
-        self._request = request
+        self._http_request = http_request
         self._began_s = shared.clock.monotonic_s()
 
     def answered(self, answer: answers.Answer) -> None:
-        """Tell that a target's answer is passed on."""
+        """Record that a target's answer is forwarded."""
         outcome = (
             events.Outcome.ANSWERED
             if answer.is_good
             else events.Outcome.TARGET_FAILED
         )
-        self._end(decision_log.End(outcome, answer.status), answer.length_bytes)
+        self._record_end(
+            decision_log.End(outcome, answer.status), answer.length_bytes
+        )
 
     def refused(self, error: core_errors.SardinepierError) -> None:
-        """Tell that the daemon answers itself."""
+        """Record that the daemon answers with ``error``."""
         is_unknown = isinstance(error, refusals.UnknownFateError)
-        self._end(
+        self._record_end(
             decision_log.End(
                 events.Outcome.UNKNOWN
                 if is_unknown
@@ -61,20 +63,20 @@
         )
 
     def abandoned(self) -> None:
-        """Tell that the caller left."""
-        self._end(decision_log.End(events.Outcome.ABANDONED, _NO_STATUS))
+        """Record that the caller disconnected."""
+        self._record_end(decision_log.End(events.Outcome.ABANDONED, _NO_STATUS))
 
-    def _end(self, end: decision_log.End, answer_bytes: int = 0) -> None:
+    def _record_end(self, end: decision_log.End, answer_bytes: int = 0) -> None:
         names = self._shared.names
-        body_bytes = len(self.item.body) if self.item else 0
+        body_bytes = len(self.request.body) if self.request else 0
         forwarded_bytes = _HEAD_BYTES + body_bytes + answer_bytes
         self._shared.activity.forwarded_bytes += forwarded_bytes
-        request_id = self._request.headers.get(names.attempt_id, '')
-        self._shared.decision_log.log_ended(request_id, self.item, end)
+        request_id = self._http_request.headers.get(names.attempt_id, '')
+        self._shared.decision_log.log_ended(request_id, self.request, end)
         if end.error:
             self._shared.metrics.local_answer(end.error)
         self._shared.metrics.request_ended(
-            self.item.service if self.item else '',
+            self.request.service if self.request else '',
             end.outcome,
             self._shared.clock.monotonic_s() - self._began_s,
         )
--- a/libraries/entry/src/sardinepier/entry/pages.py
+++ b/libraries/entry/src/sardinepier/entry/pages.py
@@ -1,4 +1,4 @@
-"""Small answers beside the request path: where to connect, and readiness."""
+"""Endpoints outside the request path: directory, readiness and metrics."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Final
@@ -16,7 +16,7 @@
 
 
 class Page:
-    """Answers the GET of one path by ``answer``."""
+    """Serves one path by the function ``answer``."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
             web_response.Response | Awaitable[web_response.Response],
         ],
     ) -> None:
-        """Answer other paths with 404."""
+        """Serve ``path``; other paths get a 404."""
         self._path = path
         self._answer = answer
 
@@ -34,7 +34,7 @@
         self,
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        """Return the answer to one request."""
+        """Return the response to one request."""
         if request.path != self._path:
             return web_response.Response(status=_NOT_FOUND)
         answer = self._answer(request)
@@ -44,7 +44,7 @@
 
 
 class Directory:
-    """Tells callers which addresses to use, for the zone they name.
+    """Lists the addresses that callers should use, by the zone they name.
 
     ``find`` returns the addresses for a caller in a zone, as ``ip:port``.
     """
@@ -52,68 +52,68 @@
     def __init__(
         self,
         find: Callable[[ids.ZoneName], Sequence[str]],
-        good_for_s: float,
+        valid_for_s: float,
         encode: Callable[[Sequence[str], float], bytes],
     ) -> None:
-        """Name addresses that are good for ``good_for_s`` seconds."""
+        """List addresses that are valid for ``valid_for_s`` seconds."""
         self._find = find
-        self._good_for_s = good_for_s
+        self._valid_for_s = valid_for_s
         self._encode = encode
 
     def answer(
         self,
         request: web_request.BaseRequest,
     ) -> web_response.Response:
-        """Return the addresses, 503 when none is known."""
+        """Return the addresses, or 503 if none is known."""
         zone = ids.ZoneName(request.query.get('zone', ''))
         addresses = self._find(zone)
         if not addresses:
             return web_response.Response(status=_UNAVAILABLE)
         return web_response.Response(
             content_type=_JSON,
-            body=self._encode(addresses, self._good_for_s),
+            body=self._encode(addresses, self._valid_for_s),
         )
 
 
 class Readiness:
-    """Tells whether this daemon should get work: 200, else 503."""
+    """Answers 200 while this daemon should get requests, else 503."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
-        """Ask ``is_ready`` at each request."""
+        """Call ``is_ready`` at each request."""
         self._is_ready = is_ready
 
     def answer(
         self,
         request: web_request.BaseRequest,
     ) -> web_response.Response:
-        """Return an empty answer whose status tells."""
+        """Return an empty response with the status."""
         status = _OK if self._is_ready() else _UNAVAILABLE
         return web_response.Response(status=status)
 
 
 class MetricsPage:
-    """Shows the numbers that this daemon keeps, as text."""
+    """Serves the metrics of this daemon in the text exposition format."""
 
     def __init__(self, text: Callable[[], Awaitable[str]]) -> None:
-        """Make the text by ``text`` at each request."""
+        """Call ``text`` at each request."""
         self._text = text
 
     async def answer(
         self,
         request: web_request.BaseRequest,
     ) -> web_response.Response:
-        """Return the figures as they are now."""
+        """Return the current metrics."""
         return web_response.Response(
             headers={'Content-Type': exposition.CONTENT_TYPE},
             body=(await self._text()).encode(),
         )
 
 
-def encode_addresses(addresses: Sequence[str], good_for_s: float) -> bytes:
-    """Return the project's own form of a directory answer.
+def encode_addresses(addresses: Sequence[str], valid_for_s: float) -> bytes:
+    """Return the default JSON form of a directory answer.
 
     ``{"addresses": ["10.0.0.7:8080"], "good_for_s": 1.0}``
     """
     return msgspec.json.encode(
-        {'addresses': addresses, 'good_for_s': good_for_s},
+        {'addresses': addresses, 'good_for_s': valid_for_s},
     )
--- a/libraries/entry/src/sardinepier/entry/pipeline.py
+++ b/libraries/entry/src/sardinepier/entry/pipeline.py
@@ -1,4 +1,4 @@
-"""The way of each request through the daemon, from head to answer."""
+"""The request path of a daemon, from reading a request to its response."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 
 from sardinepier.core import errors as core_errors
 from sardinepier.entry import (
-    outcome_recorder,
     answers,
     caller_server,
     context,
     forwarding,
-    request_reader,
+    outcome_recorder,
     refusals,
+    request_reader,
     responses,
 )
 from sardinepier.entry import caller_request
@@ -23,121 +23,123 @@
     """Answers the requests of callers."""
 
     def __init__(self, shared: context.EntryContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the shared objects of the request path."""
         self._shared = shared
-        self._intake = request_reader.RequestReader(shared)
+        self._request_reader = request_reader.RequestReader(shared)
         self._forwarding = forwarding.Forwarding(shared)
-        self._abandoned: set[asyncio.Task[answers.Answer]] = set()
+        self._abandoned_tasks: set[asyncio.Task[answers.Answer]] = set()
 
     async def handle(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        """Return the answer to a request."""
-        early = caller_server.pipelined_response(request)
-        if early is None:
-            response = await self._counted(request)
+        """Return the response to ``http_request``."""
+        started_task = caller_server.pipelined_response(http_request)
+        if started_task is None:
+            response = await self._answer_counted(http_request)
         else:
-            response = await early
+            response = await started_task
         if self._shared.activity.is_draining:
             response.force_close()
         return response
 
     def start_pipelined(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
     ) -> 'asyncio.Task[web_response.StreamResponse] | None':
-        """Begin an idempotent request that waits behind others.
+        """Start an idempotent request that is queued behind others.
 
-        One that isn't idempotent has to wait: if its connection closes
-        before its turn, its caller takes it for one that was never read.
+        A non-idempotent one has to wait: if the connection closes before the
+        earlier requests are answered, its caller assumes that it was never read.
         """
-        if not self._intake.is_idempotent(request):
+        if not self._request_reader.is_idempotent(http_request):
             return None
-        return asyncio.create_task(self._counted(request))
+        return asyncio.create_task(self._answer_counted(http_request))
 
-    async def _counted(
+    async def _answer_counted(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
         with self._shared.activity:
-            return await self._answer(request)
+            return await self._answer(http_request)
 
     async def _answer(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        account = outcome_recorder.OutcomeRecorder(self._shared, request)
+        recorder = outcome_recorder.OutcomeRecorder(self._shared, http_request)
         try:
-            account.item = await self._intake.read(request)
-            answer = await self._within_limit(account.item)
+            recorder.request = await self._request_reader.read(http_request)
+            answer = await self._within_limit(recorder.request)
         except core_errors.SardinepierError as error:
-            account.refused(error)
+            recorder.refused(error)
             return responses.from_error(error)
         except asyncio.CancelledError:
-            account.abandoned()
+            recorder.abandoned()
             raise
-        except Exception as error:  # noqa: BLE001 - the last resort
+        except Exception as error:  # noqa: BLE001 - any fault gets an answer
             logs.failure('request-failed', error, level=logs.Level.ERROR)
             internal = refusals.InternalError(
                 f'The daemon failed: {type(error).__name__}',
-                'Find out whether the request ran before sending it anew',
+                'Check whether the request ran before sending it again',
             )
-            account.refused(internal)
+            recorder.refused(internal)
             return responses.from_error(internal)
-        account.answered(answer)
+        recorder.answered(answer)
         return responses.from_target(answer)
 
     async def _within_limit(
-        self, item: caller_request.CallerRequest
+        self,
+        request: caller_request.CallerRequest,
     ) -> answers.Answer:
-        """Forward a request that its customer's limit allows.
+        """Forward a request if its customer's rate limit allows it.
 
-        One that has not run doesn't count. Raises ``RateLimitError``.
+        A request that did not run doesn't count. Raises ``RateLimitError``.
         """
-        if item.customer is None:
-            return await self._forward(item)
+        if request.customer is None:
+            return await self._forward(request)
         limits = self._shared.services.limits
-        wait_s = limits.take(item.customer.name)
+        wait_s = limits.take(request.customer.name)
         if wait_s:
-            self._shared.services.pool(item.service).refused()
+            self._shared.services.pool(request.service).refused()
             raise refusals.RateLimitError(
-                f'Customer {item.customer.name} has reached its limit',
+                f'Customer {request.customer.name} has reached its limit',
                 'Send it again after the stated time',
                 wait_s,
             )
         try:
-            return await self._forward(item)
+            return await self._forward(request)
         except (refusals.NotRunError, asyncio.CancelledError) as error:
             is_refused = isinstance(error, refusals.NotRunError)
-            if is_refused or not item.attempts:
-                limits.refund(item.customer.name)
+            if is_refused or not request.attempts:
+                limits.refund(request.customer.name)
             raise
 
     async def _forward(
-        self, item: caller_request.CallerRequest
+        self,
+        request: caller_request.CallerRequest,
     ) -> answers.Answer:
-        """Forward a request; a hang-up ends what may be ended.
+        """Forward a request, and cancel it if its caller disconnects.
 
-        An idempotent request ends with its caller. One that isn't goes on
-        once a target has it: to cut it would leave its fate unknown.
+        A non-idempotent request that was sent to a target goes on without its
+        caller, because its fate would be unknown if it were cancelled.
         """
-        if item.route.is_idempotent:
-            return await self._forwarding.forward(item)
-        task = asyncio.create_task(self._forwarding.forward(item))
+        if request.route.is_idempotent:
+            return await self._forwarding.forward(request)
+        task = asyncio.create_task(self._forwarding.forward(request))
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            item.is_abandoned = True
-            if item.was_sent:
-                self._abandoned.add(task)
-                task.add_done_callback(self._abandoned_ended)
+            request.is_abandoned = True
+            if request.was_sent:
+                self._abandoned_tasks.add(task)
+                task.add_done_callback(self._on_abandoned_end)
             else:
                 task.cancel()
             raise
 
-    def _abandoned_ended(self, task: 'asyncio.Task[answers.Answer]') -> None:
-        self._abandoned.discard(task)
+    def _on_abandoned_end(self, task: 'asyncio.Task[answers.Answer]') -> None:
+        self._abandoned_tasks.discard(task)
         if task.cancelled():
             return
         if task.exception() is None:
--- a/libraries/entry/src/sardinepier/entry/request_metrics.py
+++ b/libraries/entry/src/sardinepier/entry/request_metrics.py
@@ -1,4 +1,4 @@
-"""The numbers that one daemon keeps of its requests."""
+"""Metrics of the requests of one daemon."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -27,8 +27,8 @@
     'members': 'Daemons that this one knows to live, itself included.',
 }
 
-_MOST_SERVICES: Final = 400
-"""Services with figures of their own; the others share one label."""
+_MAX_SERVICES: Final = 400
+"""Services with their own label; any further ones share one label."""
 
 _MS_PER_S: Final = 1000
 _NO_SERVICE: Final = ''
@@ -39,21 +39,21 @@
 
     For example::
 
-        measures.request_ended('books', events.Outcome.ANSWERED, 0.25)
-        text = await measures.text(gauges)
+        metrics.request_ended('books', events.Outcome.ANSWERED, 0.25)
+        text = await metrics.text(gauges)
     """
 
     def __init__(self) -> None:
-        """Start at zero."""
-        self._metrics = metrics.Metrics(_MOST_SERVICES * len(events.Outcome))
+        """Start all counters at zero."""
+        self._metrics = metrics.Metrics(_MAX_SERVICES * len(events.Outcome))
 
     def request_ended(
         self,
         service: str,
         outcome: events.Outcome,
-        taken_s: float,
+        elapsed_s: float,
     ) -> None:
-        """Count a request."""
+        """Count a request and record its duration."""
         self._metrics.counter(
             'requests',
             service=service,
@@ -63,45 +63,45 @@
             self._metrics.histogram(
                 'request_duration_ms',
                 service=service,
-            ).record(taken_s * _MS_PER_S)
+            ).record(elapsed_s * _MS_PER_S)
 
     def local_answer(self, error: str) -> None:
-        """Count a request that the daemon answered itself, by the reason."""
+        """Count a request that the daemon answered itself, by the error."""
         self._metrics.counter('own_answers', error=error).add()
 
     def attempt_begun(self, service: str, reason: events.Reason) -> None:
-        """Count an attempt by the reason for its target."""
+        """Count an attempt by the reason for it."""
         self._metrics.counter(
             'attempts_begun',
             service=service,
             reason=reason.value,
         ).add()
 
-    def attempt_ended(self, service: str, how: str, taken_s: float) -> None:
-        """Count an attempt; ``how`` is the type of its failure, or ``ok``."""
-        self._metrics.counter('attempts', service=service, how=how).add()
+    def attempt_ended(self, service: str, kind: str, elapsed_s: float) -> None:
+        """Count an attempt; ``kind`` is the type of its failure, or ``ok``."""
+        self._metrics.counter('attempts', service=service, how=kind).add()
         self._metrics.histogram(
             'attempt_duration_ms',
             service=service,
-        ).record(taken_s * _MS_PER_S)
+        ).record(elapsed_s * _MS_PER_S)
 
     async def text(self, gauges: tuple[exposition.Gauge, ...]) -> str:
-        """Return all figures, with ``gauges`` that others know."""
+        """Return all metrics with ``gauges`` in the text exposition format."""
         snapshot = await self._metrics.snapshot_in_steps()
         return exposition.text(snapshot, gauges, HELP_TEXTS)
 
 
 def service_gauges(
-    held: service_registry.ServiceRegistry,
+    registry: service_registry.ServiceRegistry,
 ) -> tuple[exposition.Gauge, ...]:
-    """Return what is known of the configuration and the targets."""
-    configuration = held.configuration
+    """Return the gauges of the configuration, the targets and the retries."""
+    configuration = registry.configuration
     version = configuration.version if configuration else 0
-    targets = sum(len(pool.targets.records()) for pool in held.pools())
-    closed = sum(len(pool.targets.not_accepting()) for pool in held.pools())
-    budgets = [pool.retry_budget for pool in held.pools()]
-    granted = sum(one.granted for one in budgets)
-    denied = sum(one.denied for one in budgets)
+    targets = sum(len(pool.targets.records()) for pool in registry.pools())
+    closed = sum(len(pool.targets.not_accepting()) for pool in registry.pools())
+    budgets = [pool.retry_budget for pool in registry.pools()]
+    granted = sum(budget.granted for budget in budgets)
+    denied = sum(budget.denied for budget in budgets)
     return (
         exposition.Gauge('configuration_version', version),
         exposition.Gauge('targets', targets),
--- a/libraries/entry/src/sardinepier/entry/request_reader.py
+++ b/libraries/entry/src/sardinepier/entry/request_reader.py
@@ -1,4 +1,4 @@
-"""Reading a caller's request and finding its route."""
+"""Reading of a caller's request and lookup of its route."""
 
 import math
 from typing import Final
@@ -8,34 +8,35 @@
 
 from sardinepier.entry import (
     authentication,
+    caller_request,
     context,
     model,
     refusals,
     route_table,
 )
-from sardinepier.entry import caller_request
 from sardinepier.gateway import body, headers
 from sardinepier.gateway import refusals as gateway_refusals
 
 _MS_PER_S: Final = 1000
 _HOST: Final = 'Host'
-_FIRST_S: Final = 0.3
-"""How long a request waits for the first configuration of a daemon that has
-just started: reading it takes a few hundredths of a second."""
+_CONFIGURATION_TIMEOUT_S: Final = 0.3
+"""How long a request waits for the first configuration of a daemon that has just
+started: reading it takes a few hundredths of a second."""
 
-_BODY_S: Final = 30.0
-"""A body may take this long where the caller states no deadline."""
+_BODY_TIMEOUT_S: Final = 30.0
+"""The longest that a caller is taken to wait, which bounds reading its body;
+also the default for a caller that states no deadline."""
 
 
 class RequestReader:
-    """Makes work of requests."""
+    """Turns HTTP requests into :class:`caller_request.CallerRequest`."""
 
     def __init__(self, shared: context.EntryContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the services, header names and clock of ``shared``."""
         self._shared = shared
         self._authenticator = authentication.Authenticator(shared)
         names = shared.names
-        self._own = frozenset(
+        self._daemon_headers = frozenset(
             name.lower()
             for name in (
                 names.attempt_id,
@@ -44,10 +45,11 @@
                 names.customer,
             )
         )
-        self._credentials = names.credentials.lower()
+        self._credentials_header = names.credentials.lower()
 
     async def read(
-        self, request: web_request.BaseRequest
+        self,
+        http_request: web_request.BaseRequest,
     ) -> caller_request.CallerRequest:
         """Return the whole request with its route.
 
@@ -56,65 +58,70 @@
         ``BadRequestError``.
         """
         arrived_s = self._shared.clock.monotonic_s()
-        await self._shared.services.wait_until_configured(_FIRST_S)
+        await self._shared.services.wait_until_configured(
+            _CONFIGURATION_TIMEOUT_S,
+        )
         await self._authenticator.await_confirmation()
         routes = self._shared.services.routes()
-        route = _route(routes, request)
+        route = _route(routes, http_request)
         if route is None:
             raise refusals.UnknownRouteError(
-                'No route of this host begins the path',
-                'Use a path that the configuration in force names',
+                'No route of this host matches the path',
+                'Use a path of a route in the current configuration',
             )
-        customer = self._authenticator.customer_of(request, route)
-        caller_deadline_s = arrived_s + self._patience_s(request)
-        content = await self._body(request, caller_deadline_s)
+        customer = self._authenticator.customer_of(http_request, route)
+        caller_deadline_s = arrived_s + self._caller_timeout_s(http_request)
+        content = await self._read_body(http_request, caller_deadline_s)
         return caller_request.CallerRequest(
-            request_id=request.headers.get(self._shared.names.attempt_id, ''),
-            method=request.method,
-            path=request.raw_path,
-            headers=self._headers(request, customer),
+            request_id=http_request.headers.get(
+                self._shared.names.attempt_id,
+                '',
+            ),
+            method=http_request.method,
+            path=http_request.raw_path,
+            headers=self._headers(http_request, customer),
             body=content,
             route=route,
             service=routes.service_for(route),
             arrived_s=arrived_s,
             caller_deadline_s=caller_deadline_s,
             deadline_s=min(caller_deadline_s, arrived_s + route.timeout_s),
-            fingerprint=_fingerprint(request, content),
+            fingerprint=_fingerprint(http_request, content),
             priority=_priority(route, customer),
             customer=customer,
         )
 
-    def is_idempotent(self, request: web_request.BaseRequest) -> bool:
-        """Tell whether the request has a route that may be repeated."""
+    def is_idempotent(self, http_request: web_request.BaseRequest) -> bool:
+        """Return whether the request has an idempotent route."""
         if self._shared.services.configuration is None:
             return False
-        route = _route(self._shared.services.routes(), request)
+        route = _route(self._shared.services.routes(), http_request)
         return route is not None and route.is_idempotent
 
-    def _patience_s(self, request: web_request.BaseRequest) -> float:
-        """Return how long the caller waits, from its header."""
-        text = request.headers.get(self._shared.names.deadline_ms, '')
+    def _caller_timeout_s(self, http_request: web_request.BaseRequest) -> float:
+        """Return how long the caller waits, as its header states."""
+        text = http_request.headers.get(self._shared.names.deadline_ms, '')
         try:
             stated_ms = float(text) if text else math.inf
         except ValueError as error:
             raise refusals.BadRequestError(
                 f'The deadline {text!r} is not a number of milliseconds',
-                'Send a number, or leave the header out',
+                'Send a number, or omit the header',
             ) from error
-        return min(_BODY_S, stated_ms / _MS_PER_S)
+        return min(_BODY_TIMEOUT_S, stated_ms / _MS_PER_S)
 
-    async def _body(
+    async def _read_body(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
         deadline_s: float,
     ) -> bytes:
-        if not request.body_exists:
+        if not http_request.body_exists:
             return b''
         configuration = self._shared.services.configuration
         bounds = configuration.bounds if configuration else model.CallerBounds()
         try:
             return await body.read(
-                request,
+                http_request,
                 bounds.body_bytes,
                 self._shared.clock,
                 deadline_s,
@@ -129,50 +136,54 @@
 
     def _headers(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
         customer: model.Customer | None,
     ) -> list[tuple[str, str]]:
-        """Return what goes on to the target, whose name we set ourselves.
+        """Return the headers to forward, with the customer's name.
 
-        Where customers are known by keys, none of these goes on.
+        Headers that the daemon sets itself are dropped, and also the
+        credentials if requests need keys.
         """
-        left_out = self._own
+        dropped = self._daemon_headers
         needs_keys = self._shared.services.customers is not None
         if needs_keys or customer is not None:
-            left_out |= {self._credentials}
-        passed_on = [
+            dropped |= {self._credentials_header}
+        forwarded = [
             pair
-            for pair in headers.for_target(request.headers)
-            if _plain(pair[0]) not in left_out
+            for pair in headers.for_target(http_request.headers)
+            if _normalized(pair[0]) not in dropped
         ]
         if customer is not None:
-            passed_on.append((self._shared.names.customer, customer.name))
-        return passed_on
+            forwarded.append((self._shared.names.customer, customer.name))
+        return forwarded
 
 
 def _priority(route: model.Route, customer: model.Customer | None) -> int:
-    """Return the rank of a request; the lower, the more urgent."""
+    """Return the priority of a request; a lower one is more urgent."""
     if customer is None or customer.priority is None:
         return route.priority
     return customer.priority
 
 
-def _plain(name: str) -> str:
-    """Return a header's name as servers that read ``_`` as ``-`` see it."""
+def _normalized(name: str) -> str:
+    """Return a header's name as servers see it that treat ``_`` as ``-``."""
     return name.lower().replace('_', '-')
 
 
 def _route(
     routes: route_table.RouteTable,
-    request: web_request.BaseRequest,
+    http_request: web_request.BaseRequest,
 ) -> model.Route | None:
-    host = request.headers.get(_HOST, '')
-    return routes.find(host, request.raw_path)
+    host = http_request.headers.get(_HOST, '')
+    return routes.find(host, http_request.raw_path)
 
 
-def _fingerprint(request: web_request.BaseRequest, content: bytes) -> int:
-    """Return the same number for each sending of the same request."""
-    digest = xxhash.xxh3_64(request.method.encode())
-    digest.update(request.raw_path.encode())
+def _fingerprint(
+    http_request: web_request.BaseRequest,
+    content: bytes,
+) -> int:
+    """Return a hash that is the same whenever the same request is sent."""
+    digest = xxhash.xxh3_64(http_request.method.encode())
+    digest.update(http_request.raw_path.encode())
     digest.update(content)
     return int(digest.intdigest())
