--- a/libraries/entry/tests/conftest.py
+++ b/libraries/entry/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A daemon's request path, before the targets that a test starts."""
+"""Fixtures: a daemon's request path, whose targets the test starts."""
 
 import random
 
@@ -7,16 +7,16 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.entry import (
+    buffer_budget,
     caller_server,
     context,
     decision_log,
-    buffer_budget,
-    request_metrics,
     pipeline,
+    request_metrics,
     service_registry,
 )
-from sardinepier.gateway import client as clients
 from sardinepier.gateway import active_requests
+from sardinepier.gateway import client as clients
 from sardinepier.health import failure_estimate
 from sardinepier.once import quarantine
 
@@ -24,7 +24,7 @@
 @pytest.fixture
 async def entry():
     clock = clocks.SystemClock()
-    held = service_registry.ServiceRegistry(
+    registry = service_registry.ServiceRegistry(
         support.ZONE,
         clock,
         random.Random(7),
@@ -35,25 +35,25 @@
         clock=clock,
         names=support.NAMES,
         client=clients.TargetClient(),
-        services=held,
+        services=registry,
         quarantine=quarantine.Quarantine(clock),
         activity=active_requests.ActiveRequests(),
-        decision_log=decision_log.DecisionLog(held, clock),
+        decision_log=decision_log.DecisionLog(registry, clock),
         metrics=request_metrics.RequestMetrics(),
         buffer_budget=buffer_budget.BufferBudget(),
     )
     shared.services.set_retry_burst(10)
     shared.services.offer_configuration(support.configuration())
-    answering = pipeline.Pipeline(shared)
+    request_pipeline = pipeline.Pipeline(shared)
     server = caller_server.HttpServer(
-        answering.handle,
+        request_pipeline.handle,
         lambda: shared.services.configuration.bounds,
-        answering.start_pipelined,
+        request_pipeline.start_pipelined,
     )
     port = await server.start(support.LOOPBACK, 0)
-    made = support.Entry(shared, server, port)
-    yield made
+    running_entry = support.Entry(shared, server, port)
+    yield running_entry
     await server.close(0.1)
     await shared.client.close()
-    for target in made.targets:
+    for target in running_entry.targets:
         target.server.close()
--- a/libraries/entry/tests/cover/test_entry_callers.py
+++ b/libraries/entry/tests/cover/test_entry_callers.py
@@ -1,4 +1,4 @@
-"""What callers do, and what becomes of their requests."""
+"""Pipelining, disconnects and other behaviour of callers."""
 
 import asyncio
 import collections
@@ -9,22 +9,22 @@
 CHUNKED = {'Transfer-Encoding': 'chunked'}
 
 
-async def test_answers_to_pipelined_requests_come_in_their_order(entry):
+async def test_answers_to_pipelined_requests_keep_their_order(entry):
     target = support.RawTarget('t1', ['gated', 'ok'])
     await entry.use(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
-    names = [f'id-{number}' for number in range(4)]
-    for name in names:
-        writer.write(support.request(**{support.NAMES.attempt_id: name}))
+    attempt_ids = [f'id-{number}' for number in range(4)]
+    for attempt_id in attempt_ids:
+        writer.write(support.request(**{support.NAMES.attempt_id: attempt_id}))
     await support.wait_until(lambda: len(target.seen) >= 3)
     target.gate.set()
-    answers = [await support.read_answer(reader) for _ in names]
+    answers = [await support.read_answer(reader) for _ in attempt_ids]
     echoed = [headers[support.NAMES.attempt_id] for _, headers, _ in answers]
-    assert echoed == names
+    assert echoed == attempt_ids
     writer.close()
 
 
-async def test_pipelined_idempotent_requests_run_side_by_side(entry):
+async def test_pipelined_idempotent_requests_run_concurrently(entry):
     target = support.RawTarget('t1', ['gated'])
     await entry.use(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
@@ -39,7 +39,7 @@
     writer.close()
 
 
-async def test_one_that_may_not_run_twice_waits_for_its_turn(entry):
+async def test_a_pipelined_non_idempotent_request_waits_for_earlier_ones(entry):
     target = support.RawTarget('t1', ['gated', 'ok'])
     await entry.use(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
@@ -55,7 +55,7 @@
     writer.close()
 
 
-async def test_a_hang_up_ends_an_idempotent_attempt(entry):
+async def test_a_disconnect_cancels_an_idempotent_attempt(entry):
     target = support.RawTarget('t1', ['hang'])
     await entry.use(target)
     _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
@@ -65,7 +65,7 @@
     await support.wait_until(lambda: target.cut_while_running)
 
 
-async def test_a_hang_up_leaves_one_that_may_not_run_twice(entry):
+async def test_a_disconnect_does_not_cancel_a_non_idempotent_attempt(entry):
     target = support.RawTarget('t1', ['hang'])
     await entry.use(target)
     _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
@@ -76,7 +76,7 @@
     assert (target.ran, target.cut_while_running) == (1, 0)
 
 
-async def test_a_request_that_waits_is_dropped_with_its_caller(entry):
+async def test_a_queued_request_is_dropped_if_its_caller_disconnects(entry):
     target = support.RawTarget('t1', ['gated'])
     await entry.use(target)
     writers = []
@@ -84,7 +84,7 @@
         _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
         writer.write(support.request('/once/1', 'POST'))
         writers.append(writer)
-    # The slots of the target are taken; the fourth request waits.
+    # The three slots of the target are used; the fourth request is queued.
     await support.wait_until(lambda: target.ran == 3)
     await support.wait_until(lambda: entry.shared.activity.in_flight == 4)
     for writer in writers:
@@ -101,7 +101,7 @@
     assert status == 404
 
 
-async def test_a_daemon_without_a_configuration_asks_to_come_back(entry):
+async def test_a_daemon_without_a_configuration_asks_to_retry_later(entry):
     entry.shared.services._table = None
     status, headers, _ = await entry.ask()
     assert status == 503
@@ -125,7 +125,7 @@
     assert headers['Connection'] == 'close'
 
 
-async def test_a_body_in_chunks_is_passed_on_whole(entry):
+async def test_a_chunked_body_is_forwarded_whole(entry):
     target = support.RawTarget('t1')
     await entry.use(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
@@ -137,8 +137,10 @@
     writer.close()
 
 
-async def test_a_request_that_crashes_targets_is_held_back(entry):
-    targets = [support.RawTarget(f't{one}', ['reset']) for one in range(5)]
+async def test_a_request_that_crashes_targets_is_quarantined(entry):
+    targets = [
+        support.RawTarget(f't{number}', ['reset']) for number in range(5)
+    ]
     await entry.use(*targets)
     statuses = [(await entry.ask('/once/7', 'POST'))[0] for _ in range(6)]
     assert entry.ran <= 3
@@ -146,14 +148,17 @@
 
 
 async def test_each_of_several_requests_crashes_two_targets_at_most(entry):
-    """Guards against a third target: the crash before hid the next one."""
+    """Guards against a third crashed target.
+
+    The crash by an earlier request must not hide the one by the next request.
+    """
     targets = [
         support.RawTarget(f't{number}', ['reset']) for number in range(6)
     ]
     await entry.use(*targets)
-    for name in ('a', 'b', 'c', 'd'):
+    for path_name in ('a', 'b', 'c', 'd'):
         for _ in range(6):
-            await entry.ask(f'/books/{name}', 'POST', b'deadly')
+            await entry.ask(f'/books/{path_name}', 'POST', b'deadly')
     lines = collections.Counter(
         line for target in targets for line, _, _ in target.seen
     )
@@ -162,16 +167,16 @@
 
 
 async def test_a_request_does_not_return_to_a_target_that_it_crashed(entry):
-    """Guards against a third crash: one target twice, and another one."""
+    """Guards against a third crash: of one target twice, and of another one."""
     deadly = support.RawTarget('t1', ['reset', 'ok'])
     await entry.use(deadly)
     await entry.ask('/once/7', 'POST')
-    other = support.RawTarget('t2')
-    await entry.use(deadly, other)
+    healthy = support.RawTarget('t2')
+    await entry.use(deadly, healthy)
     records = entry.shared.services.pool(support.SERVICE).targets
     now_s = entry.shared.clock.monotonic_s()
     for _ in range(4):
         records.find('t1').estimate.answered(now_s)
         records.find('t2').estimate.failed(now_s, is_early=False)
     status, _, _ = await entry.ask('/once/7', 'POST')
-    assert (status, deadly.ran, other.ran) == (200, 1, 1)
+    assert (status, deadly.ran, healthy.ran) == (200, 1, 1)
--- a/libraries/entry/tests/cover/test_entry_large_answers.py
+++ b/libraries/entry/tests/cover/test_entry_large_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are passed on as they come, and what may go wrong midway."""
+"""Streaming of large answers, their interruption, and the buffer budget."""
 
 import asyncio
 import gc
@@ -8,22 +8,28 @@
 from sardinepier.entry import buffer_budget
 
 LARGE = bytes(range(256)) * 20_000
-"""Five megabytes: more than any answer that is held whole."""
+"""5 MB: more than the limit of a buffered answer."""
 
 SMALL = LARGE[:50_000]
 
 
 class LargeTarget:
-    """Answers with ``body``, framed as ``manner`` says, and may break off."""
+    """A target that answers with ``body``.
 
-    def __init__(self, body=LARGE, manner='length', sends=None):
+    ``framing`` is ``length``, ``chunked`` or ``unframed``, which ends with the
+    connection. After ``sent_length`` bytes, if these are fewer than the body,
+    the target resets the connection. With the framing ``silent``, which states
+    the length, it sends nothing more instead.
+    """
+
+    def __init__(self, body=LARGE, framing='length', sent_length=None):
         self.name = 'large'
         self.body = body
-        self.manner = manner
-        self.sends = len(body) if sends is None else sends
+        self.framing = framing
+        self.sent_length = len(body) if sent_length is None else sent_length
         self.ran = 0
         self.sent = 0
-        self.ended = 0
+        self.closed_connections = 0
         self.server = None
 
     @property
@@ -41,7 +47,7 @@
         except ConnectionError:
             pass
         finally:
-            self.ended += 1
+            self.closed_connections += 1
             writer.close()
 
     async def _answer(self, reader, writer):
@@ -52,34 +58,34 @@
         )
         echo = lines[support.NAMES.attempt_id]
         writer.write(self._head(echo))
-        for start in range(0, self.sends, 100_000):
-            chunk = self.body[start : min(start + 100_000, self.sends)]
-            if self.manner == 'chunked':
+        for start in range(0, self.sent_length, 100_000):
+            chunk = self.body[start : min(start + 100_000, self.sent_length)]
+            if self.framing == 'chunked':
                 chunk = b'%x\r\n%b\r\n' % (len(chunk), chunk)
             writer.write(chunk)
             await writer.drain()
             self.sent = start + 100_000
-        if self.sends < len(self.body) and self.manner == 'silent':
+        if self.sent_length < len(self.body) and self.framing == 'silent':
             await reader.read(1)
-        elif self.sends < len(self.body):
-            # A reset takes along what the other side has not read yet.
+        elif self.sent_length < len(self.body):
+            # A reset discards the bytes that the peer has not read yet.
             await asyncio.sleep(0.3)
             support.linger_off(writer)
-        elif self.manner == 'chunked':
+        elif self.framing == 'chunked':
             writer.write(b'0\r\n\r\n')
         await writer.drain()
 
     def _head(self, echo):
-        framing = f'Content-Length: {len(self.body)}'
-        if self.manner == 'chunked':
-            framing = 'Transfer-Encoding: chunked'
-        if self.manner == 'unframed':
-            framing = 'Connection: close'
+        framing_header = f'Content-Length: {len(self.body)}'
+        if self.framing == 'chunked':
+            framing_header = 'Transfer-Encoding: chunked'
+        if self.framing == 'unframed':
+            framing_header = 'Connection: close'
         lines = (
             'HTTP/1.1 200 OK',
             f'{support.NAMES.attempt_id}: {echo}',
             f'{support.NAMES.signature}: proof-of-{echo}',
-            framing,
+            framing_header,
         )
         return '\r\n'.join((*lines, '', '')).encode()
 
@@ -92,13 +98,13 @@
     )
     writer.write(support.request(path, **headers))
     head = (await reader.readuntil(b'\r\n\r\n')).decode().split('\r\n')
-    names = dict(line.split(': ', 1) for line in head[1:-2])
-    return reader, writer, names
+    answer_headers = dict(line.split(': ', 1) for line in head[1:-2])
+    return reader, writer, answer_headers
 
 
-async def read_body(reader, names):
-    """Return the body; raise ``EOFError`` or an ``OSError`` if it broke."""
-    length = names.get('Content-Length')
+async def read_body(reader, headers):
+    """Return the body; raise ``EOFError`` or ``OSError`` if it is interrupted."""
+    length = headers.get('Content-Length')
     if length is not None:
         return await reader.readexactly(int(length))
     body = b''
@@ -116,54 +122,54 @@
     return sum(record.in_flight(now_s) for record in pool.targets.records())
 
 
-@pytest.mark.parametrize('manner', ['length', 'chunked', 'unframed'])
-async def test_a_large_answer_arrives_whole(entry, manner):
-    target = LargeTarget(manner=manner)
+@pytest.mark.parametrize('framing', ['length', 'chunked', 'unframed'])
+async def test_a_large_answer_arrives_whole(entry, framing):
+    target = LargeTarget(framing=framing)
     await entry.use(target)
-    reader, writer, names = await open_to(entry)
-    assert names[support.NAMES.signature] == 'proof-of-id-1'
-    assert await read_body(reader, names) == LARGE
+    reader, writer, headers = await open_to(entry)
+    assert headers[support.NAMES.signature] == 'proof-of-id-1'
+    assert await read_body(reader, headers) == LARGE
     writer.close()
     await support.wait_until(lambda: not in_flight(entry))
 
 
-@pytest.mark.parametrize('manner', ['length', 'chunked', 'unframed'])
+@pytest.mark.parametrize('framing', ['length', 'chunked', 'unframed'])
 @pytest.mark.parametrize('path', ['/books/1', '/once/1'])
-async def test_an_answer_that_breaks_midway_never_looks_whole(
+async def test_an_interrupted_answer_never_looks_whole(
     entry,
-    manner,
+    framing,
     path,
 ):
-    target = LargeTarget(manner=manner, sends=3_000_000)
+    target = LargeTarget(framing=framing, sent_length=3_000_000)
     await entry.use(target)
-    reader, writer, names = await open_to(entry, path)
-    assert names[support.NAMES.signature] == 'proof-of-id-1'
+    reader, writer, headers = await open_to(entry, path)
+    assert headers[support.NAMES.signature] == 'proof-of-id-1'
     with pytest.raises((EOFError, OSError)):
-        await read_body(reader, names)
+        await read_body(reader, headers)
     writer.close()
     assert target.ran == 1
     await support.wait_until(lambda: not in_flight(entry))
 
 
-async def test_a_target_that_falls_silent_midway_is_left(entry):
-    target = LargeTarget(manner='silent', sends=3_000_000)
+async def test_a_target_that_stalls_midway_is_disconnected(entry):
+    target = LargeTarget(framing='silent', sent_length=3_000_000)
     await entry.use(target)
     limited = {support.NAMES.deadline_ms: '400'}
-    reader, writer, names = await open_to(entry, **limited)
+    reader, writer, headers = await open_to(entry, **limited)
     with pytest.raises((EOFError, OSError)):
-        await read_body(reader, names)
+        await read_body(reader, headers)
     writer.close()
-    await support.wait_until(lambda: target.ended)
+    await support.wait_until(lambda: target.closed_connections)
     await support.wait_until(lambda: not in_flight(entry))
 
 
-async def test_a_caller_that_leaves_ends_the_answer(entry):
+async def test_a_disconnect_of_the_caller_ends_the_answer(entry):
     target = LargeTarget()
     await entry.use(target)
     reader, writer, _ = await open_to(entry)
     await reader.readexactly(1000)
     writer.transport.abort()
-    await support.wait_until(lambda: target.ended)
+    await support.wait_until(lambda: target.closed_connections)
     await support.wait_until(lambda: not in_flight(entry))
 
 
@@ -172,42 +178,42 @@
     await entry.use(target)
     _, writer, _ = await open_to(entry)
     await asyncio.sleep(0.5)
-    held = target.sent
-    assert held < len(target.body)
+    sent = target.sent
+    assert sent < len(target.body)
     await asyncio.sleep(0.3)
-    assert target.sent == held
+    assert target.sent == sent
     assert in_flight(entry) == 1
     writer.transport.abort()
     await support.wait_until(lambda: not in_flight(entry))
 
 
-async def test_a_large_answer_broken_at_its_beginning_is_repeated(entry):
-    """What is within the bound can still be replaced, unseen."""
-    bad = LargeTarget(sends=500_000)
-    good = support.RawTarget('good')
-    await entry.use(bad, good)
+async def test_a_large_answer_interrupted_at_its_beginning_is_retried(entry):
+    """Nothing was sent to the caller while the answer was below the limit."""
+    broken = LargeTarget(sent_length=500_000)
+    healthy = support.RawTarget('good')
+    await entry.use(broken, healthy)
     pool = entry.shared.services.pool(support.SERVICE)
     pool.targets.find('good').estimate.failed(
         entry.shared.clock.monotonic_s(),
         is_early=False,
     )
     status, _, body = await entry.ask()
-    assert (status, body, bad.ran) == (200, support.BODY, 1)
+    assert (status, body, broken.ran) == (200, support.BODY, 1)
 
 
-async def test_answers_held_whole_are_counted_until_they_are_gone(entry):
+async def test_buffered_answers_are_counted_until_they_are_freed(entry):
     target = LargeTarget(body=SMALL)
     await entry.use(target)
-    held = entry.shared.buffer_budget
+    budget = entry.shared.buffer_budget
     status, _, body = await entry.ask()
     assert (status, body) == (200, SMALL)
     await support.wait_until(
-        lambda: gc.collect() >= 0 and not held.buffered_bytes
+        lambda: gc.collect() >= 0 and not budget.buffered_bytes
     )
 
 
-async def test_many_slow_callers_leave_memory_bounded(entry):
-    """200 callers of half a megabyte each that do not read: 100 MB, unbounded."""
+async def test_buffered_bytes_of_many_slow_callers_are_bounded(entry):
+    """200 callers that don't read 0.5 MB each: 100 MB without the budget."""
     target = LargeTarget(body=LARGE[:500_000])
     await entry.use(target)
     pool = entry.shared.services.pool(support.SERVICE)
@@ -217,36 +223,43 @@
         slots=200,
     )
     opened = [await open_to(entry) for _ in range(200)]
-    held = entry.shared.buffer_budget.buffered_bytes
-    # What a caller has not read yet counts, until it has.
-    assert held > buffer_budget.DEFAULT_BUDGET_BYTES / 4
-    least = 200 * (buffer_budget.MIN_BUFFERED_ANSWER_BYTES + 2**16)
-    assert held < buffer_budget.DEFAULT_BUDGET_BYTES + least
+    buffered_bytes = entry.shared.buffer_budget.buffered_bytes
+    # An answer counts until its caller has read it.
+    assert buffered_bytes > buffer_budget.DEFAULT_BUDGET_BYTES / 4
+    connection_buffers_bytes = 200 * (
+        buffer_budget.MIN_BUFFERED_ANSWER_BYTES + 2**16
+    )
+    assert (
+        buffered_bytes
+        < buffer_budget.DEFAULT_BUDGET_BYTES + connection_buffers_bytes
+    )
     for _, writer, _ in opened:
         writer.transport.abort()
     await support.wait_until(lambda: not in_flight(entry))
 
 
-class Holder:
-    """Stands for an answer."""
+class FakeAnswer:
+    """Any object that can be referenced weakly, instead of an answer."""
 
 
-def test_the_more_is_held_the_less_is_held_whole():
-    held = buffer_budget.BufferBudget(4_000_000)
-    bounds = [held.answer_limit_bytes()]
-    holders = [Holder() for _ in range(20)]
-    for holder in holders:
-        held.charge(holder, bounds[-1])
-        bounds.append(held.answer_limit_bytes())
-    assert bounds == sorted(bounds, reverse=True)
-    assert bounds[0] == 500_000
-    assert bounds[-1] == buffer_budget.MIN_BUFFERED_ANSWER_BYTES
-    del holder
-    holders.clear()
+def test_the_limit_of_an_answer_shrinks_as_the_budget_is_used():
+    budget = buffer_budget.BufferBudget(4_000_000)
+    limits = [budget.answer_limit_bytes()]
+    fake_answers = [FakeAnswer() for _ in range(20)]
+    for fake_answer in fake_answers:
+        budget.charge(fake_answer, limits[-1])
+        limits.append(budget.answer_limit_bytes())
+    assert limits == sorted(limits, reverse=True)
+    assert limits[0] == 500_000
+    assert limits[-1] == buffer_budget.MIN_BUFFERED_ANSWER_BYTES
+    del fake_answer
+    fake_answers.clear()
     gc.collect()
-    assert held.answer_limit_bytes() == bounds[0]
+    assert budget.answer_limit_bytes() == limits[0]
 
 
-def test_no_answer_is_held_whole_beyond_its_own_bound():
-    held = buffer_budget.BufferBudget(10**12)
-    assert held.answer_limit_bytes() == buffer_budget.MAX_BUFFERED_ANSWER_BYTES
+def test_no_answer_is_buffered_beyond_its_own_limit():
+    budget = buffer_budget.BufferBudget(10**12)
+    assert (
+        budget.answer_limit_bytes() == buffer_budget.MAX_BUFFERED_ANSWER_BYTES
+    )
--- a/libraries/entry/tests/cover/test_entry_lines.py
+++ b/libraries/entry/tests/cover/test_entry_lines.py
@@ -1,4 +1,4 @@
-"""What is written and counted about requests, by what became of them."""
+"""Log lines and metrics of requests, by their outcome."""
 
 import asyncio
 import io
@@ -10,7 +10,7 @@
 from sardinepier.telemetry import logs
 
 
-class Lines:
+class CapturedLog:
     """The log of the daemon under test."""
 
     def __init__(self):
@@ -19,19 +19,19 @@
 
     def of(self, event):
         decoded = map(msgspec.json.decode, self.out.getvalue().splitlines())
-        return [one['fields'] for one in decoded if one['event'] == event]
+        return [line['fields'] for line in decoded if line['event'] == event]
 
 
 @pytest.fixture
 def lines():
-    return Lines()
+    return CapturedLog()
 
 
-async def test_each_attempt_is_told_when_it_begins(entry, lines):
+async def test_each_attempt_is_logged_when_it_starts(entry, lines):
     await entry.use(support.RawTarget('t1'))
     await entry.ask()
     sent = lines.of('request-sent')
-    assert [one['request_id'] for one in sent] == ['id-1']
+    assert [line['request_id'] for line in sent] == ['id-1']
     choice = sent[0]['choice']
     assert (choice['target'], choice['reason']) == ('t1', 'first')
     assert choice['belief_source'] == 'nobody'
@@ -40,21 +40,23 @@
     assert not lines.of('request-ended')
 
 
-async def test_a_request_in_a_target_s_hands_has_its_line_already(
+async def test_a_request_is_logged_before_its_target_answers(
     entry,
     lines,
 ):
-    """If the daemon dies now, its line is what is left."""
+    """The line must exist even if the daemon crashes during the request."""
     target = support.RawTarget('t1', ['gated'])
     await entry.use(target)
-    asking = asyncio.create_task(entry.ask())
+    request_task = asyncio.create_task(entry.ask())
     await support.wait_until(lambda: target.ran)
     assert len(lines.of('request-sent')) == 1
     target.gate.set()
-    await asking
+    await request_task
 
 
-async def test_a_target_s_failure_has_the_grounds_of_the_choice(entry, lines):
+async def test_a_failed_attempt_is_logged_with_the_choice_of_its_target(
+    entry, lines
+):
     await entry.use(support.RawTarget('t1', ['fail']))
     await entry.ask('/once/1', 'POST')
     failed = lines.of('attempt-failed')[0]
@@ -64,18 +66,18 @@
     assert (ended['outcome'], ended['status']) == ('target_failed', 500)
 
 
-async def test_a_repeat_says_that_it_is_one(entry, lines):
+async def test_a_retry_is_logged_as_such(entry, lines):
     await entry.use(
         support.RawTarget('t1', ['fail']),
         support.RawTarget('t2', ['fail']),
     )
     await entry.ask()
-    reasons = [one['choice']['reason'] for one in lines.of('request-sent')]
+    reasons = [line['choice']['reason'] for line in lines.of('request-sent')]
     assert reasons == ['first', 'again']
     assert lines.of('request-ended')[0]['attempts'] == 2
 
 
-async def test_a_choice_says_that_the_target_had_its_turn(entry, lines):
+async def test_a_choice_for_exploration_is_logged_as_such(entry, lines):
     await entry.use(support.RawTarget('t1'), support.RawTarget('t2'))
     pool = entry.shared.services.pool(support.SERVICE)
     now_s = entry.shared.clock.monotonic_s()
@@ -88,18 +90,20 @@
     assert (choice['target'], choice['reason']) == ('t2', 'turn')
 
 
-async def test_figures_tell_of_reasons_and_of_repeats(entry):
+async def test_metrics_count_reasons_and_retries(entry):
     await entry.use(support.RawTarget('t1', ['fail']))
     entry.shared.services.set_retry_burst(0)
     await entry.ask()
-    held = entry.shared.services
-    text = await entry.shared.metrics.text(request_metrics.service_gauges(held))
+    services = entry.shared.services
+    text = await entry.shared.metrics.text(
+        request_metrics.service_gauges(services)
+    )
     assert 'attempts_begun_total{reason="first",service="books"} 1' in text
     assert 'repeats_denied 1' in text
     assert 'repeats_granted 0' in text
 
 
-async def test_a_refusal_says_why(entry, lines):
+async def test_a_refusal_is_logged_with_its_error(entry, lines):
     await entry.use()
     await entry.ask()
     ended = lines.of('request-ended')[0]
@@ -108,13 +112,13 @@
     assert ended['targets'] == 0
 
 
-async def test_a_request_without_a_route_has_its_id_too(entry, lines):
+async def test_a_request_without_a_route_is_logged_with_its_id(entry, lines):
     await entry.ask('/nowhere/1')
     ended = lines.of('request-ended')[0]
     assert (ended['request_id'], ended['status']) == ('id-1', 404)
 
 
-async def test_a_caller_that_leaves_is_told_of(entry, lines):
+async def test_a_disconnected_caller_is_logged(entry, lines):
     target = support.RawTarget('t1', ['hang'])
     await entry.use(target)
     reader, writer = await asyncio.open_connection(
@@ -140,23 +144,26 @@
     assert 'sardinepier_request_duration_ms_count{service="books"} 2' in text
 
 
-async def test_failures_are_told_while_lines_of_attempts_are_dropped(
+async def test_failures_are_logged_while_lines_of_attempts_are_dropped(
     entry,
     lines,
 ):
-    told = decision_log.DecisionLog(entry.shared.services, entry.shared.clock)
+    decisions = decision_log.DecisionLog(
+        entry.shared.services,
+        entry.shared.clock,
+    )
     end = decision_log.End(events.Outcome.REFUSED, 503, 'NoTargetError', 'none')
-    allowed = [told._sent.allows() for _ in range(121)]
+    allowed = [decisions._sent.allows() for _ in range(121)]
     assert not allowed[-1]
-    told.log_ended('id-2', None, end)
+    decisions.log_ended('id-2', None, end)
     assert lines.of('request-ended')[0]['request_id'] == 'id-2'
-    told.log_dropped()
+    decisions.log_dropped()
     assert lines.of('lines-dropped') == [{'sent': 1, 'failed': 0}]
-    told.log_dropped()
+    decisions.log_dropped()
     assert len(lines.of('lines-dropped')) == 1
 
 
-async def test_what_a_target_says_of_itself_has_a_line_when_it_changes(
+async def test_a_statement_of_a_target_is_logged_when_it_changes(
     entry,
     lines,
 ):
@@ -165,8 +172,13 @@
     await entry.use(support.RawTarget('t1', ['ok', limited, limited, leaving]))
     for _ in range(4):
         await entry.ask()
-    told = [
-        (one['target'], one['limit_per_s'], one['is_leaving'], one['rest_ms'])
-        for one in lines.of('target-stated')
+    stated = [
+        (
+            line['target'],
+            line['limit_per_s'],
+            line['is_leaving'],
+            line['rest_ms'],
+        )
+        for line in lines.of('target-stated')
     ]
-    assert told == [('t1', 2.5, False, 0), ('t1', -1.0, True, 0)]
+    assert stated == [('t1', 2.5, False, 0), ('t1', -1.0, True, 0)]
--- a/libraries/entry/tests/cover/test_entry_routes.py
+++ b/libraries/entry/tests/cover/test_entry_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix, splits, and versions that only grow."""
+"""Routes by host and prefix, split routes, and versions that only grow."""
 
 import collections
 import random
@@ -25,7 +25,7 @@
     max_attempts=1,
 )
 
-PLACES = (
+LOOKUPS = (
     ('a.example', '/books/1', support.IDEMPOTENT_ROUTE),
     ('a.example', '/books/', support.IDEMPOTENT_ROUTE),
     ('a.example', '/books/new/1', LONGER),
@@ -40,7 +40,7 @@
 )
 
 
-@pytest.mark.parametrize(('host', 'path', 'expected'), PLACES)
+@pytest.mark.parametrize(('host', 'path', 'expected'), LOOKUPS)
 def test_the_longest_prefix_of_the_host_decides(host, path, expected):
     table = route_table.RouteTable(
         support.configuration(1, [support.IDEMPOTENT_ROUTE, LONGER, ELSEWHERE]),
@@ -54,20 +54,20 @@
     st.integers(1, 400),
     st.integers(0, 1000),
 )
-def test_a_split_holds_within_one_request_a_service(weights, count, seed):
+def test_a_split_is_exact_within_one_request_a_service(weights, count, seed):
     shares = tuple(
-        model.ServiceShare(ids.ServiceName(str(place)), float(weight))
-        for place, weight in enumerate(weights)
+        model.ServiceShare(ids.ServiceName(str(number)), float(weight))
+        for number, weight in enumerate(weights)
     )
     rotation = route_table.SplitRotation(shares, random.Random(seed))
-    taken = collections.Counter(rotation.next_service() for _ in range(count))
+    counts = collections.Counter(rotation.next_service() for _ in range(count))
     for share in shares:
         expected = count * share.weight / sum(weights)
-        # The random start moves each by less than one more.
-        assert abs(taken[share.service] - expected) < len(shares)
+        # The random starting point moves each count by less than one more.
+        assert abs(counts[share.service] - expected) < len(shares)
 
 
-def make_services():
+def make_registry():
     return service_registry.ServiceRegistry(
         support.ZONE,
         clocks.ManualClock(),
@@ -79,38 +79,40 @@
 
 @hypothesis.given(st.lists(st.integers(1, 9), max_size=20))
 def test_a_configuration_never_goes_back(versions):
-    held = make_services()
+    registry = make_registry()
     newest = 0
     for version in versions:
-        is_taken = held.offer_configuration(support.configuration(version))
-        assert is_taken is (version > newest)
+        is_applied = registry.offer_configuration(
+            support.configuration(version)
+        )
+        assert is_applied is (version > newest)
         newest = max(newest, version)
-        assert held.configuration.version == newest
+        assert registry.configuration.version == newest
 
 
 @hypothesis.given(st.lists(st.integers(1, 9), max_size=20))
 def test_a_target_list_never_goes_back(revisions):
-    held = make_services()
+    registry = make_registry()
     newest = 0
     for revision in revisions:
         name = f't{revision}'
-        held.offer_targets(
+        registry.offer_targets(
             model.TargetList(revision, (support.listed(name),)),
         )
         newest = max(newest, revision)
-        assert held.targets.revision == newest
-        pool = held.pool(support.SERVICE)
-        names = [one.listed.target_id for one in pool.targets.records()]
+        assert registry.targets.revision == newest
+        pool = registry.pool(support.SERVICE)
+        names = [record.listed.target_id for record in pool.targets.records()]
         assert names == [f't{newest}']
 
 
 def test_without_a_configuration_there_are_no_routes():
     with pytest.raises(refusals.NotConfiguredError):
-        make_services().routes()
+        make_registry().routes()
 
 
-def test_a_service_without_entries_loses_its_targets():
-    held = make_services()
-    held.offer_targets(model.TargetList(1, (support.listed('t1'),)))
-    held.offer_targets(model.TargetList(2, ()))
-    assert not held.pool(support.SERVICE).targets.records()
+def test_a_target_that_is_no_longer_listed_is_removed():
+    registry = make_registry()
+    registry.offer_targets(model.TargetList(1, (support.listed('t1'),)))
+    registry.offer_targets(model.TargetList(2, ()))
+    assert not registry.pool(support.SERVICE).targets.records()
--- a/libraries/entry/tests/entry_support.py
+++ b/libraries/entry/tests/entry_support.py
@@ -1,16 +1,12 @@
-"""Targets on raw sockets that misbehave on demand, and what they answer."""
+"""Targets on raw sockets with scripted answers, and requests to a daemon."""
 
 import asyncio
 import contextlib
 import socket
 import struct
 
-
 from sardinepier.core import ids
-from sardinepier.entry import (
-    header_names,
-    model,
-)
+from sardinepier.entry import header_names, model
 
 LOOPBACK = '127.0.0.1'
 SERVICE = ids.ServiceName('books')
@@ -18,24 +14,24 @@
 NAMES = header_names.HeaderNames()
 BODY = b'the whole answer'
 TIMEOUT_S = 20.0
-"""Far more than anything takes; only what never comes is waited for so long."""
+"""Far longer than any step of a test takes; a test that waits so long fails."""
 
 
-def route(prefix='/books/', kind=model.RouteKind.IDEMPOTENT, **changed):
-    figures = {
+def route(prefix='/books/', kind=model.RouteKind.IDEMPOTENT, **overrides):
+    fields = {
         'timeout_s': 5.0,
         'target_latency_s': 1.0,
         'priority': 1,
         'max_attempts': 2,
         'shares': (model.ServiceShare(SERVICE, 1.0),),
-        **changed,
+        **overrides,
     }
     return model.Route(
         name=ids.RouteName(prefix),
         host='a.example',
         prefix=prefix,
         kind=kind,
-        **figures,
+        **fields,
     )
 
 
@@ -44,35 +40,37 @@
 
 
 def configuration(
-    version=1, routes=(IDEMPOTENT_ROUTE, NON_IDEMPOTENT_ROUTE), **changed
+    version=1, routes=(IDEMPOTENT_ROUTE, NON_IDEMPOTENT_ROUTE), **overrides
 ):
     return model.ServedConfiguration(
         version,
         tuple(routes),
         (model.Service(SERVICE, '/health', 100),),
-        **changed,
+        **overrides,
     )
 
 
-def listed(target_id, port=1, **changed):
-    figures = {
+def listed(target_id, port=1, **overrides):
+    fields = {
         'service': SERVICE,
         'ip': LOOPBACK,
         'port': port,
         'zone': ZONE,
         'slots': 3,
         'state': model.TargetState.READY,
-        **changed,
+        **overrides,
     }
-    return model.ListedTarget(target_id=ids.TargetId(target_id), **figures)
+    return model.ListedTarget(target_id=ids.TargetId(target_id), **fields)
 
 
 class RawTarget:
-    """A target whose next answers are scripted, ``behaviours`` in turn.
+    """A target that answers one request after another as ``behaviours`` say.
 
-    Each is a name in ``ANSWERS`` or a function from the name of an attempt to the
-    bytes of its answer. The last one stays in force. Each request that it reads is kept, and
-    those that it works on are counted as run.
+    Each behaviour is a name in ``ANSWERS``, ``hang``, ``reset``, or a function
+    from the attempt's ID to the bytes of the answer. The last one is used for
+    all further requests. ``seen`` holds each received request as request line,
+    headers and body. ``ran`` counts those that the target ran, which excludes
+    the behaviours ``shed`` and ``other``.
     """
 
     def __init__(self, name, behaviours=('ok',)):
@@ -112,7 +110,7 @@
         writer.close()
 
     async def _answer(self, behaviour, headers, reader, writer):
-        """Do as ``behaviour`` says; True when the connection stays open."""
+        """Follow ``behaviour``; return whether the connection stays open."""
         self.ran += behaviour not in {'shed', 'other'}
         echo = headers.get(NAMES.attempt_id, '')
         if behaviour == 'hang':
@@ -128,11 +126,11 @@
             await writer.drain()
             await asyncio.sleep(0.05)
             linger_off(writer)
-        return behaviour not in ENDING
+        return behaviour not in CLOSING_BEHAVIOURS
 
 
 def linger_off(writer):
-    """Close so that the peer sees a reset instead of an end."""
+    """Close the connection by a reset instead of a normal end."""
     sock = writer.get_extra_info('socket')
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
@@ -171,50 +169,58 @@
     ),
     'closing': lambda echo: answer(echo, extra='Connection: close'),
 }
-"""What a target writes, by its behaviour."""
+"""The function that makes the answer of each behaviour."""
 
 
 def with_headers(*lines, status='200 OK'):
-    """Return a behaviour whose answers have further header lines."""
+    """Return a behaviour whose answers have ``lines`` as further headers."""
     return lambda echo: answer(echo, status, extra='\r\n'.join(lines))
 
 
-ENDING = frozenset(('short', 'garbage', 'until-end', 'until-reset', 'closing'))
-"""Behaviours after which the target ends the connection."""
+CLOSING_BEHAVIOURS = frozenset(
+    ('short', 'garbage', 'until-end', 'until-reset', 'closing')
+)
+"""Behaviours after which the target closes the connection."""
 
 
 async def wait_until(condition):
-    """Wait until ``condition`` holds; fail if it never does."""
+    """Wait until ``condition`` returns true; fail after ``TIMEOUT_S``."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 class Entry:
-    """One daemon's request path, with targets started by the test."""
+    """One daemon's request path, with targets that the test starts.
+
+    ``use`` starts targets and publishes them as the target list. ``ask`` sends
+    a request. ``ran`` counts the requests that these targets ran.
+    """
 
     def __init__(self, shared, server, port):
         self.shared = shared
         self.server = server
         self.port = port
         self.targets = []
-        self.lists = 0
+        self.list_revision = 0
 
     async def use(self, *targets):
-        self.lists += 1
+        self.list_revision += 1
         for target in targets:
             if target.server is None:
                 await target.start()
         self.targets = list(targets)
         self.shared.services.offer_targets(
             model.TargetList(
-                self.lists,
-                tuple(listed(one.name, one.port) for one in targets),
+                self.list_revision,
+                tuple(
+                    listed(started.name, started.port) for started in targets
+                ),
             ),
         )
 
     async def ask(self, path='/books/1', method='GET', body=b'', **headers):
-        """Return status, headers and body of one request, read raw."""
+        """Send one request; return the status, headers and body of the answer."""
         reader, writer = await asyncio.open_connection(LOOPBACK, self.port)
         writer.write(request(path, method, body, **headers))
         reply = await read_answer(reader)
@@ -227,16 +233,16 @@
 
 
 def request(path='/books/1', method='GET', body=b'', **headers):
-    named = {
+    all_headers = {
         'Host': 'a.example',
         NAMES.attempt_id: 'id-1',
         NAMES.deadline_ms: '2000',
         **headers,
     }
     if body:
-        named['Content-Length'] = str(len(body))
+        all_headers['Content-Length'] = str(len(body))
     lines = [f'{method} {path} HTTP/1.1']
-    lines.extend(f'{name}: {text}' for name, text in named.items())
+    lines.extend(f'{name}: {text}' for name, text in all_headers.items())
     head = '\r\n'.join(lines).encode()
     return b'\r\n\r\n'.join((head, body))
 
