--- a/libraries/entry/src/sardinepier/entry/attempt.py
+++ b/libraries/entry/src/sardinepier/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to run a request at one target."""
+"""One attempt at one target, from connecting to the end of the answer."""
 
 import asyncio
 import contextlib
--- a/libraries/entry/src/sardinepier/entry/buffer_budget.py
+++ b/libraries/entry/src/sardinepier/entry/buffer_budget.py
@@ -22,8 +22,8 @@
 anyway."""
 
 _REMAINING_BUDGET_DIVISOR: Final = 8
-"""An answer may take this fraction of the remaining budget, so that the budget
-is never used up by one."""
+"""An answer may take the remaining budget divided by this, so that the budget is
+never quite used up."""
 
 
 class BufferBudget:
--- a/libraries/entry/src/sardinepier/entry/events.py
+++ b/libraries/entry/src/sardinepier/entry/events.py
@@ -16,7 +16,7 @@
     """A target answered with a status below 500."""
 
     TARGET_FAILED = 'target_failed'
-    """A target answered with a server error, which was forwarded."""
+    """A target answered with a status of 500 or above, which was forwarded."""
 
     REFUSED = 'refused'
     """The daemon answered with an error; nothing ran."""
--- a/libraries/entry/src/sardinepier/entry/request_reader.py
+++ b/libraries/entry/src/sardinepier/entry/request_reader.py
@@ -24,8 +24,8 @@
 started: reading it takes a few hundredths of a second."""
 
 _BODY_TIMEOUT_S: Final = 30.0
-"""The longest that a caller is taken to wait, which bounds reading its body;
-also the default for a caller that states no deadline."""
+"""Upper limit of a caller's timeout, which also bounds reading its body. It is the
+default for a caller that states no deadline."""
 
 
 class RequestReader:
