--- a/libraries/cli/src/sardinepier/cli/addresses.py
+++ b/libraries/cli/src/sardinepier/cli/addresses.py
@@ -27,7 +27,7 @@
             f'good for {self.valid_s:g} s',
         )
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Say so when there is no address."""
         if self.addresses:
             return ()
--- a/libraries/cli/src/sardinepier/cli/check.py
+++ b/libraries/cli/src/sardinepier/cli/check.py
@@ -54,7 +54,7 @@
             written.extend(tables.indented(map(_line, found.problems)))
         return tuple(written)
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Mistakes are the result, not trouble on the way to it."""
         return ()
 
@@ -128,7 +128,7 @@
             'Check the files of one fleet at a time',
         )
     for fleet in fleets[:1]:
-        yield from parsing.check_together(fleet, services)
+        yield from parsing.check_across_files(fleet, services)
         for instance in right:
             if isinstance(instance, model.InstanceSettings):
                 yield from parsing.check_instance(instance, fleet)
--- a/libraries/cli/src/sardinepier/cli/client.py
+++ b/libraries/cli/src/sardinepier/cli/client.py
@@ -18,7 +18,7 @@
 Answer = TypeVar('Answer')
 Query = Mapping[str, str]
 
-LOST: Final = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+EXCHANGE_ERRORS: Final = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 """All ways in which an exchange ends without a whole answer."""
 
 
@@ -80,7 +80,7 @@
         """
         try:
             status, text = await self._fetch(daemon, path, query)
-        except LOST as problem:
+        except EXCHANGE_ERRORS as problem:
             raise errors.UnreachableDaemonError(
                 f'{daemon} gave no whole answer ({describe(problem)})',
                 'Check the address, and that the daemon runs',
--- a/libraries/cli/src/sardinepier/cli/commands.py
+++ b/libraries/cli/src/sardinepier/cli/commands.py
@@ -15,7 +15,7 @@
     status,
     timeline,
 )
-from sardinepier.cli.from_files import day, explain
+from sardinepier.cli.from_files import explain, log_timeline
 from sardinepier.cli.internal import options
 
 _INTERVAL_S: Final = 1.0
@@ -126,11 +126,11 @@
             follow: Keep asking, and print events as they come in.
             for_s: For how long to follow.
         """
-        options.one_source(daemons, log_files)
+        options.require_one_source(daemons, log_files)
         if log_files:
             return self._invocation(
                 functools.partial(
-                    day.report,
+                    log_timeline.report,
                     log_files,
                     picture,
                 ),
@@ -149,7 +149,7 @@
                 asked,
                 after,
                 self._timeout_s,
-                timeline.Following(for_s, _INTERVAL_S, not self._json),
+                timeline.FollowOptions(for_s, _INTERVAL_S, not self._json),
             )
         return self._invocation(execute)
 
@@ -197,7 +197,7 @@
         headers = request.body_headers(body)
         if caller:
             headers[self._caller_header] = options.header_value(caller)
-        order = request.Order(
+        spec = request.RequestSpec(
             method=options.method(method),
             path=options.path(path),
             service=options.service(service),
@@ -208,7 +208,7 @@
         )
 
         return self._invocation(
-            functools.partial(request.report, asked, order, self._timeout_s),
+            functools.partial(request.report, asked, spec, self._timeout_s),
         )
 
     def _invocation(
--- a/libraries/cli/src/sardinepier/cli/from_files/explain.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/explain.py
@@ -86,7 +86,7 @@
         for known in self.known:
             yield _text(f'{known.age_ms} ms before', known)
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Return what makes the report unsure."""
         return self.unsure
 
@@ -122,7 +122,7 @@
         because,
         tuple(_step(line, own[0]) for line in own),
         tuple(_known(own, found.lines)),
-        found.complaints(),
+        found.diagnostics(),
     )
 
 
--- a/libraries/cli/src/sardinepier/cli/from_files/log_files.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/log_files.py
@@ -36,7 +36,7 @@
     broken: int
     stepped_back: tuple[str, ...]
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Return a sentence for each thing that makes the lines unsure."""
         found = []
         if self.broken:
--- a/libraries/cli/src/sardinepier/cli/from_files/day.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/log_timeline.py
@@ -11,11 +11,11 @@
 _REQUESTS: Final = frozenset(
     ('request-sent', 'attempt-failed', 'request-ended', 'lines-dropped'),
 )
-_PLOTS: Final = 'sardinepier.cli.from_files.day_plot'
+_PLOTS: Final = 'sardinepier.cli.from_files.log_plot'
 """Imported when a picture is wanted: its library takes half a second."""
 
 
-class DayReport(msgspec.Struct, frozen=True):
+class LogTimelineReport(msgspec.Struct, frozen=True):
     """What the daemons did and came to know, by the times of their lines.
 
     Lines about single requests are left out: ``explain`` shows them.
@@ -29,7 +29,7 @@
         """Return a line for each entry."""
         return tuple(map(_text, self.entries))
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Return what makes the order unsure."""
         return self.unsure
 
@@ -42,7 +42,7 @@
     paths: Sequence[str],
     picture: str,
     _: context.Context,
-) -> DayReport:
+) -> LogTimelineReport:
     """Merge the lines of the files; draw them to ``picture`` if it is named.
 
     Raises ``UsageError``.
@@ -50,9 +50,9 @@
     found = log_files.read(paths)
     if picture:
         importlib.import_module(_PLOTS).draw(found.lines, picture)
-    return DayReport(
+    return LogTimelineReport(
         tuple(line for line in found.lines if line.event not in _REQUESTS),
-        found.complaints(),
+        found.diagnostics(),
         picture,
     )
 
--- a/libraries/cli/src/sardinepier/cli/internal/single_sending.py
+++ b/libraries/cli/src/sardinepier/cli/internal/no_resend.py
@@ -3,7 +3,7 @@
 import aiohttp
 
 
-class SingleSending:
+class NoResend:
     """A client middleware for exactly one request.
 
     After a lost connection aiohttp sends GET, PUT, DELETE and a few other
--- a/libraries/cli/src/sardinepier/cli/internal/options.py
+++ b/libraries/cli/src/sardinepier/cli/internal/options.py
@@ -79,7 +79,7 @@
     return paths
 
 
-def one_source(daemons: str, log_files: tuple[str, ...]) -> None:
+def require_one_source(daemons: str, log_files: tuple[str, ...]) -> None:
     """Raise ``UsageError`` unless just one of the two is there."""
     if bool(daemons) == bool(log_files):
         raise errors.UsageError(
--- a/libraries/cli/src/sardinepier/cli/main.py
+++ b/libraries/cli/src/sardinepier/cli/main.py
@@ -145,7 +145,7 @@
     else:
         for line in report.lines():
             around.write(line)
-    for complaint in report.complaints():
+    for complaint in report.diagnostics():
         around.write_error(complaint)
     return report.exit_code()
 
--- a/libraries/cli/src/sardinepier/cli/reports.py
+++ b/libraries/cli/src/sardinepier/cli/reports.py
@@ -14,7 +14,7 @@
         """Return the form for people, for standard output."""
         ...
 
-    def complaints(self) -> Iterable[str]:
+    def diagnostics(self) -> Iterable[str]:
         """Return what went wrong on the way, for standard error."""
         ...
 
--- a/libraries/cli/src/sardinepier/cli/request.py
+++ b/libraries/cli/src/sardinepier/cli/request.py
@@ -16,7 +16,7 @@
     errors,
     exit_codes,
 )
-from sardinepier.cli.internal import single_sending, tables
+from sardinepier.cli.internal import no_resend, tables
 from sardinepier.core import outcomes
 
 MAX_RESENDS: Final = 2
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class RequestSpec:
     """What to send. ``once`` asks for a key and allows resends."""
 
     method: str
@@ -81,7 +81,7 @@
             written.extend(('', tables.plain(self.body)))
         return tuple(written)
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Return the reason and remedy of the last answer, if any."""
         last = self.attempts[-1]
         if self.exit_code() is exit_codes.ExitCode.OK or not last.detail:
@@ -101,7 +101,7 @@
 
 async def report(
     daemon: endpoints.Endpoint,
-    order: Order,
+    spec: RequestSpec,
     timeout_s: float,
     around: context.Context,
 ) -> RequestReport:
@@ -114,15 +114,15 @@
     async with client.open_session(timeout_s) as session:
         answer = await client.DaemonClient(session).addresses(
             daemon,
-            order.service,
-            order.zone,
+            spec.service,
+            spec.zone,
         )
         if not answer.addresses:
             raise errors.RefusedError(
-                f'{daemon} knows no daemon that serves {order.service}',
+                f'{daemon} knows no daemon that serves {spec.service}',
                 'Ask another daemon',
             )
-        sender = _Sender(session, order, part)
+        sender = _Sender(session, spec, part)
         return await sender.send_all(answer.addresses)
 
 
@@ -132,11 +132,11 @@
     def __init__(
         self,
         session: aiohttp.ClientSession,
-        order: Order,
+        spec: RequestSpec,
         caller_part: str,
     ) -> None:
         self._session = session
-        self._order = order
+        self._spec = spec
         self._caller_part = caller_part
         self._key = ''
         self._may_have_run = False
@@ -148,7 +148,7 @@
     ) -> RequestReport:
         for number in range(1 + MAX_RESENDS):
             address = known[number % len(known)]
-            if self._order.once and not self._may_have_run:
+            if self._spec.once and not self._may_have_run:
                 # The key is bound to the home that its ticket names. As long
                 # as nothing can have run, another home is as good.
                 self._key = f'{address.ticket}.{self._caller_part}'
@@ -163,7 +163,7 @@
             return True
         if attempt.outcome is outcomes.Outcome.UNKNOWN:
             self._may_have_run = True
-            return not self._order.once
+            return not self._spec.once
         # Not run: an answer that says so is final, a failed connection is
         # not. After an unknown sending it speaks for this sending alone.
         return attempt.status is not None and not self._may_have_run
@@ -182,7 +182,7 @@
         )
 
     async def _send(self, daemon: endpoints.Endpoint) -> Attempt:
-        headers = dict(self._order.headers)
+        headers = dict(self._spec.headers)
         if self._key:
             headers[_KEY_HEADER] = self._key
         try:
@@ -190,7 +190,7 @@
         except aiohttp.ClientConnectorError as problem:
             # No connection, so nothing was written: it is proved not run.
             return _lost(daemon, problem, outcomes.Outcome.NOT_RUN)
-        except client.LOST as problem:
+        except client.EXCHANGE_ERRORS as problem:
             return _lost(daemon, problem, outcomes.Outcome.UNKNOWN)
         except errors.BadAnswerError as problem:
             return _lost(daemon, problem, outcomes.Outcome.UNKNOWN)
@@ -200,16 +200,16 @@
         daemon: endpoints.Endpoint,
         headers: dict[str, str],
     ) -> Attempt:
-        order = self._order
-        path = order.path.lstrip('/')
+        spec = self._spec
+        path = spec.path.lstrip('/')
         async with self._session.request(
-            order.method,
+            spec.method,
             # As it was written: `a/../b` must not leave the service's paths.
-            yarl.URL(f'http://{daemon}/{order.service}/{path}', encoded=True),
-            data=order.body.encode() or None,
+            yarl.URL(f'http://{daemon}/{spec.service}/{path}', encoded=True),
+            data=spec.body.encode() or None,
             headers=headers,
             allow_redirects=False,
-            middlewares=(single_sending.SingleSending(),),
+            middlewares=(no_resend.NoResend(),),
         ) as answer:
             return _answered(daemon, answer, await client.read_bounded(answer))
 
--- a/libraries/cli/src/sardinepier/cli/status.py
+++ b/libraries/cli/src/sardinepier/cli/status.py
@@ -49,7 +49,7 @@
         )
         return tuple(written)
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Return a line for each daemon that did not answer."""
         return tuple(map(str, self.unanswered))
 
--- a/libraries/cli/src/sardinepier/cli/timeline.py
+++ b/libraries/cli/src/sardinepier/cli/timeline.py
@@ -32,7 +32,7 @@
         """Return a line for each entry."""
         return tuple(map(timeline_text.entry_line, self.entries))
 
-    def complaints(self) -> tuple[str, ...]:
+    def diagnostics(self) -> tuple[str, ...]:
         """Return a line for each gap."""
         return (
             *(
@@ -59,15 +59,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Following:
+class FollowOptions:
     """How to keep asking: for how long, how often, and where to write.
 
-    ``written`` says whether entries are written while they come in.
+    ``prints_entries`` says whether entries are written while they come in.
     """
 
     for_s: float
     interval_s: float
-    written: bool
+    prints_entries: bool
 
 
 async def report(
@@ -87,7 +87,7 @@
     daemons: Sequence[endpoints.Endpoint],
     since: stamps.Stamp | None,
     timeout_s: float,
-    following: Following,
+    follow_options: FollowOptions,
     around: context.Context,
 ) -> TimelineReport:
     """Keep asking all ``daemons`` until the time is over.
@@ -95,19 +95,19 @@
     Each round is merged for itself, so a line written later may carry an
     earlier stamp; the report holds all entries in their order.
     """
-    deadline_s = around.clock.monotonic_s() + following.for_s
+    deadline_s = around.clock.monotonic_s() + follow_options.for_s
     async with client.open_session(timeout_s) as session:
         asker = _Asker(client.DaemonClient(session), daemons, since)
         while True:
             gathered = await asker.ask()
-            if following.written:
+            if follow_options.prints_entries:
                 for entry in asker.newest:
                     around.write(timeline_text.entry_line(entry))
             left_s = deadline_s - around.clock.monotonic_s()
             if left_s <= 0:
                 break
-            await around.sleep(min(left_s, following.interval_s))
-    kind = FollowedReport if following.written else TimelineReport
+            await around.sleep(min(left_s, follow_options.interval_s))
+    kind = FollowedReport if follow_options.prints_entries else TimelineReport
     return kind(asker.entries, _dropped(gathered), asker.unanswered)
 
 
--- a/libraries/cli/tests/cover/test_cli_reference.py
+++ b/libraries/cli/tests/cover/test_cli_reference.py
@@ -13,7 +13,7 @@
     timeline,
 )
 from sardinepier.cli import status as status_command
-from sardinepier.cli.from_files import day, explain
+from sardinepier.cli.from_files import explain, log_timeline
 from sardinepier.telemetry import events, status
 
 PAGE = pathlib.Path(__file__).parents[4] / 'docs' / 'command-line.md'
@@ -21,7 +21,7 @@
     addresses.AddressesReport,
     check.CheckReport,
     check.Mistake,
-    day.DayReport,
+    log_timeline.LogTimelineReport,
     explain.ExplainReport,
     explain.Known,
     explain.Step,
--- a/libraries/configuration/src/sardinepier/configuration/internal/watchers.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/watchers.py
@@ -39,7 +39,9 @@
         own = self._view.own.daemon_id
         if own not in chosen:
             return None
-        return rendezvous.first(f'read/{name}', chosen, len(chosen)).index(own)
+        return rendezvous.top_candidates(
+            f'read/{name}', chosen, len(chosen)
+        ).index(own)
 
     def share(self) -> shares.InstanceShare | None:
         """Return the share of the instance list that falls to this daemon.
@@ -88,4 +90,4 @@
     count: int,
 ) -> tuple[str, ...]:
     candidates = [member.daemon_id for member in serving if member.zone == zone]
-    return rendezvous.first(f'watch/{zone}', candidates, count)
+    return rendezvous.top_candidates(f'watch/{zone}', candidates, count)
--- a/libraries/configuration/src/sardinepier/configuration/store.py
+++ b/libraries/configuration/src/sardinepier/configuration/store.py
@@ -144,7 +144,7 @@
         if self.current is None:
             return alone
         services = tuple(self.current.services.values())
-        return alone + parsing.check_together(self.current.fleet, services)
+        return alone + parsing.check_across_files(self.current.fleet, services)
 
     def on_change(self, callback: ChangeCallback) -> None:
         """Call ``callback`` with each new ``current``."""
--- a/libraries/core/src/sardinepier/core/rendezvous.py
+++ b/libraries/core/src/sardinepier/core/rendezvous.py
@@ -15,11 +15,13 @@
     return int(xxhash.xxh3_64_intdigest(f'{key}\x00{candidate}'.encode()))
 
 
-def first(key: str, candidates: Iterable[str], count: int) -> tuple[str, ...]:
+def top_candidates(
+    key: str, candidates: Iterable[str], count: int
+) -> tuple[str, ...]:
     """Return the ``count`` best candidates for ``key``, best first.
 
     Two daemons with the same candidates get the same answer. For example
-    ``first('deposits', ('d1', 'd2', 'd3'), 2)`` names two of the three.
+    ``top_candidates('deposits', ('d1', 'd2', 'd3'), 2)`` names two of the three.
     """
     return tuple(
         heapq.nlargest(
--- a/libraries/core/tests/cover/test_core_rendezvous.py
+++ b/libraries/core/tests/cover/test_core_rendezvous.py
@@ -14,15 +14,15 @@
 ):
     shuffled = list(names)
     random_source.shuffle(shuffled)
-    chosen = rendezvous.first(key, names, count)
-    assert chosen == rendezvous.first(key, shuffled, count)
+    chosen = rendezvous.top_candidates(key, names, count)
+    assert chosen == rendezvous.top_candidates(key, shuffled, count)
     assert len(chosen) == min(count, len(names))
 
 
 @given(st.text(), _NAMES.filter(bool), st.integers(min_value=1, max_value=5))
 def test_a_candidate_that_goes_only_moves_its_own_place(key, names, count):
-    chosen = rendezvous.first(key, names, count)
+    chosen = rendezvous.top_candidates(key, names, count)
     gone = names[0]
     remaining = [name for name in names if name != gone]
-    chosen_after = rendezvous.first(key, remaining, count)
+    chosen_after = rendezvous.top_candidates(key, remaining, count)
     assert set(chosen) - {gone} <= set(chosen_after)
--- a/libraries/daemon/tests/cover/test_daemon_rejoining.py
+++ b/libraries/daemon/tests/cover/test_daemon_rejoining.py
@@ -24,9 +24,9 @@
     )
     longest_ms = sender.getsockopt(zmq.RECONNECT_IVL_MAX)
     context.destroy(linger=0)
-    assert longest_ms == limits.LONGEST_RECONNECT_S * _MS_PER_S
+    assert longest_ms == limits.MAX_RECONNECT_INTERVAL_S * _MS_PER_S
 
 
 def test_peers_connect_anew_within_half_of_the_wait_for_them():
     waits = options.DistributorOptions()
-    assert 2 * limits.LONGEST_RECONNECT_S <= waits.peer_wait_s
+    assert 2 * limits.MAX_RECONNECT_INTERVAL_S <= waits.peer_wait_s
--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -135,8 +135,8 @@
 
     def log_dropped(self) -> None:
         """Tell how many lines were left out since the last call, if any."""
-        sent = self._sent.take_dropped()
-        failed = self._failed.take_dropped()
+        sent = self._sent.pop_dropped_count()
+        failed = self._failed.pop_dropped_count()
         if sent or failed:
             logs.write(events.LinesDropped(sent=sent, failed=failed))
 
--- a/libraries/membership/tests/cover/test_membership_groups.py
+++ b/libraries/membership/tests/cover/test_membership_groups.py
@@ -49,7 +49,7 @@
             for member in view.seen
             if member.zone == zone
         }
-        best = rendezvous.first(service, named, per_zone)
+        best = rendezvous.top_candidates(service, named, per_zone)
         group.extend(named[daemon_id] for daemon_id in best)
     return tuple(group)
 
--- a/libraries/platform/src/sardinepier/platform/shares.py
+++ b/libraries/platform/src/sardinepier/platform/shares.py
@@ -18,7 +18,7 @@
 from sardinepier.core import errors as core_errors
 from sardinepier.core import ids
 
-MOST_PARTS: Final = 4096
+MAX_PARTS: Final = 4096
 """The list is never divided into more parts."""
 
 _PARTS: Final = 'parts'
@@ -26,7 +26,7 @@
 _DAEMONS: Final = 'daemons'
 _MOST_DIGITS: Final = 4
 
-_PartCount = Annotated[int, msgspec.Meta(ge=1, le=MOST_PARTS)]
+_PartCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_PARTS)]
 
 
 class InstanceShare(msgspec.Struct, frozen=True):
@@ -117,11 +117,11 @@
 
 
 def _check_parts(parts: int) -> None:
-    if parts in range(1, MOST_PARTS + 1):
+    if parts in range(1, MAX_PARTS + 1):
         return
     raise core_errors.InvalidArgumentError(
         f'The instance list is asked for in {parts} parts',
-        f'Ask for 1 to {MOST_PARTS} parts',
+        f'Ask for 1 to {MAX_PARTS} parts',
     )
 
 
--- a/libraries/routing/src/sardinepier/routing/internal/home_slots.py
+++ b/libraries/routing/src/sardinepier/routing/internal/home_slots.py
@@ -44,7 +44,9 @@
     names = [one.target_id for one in in_order]
     for daemon, own in homes.items():
         if names and not own:
-            own[ids.TargetId(rendezvous.first(daemon, names, 1)[0])] = 1
+            own[
+                ids.TargetId(rendezvous.top_candidates(daemon, names, 1)[0])
+            ] = 1
     return homes
 
 
@@ -57,4 +59,4 @@
         # The equal shares are dealt out; the rest is one more for some.
         with_room = list(room)
         room.update(dict.fromkeys(room, 1))
-    return ids.InstanceId(rendezvous.first(slot, with_room, 1)[0])
+    return ids.InstanceId(rendezvous.top_candidates(slot, with_room, 1)[0])
--- a/libraries/routing/src/sardinepier/routing/limit_parts.py
+++ b/libraries/routing/src/sardinepier/routing/limit_parts.py
@@ -34,5 +34,5 @@
     of them all of 2 a second.
     """
     if limit_per_s < _LEAST_PART_PER_S * len(senders):
-        senders = rendezvous.first(ranking_key(target_id), senders, 1)
+        senders = rendezvous.top_candidates(ranking_key(target_id), senders, 1)
     return 1 / len(senders) if own in senders else 0.0
--- a/libraries/settings/src/sardinepier/settings/internal/addresses.py
+++ b/libraries/settings/src/sardinepier/settings/internal/address_types.py
@@ -8,7 +8,7 @@
 import pydantic
 
 from sardinepier.settings import model
-from sardinepier.settings.internal import kinds, numbers, rejection
+from sardinepier.settings.internal import kinds, number_types, rejection
 
 _PORT_TEXT: Final = re.compile('[0-9]{1,5}')
 
@@ -22,9 +22,9 @@
     try:
         address = ipaddress.IPv4Address(text)
     except ipaddress.AddressValueError as error:
-        raise rejection.not_a(text, _ADDRESS_KIND) from error
+        raise rejection.not_of_kind(text, _ADDRESS_KIND) from error
     if address.is_unspecified or address.is_multicast:
-        raise rejection.not_a(text, _ADDRESS_KIND)
+        raise rejection.not_of_kind(text, _ADDRESS_KIND)
     return str(address)
 
 
@@ -43,10 +43,10 @@
 def _read_seed(word: str) -> model.PeerSeed:
     ip, _, port = word.rpartition(':')
     if _PORT_TEXT.fullmatch(port) is None:
-        raise rejection.not_a(word, _SEED_KIND)
+        raise rejection.not_of_kind(word, _SEED_KIND)
     number = int(port)
-    if not 1 <= number <= numbers.MAX_PORT:
-        raise rejection.not_a(word, _SEED_KIND)
+    if not 1 <= number <= number_types.MAX_PORT:
+        raise rejection.not_of_kind(word, _SEED_KIND)
     return model.PeerSeed(ip=_check_ip(ip), port=number)
 
 
@@ -72,19 +72,19 @@
         parts = url_parse.urlsplit(word)
         has_place = bool(parts.hostname) and parts.port != 0
     except ValueError as error:
-        raise rejection.not_a(word, _URLS_KIND) from error
+        raise rejection.not_of_kind(word, _URLS_KIND) from error
     plain = f'{parts.scheme}://{parts.netloc}{parts.path}'
     if parts.scheme not in _SCHEMES or not has_place:
-        raise rejection.not_a(word, _URLS_KIND)
+        raise rejection.not_of_kind(word, _URLS_KIND)
     if plain != word or '@' in parts.netloc:
-        raise rejection.not_a(word, _URLS_KIND)
+        raise rejection.not_of_kind(word, _URLS_KIND)
     return word.rstrip('/')
 
 
 def _read_urls(text: str) -> tuple[str, ...]:
     urls = tuple(_read_url(word) for word in text.split())
     if not urls:
-        raise rejection.not_a(text, _URLS_KIND)
+        raise rejection.not_of_kind(text, _URLS_KIND)
     return urls
 
 
--- a/libraries/settings/src/sardinepier/settings/internal/checking.py
+++ b/libraries/settings/src/sardinepier/settings/internal/checking.py
@@ -14,7 +14,7 @@
     kinds,
     rejection,
     schema,
-    words,
+    text_types,
 )
 
 SectionT = TypeVar('SectionT', bound=schema.Section)
@@ -142,13 +142,13 @@
         return f'Write {display.listed(allowed)}'
 
     def _check_name(self, title: str, name: str) -> None:
-        if words.is_name(name):
+        if text_types.is_name(name):
             return
         self.report(
             display.plain(title),
             None,
-            f'{display.quoted(name)} is not {words.NAME_KIND.phrase}',
-            f'Write {words.NAME_KIND.phrase} after one blank',
+            f'{display.quoted(name)} is not {text_types.NAME_KIND.phrase}',
+            f'Write {text_types.NAME_KIND.phrase} after one blank',
         )
 
     def _check(
--- a/libraries/settings/src/sardinepier/settings/internal/rejection.py
+++ b/libraries/settings/src/sardinepier/settings/internal/rejection.py
@@ -12,7 +12,7 @@
     """
 
 
-def not_a(text: str, kind: kinds.Kind) -> RejectedValueError:
+def not_of_kind(text: str, kind: kinds.Kind) -> RejectedValueError:
     """Give the error for text which is not of the kind at all."""
     return RejectedValueError(
         f'{display.quoted(text)} is not {kind.phrase}',
--- a/libraries/settings/src/sardinepier/settings/internal/schema.py
+++ b/libraries/settings/src/sardinepier/settings/internal/schema.py
@@ -9,7 +9,11 @@
 import pydantic
 
 from sardinepier.settings import model
-from sardinepier.settings.internal import addresses, numbers, words
+from sardinepier.settings.internal import (
+    address_types,
+    number_types,
+    text_types,
+)
 
 
 # Defaults that stand for "the same as the daemon's own". They lie outside
@@ -31,113 +35,113 @@
 class FleetSection(Section):
     """What all daemons of the fleet share."""
 
-    name: words.Name
+    name: text_types.Name
     """The name of the fleet, shown in logs and in the status."""
 
-    caller_header: words.HeaderName = 'Sardinepier-Caller'
+    caller_header: text_types.HeaderName = 'Sardinepier-Caller'
     """The request header that names the caller, for limits a caller."""
 
-    addresses_per_answer: numbers.SmallCount = 3
+    addresses_per_answer: number_types.SmallCount = 3
     """How many addresses a caller gets when it asks for some."""
 
-    addresses_valid_s: numbers.Seconds = 30.0
+    addresses_valid_s: number_types.Seconds = 30.0
     """How long a caller may keep the addresses that it got."""
 
-    ticket_epoch_s: numbers.Seconds = 30.0
+    ticket_epoch_s: number_types.Seconds = 30.0
     """The length of the epochs in which a daemon counts a ticket's age."""
 
-    ticket_valid_epochs: numbers.Count = 10
+    ticket_valid_epochs: number_types.Count = 10
     """For how many epochs a ticket admits new non-idempotent requests."""
 
-    record_capacity: numbers.Count = 100_000
+    record_capacity: number_types.Count = 100_000
     """How many non-idempotent requests a daemon remembers at most."""
 
-    record_capacity_bytes: numbers.TableBytes = 33_554_432
+    record_capacity_bytes: number_types.TableBytes = 33_554_432
     """How much memory their recorded answers take at most."""
 
-    heartbeat_interval_ms: numbers.Milliseconds = 1000
+    heartbeat_interval_ms: number_types.Milliseconds = 1000
     """The time between two heartbeats to each monitored peer."""
 
-    monitored_peers: numbers.SmallCount = 4
+    monitored_peers: number_types.SmallCount = 4
     """How many peers each daemon monitors, whatever the size of the fleet."""
 
-    suspicion_timeout_ms: numbers.Milliseconds = 5000
+    suspicion_timeout_ms: number_types.Milliseconds = 5000
     """How long a suspected daemon has to refute the suspicion."""
 
-    wake_gap_ms: numbers.Milliseconds = 500
+    wake_gap_ms: number_types.Milliseconds = 500
     """A daemon that stood still for longer takes itself for paused."""
 
-    configuration_watchers_per_zone: numbers.SmallCount = 2
+    configuration_watchers_per_zone: number_types.SmallCount = 2
     """How many daemons of a zone keep a watch open at the platform."""
 
-    platform_reads_per_s: numbers.Rate = 5.0
+    platform_reads_per_s: number_types.Rate = 5.0
     """How many calls a second one daemon makes to the platform at most."""
 
-    shutdown_grace_s: numbers.Seconds = 60.0
+    shutdown_grace_s: number_types.Seconds = 60.0
     """How long a daemon that stops goes on serving before it ends."""
 
 
 class ZoneSection(Section):
     """An availability zone. The title carries its name."""
 
-    region: words.Name
+    region: text_types.Name
     """The region to which the zone belongs."""
 
 
 class ServiceSection(Section):
     """What holds for the service as a whole."""
 
-    name: words.ServiceNameText
+    name: text_types.ServiceNameText
     """The name of the service: the first segment of a request's path."""
 
-    draining_header: words.HeaderName = 'Draining'
+    draining_header: text_types.HeaderName = 'Draining'
     """A target that sends this header, with any value, is leaving."""
 
-    limit_header: words.HeaderName = 'Request-Limit'
+    limit_header: text_types.HeaderName = 'Request-Limit'
     """By this header a target tells how many requests a second it takes from
     all daemons together, for as long as it sends it."""
 
-    health_path: words.PlainPath = '/health'
+    health_path: text_types.PlainPath = '/health'
     """The path that a probe asks a target for."""
 
-    probe_interval_ms: numbers.Milliseconds = 1000
+    probe_interval_ms: number_types.Milliseconds = 1000
     """The time between two probes of one target."""
 
-    floor_percent: numbers.Percent = 60.0
+    floor_percent: number_types.Percent = 60.0
     """The share of slots that ejections must leave in service."""
 
-    false_ejections_per_target_day: numbers.Rate = 0.05
+    false_ejections_per_target_day: number_types.Rate = 0.05
     """How many false ejections a target may suffer a day. Less means slower
     detection."""
 
-    group_daemons_per_zone: numbers.SmallCount = 1
+    group_daemons_per_zone: number_types.SmallCount = 1
     """How many daemons of each zone serve and judge this service."""
 
-    queue_length: numbers.Count = 64
+    queue_length: number_types.Count = 64
     """How many requests wait for a slot on one daemon at most."""
 
-    connections_per_target: numbers.ConnectionCount = 32
+    connections_per_target: number_types.ConnectionCount = 32
     """How many connections one daemon opens to one target at most."""
 
-    connect_timeout_ms: numbers.Milliseconds = 250
+    connect_timeout_ms: number_types.Milliseconds = 250
     """How long a new connection to a target may take."""
 
-    retry_budget_percent: numbers.Percent = 10.0
+    retry_budget_percent: number_types.Percent = 10.0
     """The share of requests that may be sent a second time after a failure."""
 
-    hedge_budget_percent: numbers.Percent = 2.0
+    hedge_budget_percent: number_types.Percent = 2.0
     """The share of requests that may be sent to a second target early."""
 
-    caller_requests_per_s: numbers.Rate = 50.0
+    caller_requests_per_s: number_types.Rate = 50.0
     """How many requests a second one caller may send to one daemon."""
 
-    caller_burst_requests: numbers.Count = 100
+    caller_burst_requests: number_types.Count = 100
     """How many requests a caller may send at once after a pause."""
 
-    request_body_limit_bytes: numbers.BufferBytes = 1_048_576
+    request_body_limit_bytes: number_types.BufferBytes = 1_048_576
     """The largest request body that is taken."""
 
-    answer_buffer_limit_bytes: numbers.BufferBytes = 1_048_576
+    answer_buffer_limit_bytes: number_types.BufferBytes = 1_048_576
     """Answers up to this size are checked whole before they are passed on."""
 
 
@@ -148,86 +152,86 @@
     request may then run elsewhere, also when it is not idempotent.
     """
 
-    status: numbers.ErrorStatus
+    status: number_types.ErrorStatus
     """The status of the reply."""
 
-    header_name: words.HeaderName
+    header_name: text_types.HeaderName
     """The header that marks the reply."""
 
-    header_value: words.HeaderValue
+    header_value: text_types.HeaderValue
     """The exact value of that header."""
 
 
 class TargetSection(Section):
     """One worker of the service. The title carries its name."""
 
-    ip: addresses.IpAddress
+    ip: address_types.IpAddress
     """The address of the target."""
 
-    port: numbers.PortNumber
+    port: number_types.PortNumber
     """The port of the target."""
 
-    zone: words.Name
+    zone: text_types.Name
     """The availability zone of the target, as the fleet file names it."""
 
-    slots: numbers.Count
+    slots: number_types.Count
     """How many requests the target works on at a time."""
 
 
 class RouteSection(Section):
     """One kind of request. The title carries its name."""
 
-    method: words.Method
+    method: text_types.Method
     """The method of the request."""
 
-    path: words.PathTemplate
+    path: text_types.PathTemplate
     """The path below the service's name."""
 
-    idempotent: words.Switch
+    idempotent: text_types.Switch
     """Whether the request may run more than once without harm."""
 
-    priority: words.PriorityWord = model.Priority.NORMAL
+    priority: text_types.PriorityWord = model.Priority.NORMAL
     """What goes first when slots are short."""
 
-    deadline_ms: numbers.Milliseconds
+    deadline_ms: number_types.Milliseconds
     """How long the request may take from its arrival to its answer."""
 
-    hedged: words.Switch = False
+    hedged: text_types.Switch = False
     """Whether a slow request is sent to a second target as well."""
 
 
 class InstanceSection(Section):
     """What one daemon must know before it can ask anybody."""
 
-    daemon_id: words.DaemonName
+    daemon_id: text_types.DaemonName
     """The name of the daemon. It survives a restart and is unique."""
 
-    zone: words.Name
+    zone: text_types.Name
     """The availability zone in which the daemon runs."""
 
-    region: words.Name
+    region: text_types.Name
     """The region of that zone."""
 
-    address_ip: addresses.IpAddress
+    address_ip: address_types.IpAddress
     """The address at which callers and peers reach the daemon."""
 
-    http_port: numbers.PortNumber
+    http_port: number_types.PortNumber
     """The port for callers and operators."""
 
-    peer_port: numbers.PortNumber
+    peer_port: number_types.PortNumber
     """The port for messages from other daemons."""
 
-    platform_urls: addresses.Urls
+    platform_urls: address_types.Urls
     """The base URLs of the platform. Each is as good as the others."""
 
-    seeds: addresses.Seeds = ()
+    seeds: address_types.Seeds = ()
     """Where to look for a first peer. The platform names others."""
 
-    advertised_peer_ip: addresses.IpAddress = OWN_IP
+    advertised_peer_ip: address_types.IpAddress = OWN_IP
     """The address that peers are told, when it differs from the own."""
 
-    advertised_peer_port: numbers.PortNumber = OWN_PORT
+    advertised_peer_port: number_types.PortNumber = OWN_PORT
     """The port that peers are told, when it differs from the own."""
 
-    log_level: words.LogLevel = 'INFO'
+    log_level: text_types.LogLevel = 'INFO'
     """The lowest level of log lines that are written."""
--- a/libraries/settings/src/sardinepier/settings/internal/service_rules.py
+++ b/libraries/settings/src/sardinepier/settings/internal/service_rules.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class ServiceSections:
     """The sections of a service file that are right by themselves."""
 
     service: schema.ServiceSection | None
@@ -22,7 +22,9 @@
     routes: Mapping[str, schema.RouteSection]
 
 
-def find_problems(source: str, parts: Parts) -> Iterator[errors.Problem]:
+def find_problems(
+    source: str, parts: ServiceSections
+) -> Iterator[errors.Problem]:
     """Compare the sections, as far as each is right by itself."""
     yield from _find_other_name(source, parts.service)
     yield from _find_shared_addresses(source, parts.targets)
@@ -30,7 +32,7 @@
     yield from overlaps.find_problems(source, parts.routes)
 
 
-def build(parts: Parts) -> model.ServiceSettings:
+def build(parts: ServiceSections) -> model.ServiceSettings:
     """Make the snapshot from sections without problems."""
     service = dict(parts.service or ())
     return model.ServiceSettings(
--- a/libraries/settings/src/sardinepier/settings/internal/words.py
+++ b/libraries/settings/src/sardinepier/settings/internal/text_types.py
@@ -53,7 +53,7 @@
     text: str,
 ) -> str:
     if pattern.fullmatch(text) is None:
-        raise rejection.not_a(text, kind)
+        raise rejection.not_of_kind(text, kind)
     return text
 
 
@@ -139,7 +139,7 @@
     try:
         return _SWITCHES[text]
     except KeyError as error:
-        raise rejection.not_a(text, _SWITCH_KIND) from error
+        raise rejection.not_of_kind(text, _SWITCH_KIND) from error
 
 
 Switch = Annotated[
@@ -155,7 +155,7 @@
     try:
         return _PRIORITIES[text]
     except KeyError as error:
-        raise rejection.not_a(text, _PRIORITY_KIND) from error
+        raise rejection.not_of_kind(text, _PRIORITY_KIND) from error
 
 
 PriorityWord = Annotated[
@@ -169,7 +169,7 @@
 
 def _check_level(text: str) -> str:
     if text.upper() not in _LOG_LEVELS:
-        raise rejection.not_a(text, _LEVEL_KIND)
+        raise rejection.not_of_kind(text, _LEVEL_KIND)
     return text.upper()
 
 
--- a/libraries/settings/src/sardinepier/settings/parsing.py
+++ b/libraries/settings/src/sardinepier/settings/parsing.py
@@ -64,7 +64,7 @@
     ``InvalidSettingsError``.
     """
     check = checking.FileCheck(text, source, layouts.SERVICE)
-    parts = service_rules.Parts(
+    parts = service_rules.ServiceSections(
         service=check.single(schema.ServiceSection),
         shed_reply=check.single(schema.ShedReplySection),
         targets=check.named(schema.TargetSection),
@@ -107,7 +107,7 @@
     return _decode(content, path)
 
 
-def check_together(
+def check_across_files(
     fleet: model.FleetSettings,
     services: tuple[model.ServiceSettings, ...],
 ) -> tuple[errors.Problem, ...]:
--- a/libraries/settings/tests/cover/test_settings_files.py
+++ b/libraries/settings/tests/cover/test_settings_files.py
@@ -51,10 +51,10 @@
 
 
 def test_files_are_checked_together(snapshot) -> None:
-    assert not parsing.check_together(FLEET, (SERVICE,))
+    assert not parsing.check_across_files(FLEET, (SERVICE,))
     moved = dataclasses.replace(SERVICE.targets[0], zone='east')
     service = dataclasses.replace(SERVICE, targets=(moved,))
-    problems = parsing.check_together(FLEET, (SERVICE, service))
+    problems = parsing.check_across_files(FLEET, (SERVICE, service))
     assert [str(problem) for problem in problems] == snapshot
 
 
--- a/libraries/standins/src/sardinepier/standins/internal/platform_faults.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_faults.py
@@ -56,7 +56,7 @@
 )
 
 
-async def answer_badly(
+async def respond_with_fault(
     request: web.Request,
     mode: PlatformMode,
 ) -> web.StreamResponse:
--- a/libraries/standins/src/sardinepier/standins/internal/platform_handlers.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_handlers.py
@@ -62,7 +62,9 @@
             await self._state.wait_change()
         if self._state.mode in platform_faults.SANE_MODES:
             return None
-        return await platform_faults.answer_badly(request, self._state.mode)
+        return await platform_faults.respond_with_fault(
+            request, self._state.mode
+        )
 
     async def _handle_listing(
         self,
--- a/libraries/standins/src/sardinepier/standins/internal/platform_state.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_state.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldFile:
+class StoredFile:
     """One file: its text, or ``None`` once it is deleted."""
 
     revision: ids.Revision
@@ -23,7 +23,7 @@
     """Everything the platform publishes at one moment."""
 
     revision: int
-    files: Mapping[ids.FileName, HeldFile]
+    files: Mapping[ids.FileName, StoredFile]
     instances: interface.InstanceList
 
     def listing(self) -> interface.Listing:
@@ -43,7 +43,7 @@
     ) -> 'PlatformState':
         """Return the next state, in which ``name`` has a new revision."""
         revision = self.revision + 1
-        held = HeldFile(ids.Revision(revision), text)
+        held = StoredFile(ids.Revision(revision), text)
         return dataclasses.replace(
             self,
             revision=revision,
--- a/libraries/standins/src/sardinepier/standins/internal/target_work.py
+++ b/libraries/standins/src/sardinepier/standins/internal/target_runner.py
@@ -23,7 +23,7 @@
 _MS_PER_S: Final = 1000.0
 
 
-class TargetWork:
+class RequestRunner:
     """Runs requests in a bounded number of slots.
 
     A request that is cancelled, because its client went away, gives its slot
--- a/libraries/standins/src/sardinepier/standins/target_standin.py
+++ b/libraries/standins/src/sardinepier/standins/target_standin.py
@@ -31,7 +31,7 @@
 from sardinepier.standins.internal import (
     target_load,
     target_replies,
-    target_work,
+    target_runner,
 )
 
 _DRAIN_POLL_S: Final = 0.02
@@ -64,7 +64,7 @@
         on_crash: Callable[[], None] | None = None,
     ) -> None:
         """Build a target that does not listen yet."""
-        self._work = target_work.TargetWork(
+        self._work = target_runner.RequestRunner(
             options,
             time_source,
             random_source,
--- a/libraries/telemetry/src/sardinepier/telemetry/internal/line_stream.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/line_stream.py
@@ -52,7 +52,7 @@
         if self._begun and not self._is_broken:
             self._look_later()
 
-    def take_lost(self) -> int:
+    def pop_lost_count(self) -> int:
         """Return how many lines were dropped, once all others are written."""
         if self._begun or self._is_broken:
             return 0
--- a/libraries/telemetry/src/sardinepier/telemetry/line_budget.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/line_budget.py
@@ -44,7 +44,7 @@
         self._left -= 1
         return True
 
-    def take_dropped(self) -> int:
+    def pop_dropped_count(self) -> int:
         """Return how many lines were dropped since the last call."""
         dropped = self._dropped
         self._dropped = 0
--- a/libraries/telemetry/src/sardinepier/telemetry/logs.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/logs.py
@@ -112,7 +112,7 @@
 
 
 def write(
-    told: line_events.LineEvent,
+    line_event: line_events.LineEvent,
     message: str = '',
     *,
     level: Level = Level.INFO,
@@ -123,8 +123,8 @@
     A routine one gives way to others where nobody takes the lines.
     """
     loguru.logger.bind(
-        event=line_events.name_of(type(told)),
-        fields=line_events.fields_of(told),
+        event=line_events.name_of(type(line_event)),
+        fields=line_events.fields_of(line_event),
         routine=is_routine,
     ).log(level.name, message)
 
@@ -181,7 +181,7 @@
     is_routine: bool,
 ) -> int:
     lines.write(line, is_routine=is_routine)
-    return lines.take_lost()
+    return lines.pop_lost_count()
 
 
 def _write_text(
--- a/libraries/telemetry/tests/cover/test_telemetry_line_events.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_line_events.py
@@ -41,8 +41,8 @@
         False,
         False,
     ]
-    assert budget.take_dropped() == 3
-    assert budget.take_dropped() == 0
+    assert budget.pop_dropped_count() == 3
+    assert budget.pop_dropped_count() == 0
     clock.advance(1.0)
     assert budget.allows()
 
@@ -60,4 +60,4 @@
         clock.advance(gap_s)
         written += budget.allows()
     assert written <= burst + per_s * clock.monotonic_s() + 1e-6
-    assert written + budget.take_dropped() == len(gaps_s)
+    assert written + budget.pop_dropped_count() == len(gaps_s)
--- a/libraries/telemetry/tests/cover/test_telemetry_line_stream.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_line_stream.py
@@ -11,7 +11,7 @@
 import pytest
 from sardinepier.telemetry import line_events, logs
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 PIPE_BYTES = 16384
 
 
@@ -44,7 +44,7 @@
 
     thread = threading.Thread(target=write_all, daemon=True)
     thread.start()
-    thread.join(PATIENCE_S)
+    thread.join(TIMEOUT_S)
     assert not thread.is_alive(), 'a line waits for its reader'
 
 
@@ -107,7 +107,7 @@
         logs.write(Seen(number=number))
     raw = b''
     os.set_blocking(pipe, False)
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while raw.count(b'\n') < 140:
             try:
                 raw += os.read(pipe, 65536)
--- a/libraries/wire/src/sardinepier/wire/internal/peers.py
+++ b/libraries/wire/src/sardinepier/wire/internal/peers.py
@@ -99,7 +99,7 @@
         is_over = queued_bytes > self._options.bounds.queued_bytes
         if is_over or peer.waiting.full():
             return self._drop(counters.DropReason.QUEUE_FULL)
-        deadline_s = now_s + self._options.bounds.keep_s
+        deadline_s = now_s + self._options.bounds.message_ttl_s
         peer.waiting.put_nowait(_Waiting(frame, deadline_s))
         peer.is_blocked = True
         self._queued_bytes = queued_bytes
--- a/libraries/wire/src/sardinepier/wire/internal/sockets.py
+++ b/libraries/wire/src/sardinepier/wire/internal/sockets.py
@@ -78,7 +78,7 @@
     sender.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MS)
     sender.setsockopt(
         zmq.RECONNECT_IVL_MAX,
-        int(limits.LONGEST_RECONNECT_S * _MS_PER_S),
+        int(limits.MAX_RECONNECT_INTERVAL_S * _MS_PER_S),
     )
     try:
         sender.connect(endpoints.connect_endpoint(peer, source_ip))
--- a/libraries/wire/src/sardinepier/wire/limits.py
+++ b/libraries/wire/src/sardinepier/wire/limits.py
@@ -11,8 +11,8 @@
 DEFAULT_QUEUED_BYTES: Final = 16_777_216
 DEFAULT_MAX_PEERS: Final = 256
 DEFAULT_HIGH_WATER_MARK: Final = 64
-DEFAULT_KEEP_S: Final = 2.0
-LONGEST_RECONNECT_S: Final = 0.4
+DEFAULT_MESSAGE_TTL_S: Final = 2.0
+MAX_RECONNECT_INTERVAL_S: Final = 0.4
 """The longest pause between two attempts to connect to a peer that is gone.
 
 A daemon that is started again under its old address hears from its peers only
@@ -22,7 +22,7 @@
 """
 
 
-def positive(name: str, number: Number) -> Number:
+def require_positive(name: str, number: Number) -> Number:
     """Return ``number``; raise ``InvalidArgumentError`` unless above 0."""
     if number > 0:
         return number
@@ -40,7 +40,7 @@
     ``queued_bytes`` bounds what waits for all peers together, and
     ``max_peers`` the sockets for sending. ``high_water_mark`` bounds the
     messages that the library holds for one connection. A message that found
-    no connection for ``keep_s`` seconds is dropped: a heartbeat that arrives
+    no connection for ``message_ttl_s`` seconds is dropped: a heartbeat that arrives
     late says less than none.
     """
 
@@ -48,9 +48,9 @@
     queued_bytes: int = DEFAULT_QUEUED_BYTES
     max_peers: int = DEFAULT_MAX_PEERS
     high_water_mark: int = DEFAULT_HIGH_WATER_MARK
-    keep_s: float = DEFAULT_KEEP_S
+    message_ttl_s: float = DEFAULT_MESSAGE_TTL_S
 
     def __post_init__(self) -> None:
         """Raise ``InvalidArgumentError`` unless all bounds are above 0."""
         for field in dataclasses.fields(self):
-            positive(field.name, getattr(self, field.name))
+            require_positive(field.name, getattr(self, field.name))
--- a/libraries/wire/src/sardinepier/wire/memory_network.py
+++ b/libraries/wire/src/sardinepier/wire/memory_network.py
@@ -130,7 +130,7 @@
             delivered += 1
         return delivered
 
-    def carry(
+    def transmit(
         self,
         source: 'MemoryNetwork',
         destination: messages.PeerAddress,
@@ -225,7 +225,7 @@
         if frame is None:
             return False
         self._counts.sent(len(frame))
-        self._hub.carry(self, peer, frame)
+        self._hub.transmit(self, peer, frame)
         return True
 
     def subscribe(
--- a/libraries/wire/src/sardinepier/wire/zmq_network.py
+++ b/libraries/wire/src/sardinepier/wire/zmq_network.py
@@ -78,8 +78,12 @@
         self._receiver: sockets.Socket | None = None
         self._peers = peers.PeerTable(
             peers.PeerOptions(
-                queue_length=limits.positive('queue_length', queue_length),
-                idle_close_s=limits.positive('idle_close_s', idle_close_s),
+                queue_length=limits.require_positive(
+                    'queue_length', queue_length
+                ),
+                idle_close_s=limits.require_positive(
+                    'idle_close_s', idle_close_s
+                ),
                 source_ip=endpoints.checked_source_ip(source_ip),
                 bounds=self._bounds,
             ),
--- a/libraries/wire/tests/cover/test_wire_zmq_network.py
+++ b/libraries/wire/tests/cover/test_wire_zmq_network.py
@@ -110,7 +110,7 @@
         away = messages.PeerAddress(*silent.getsockname())
         network = _network(
             queue_length=3,
-            bounds=limits.ZmqLimits(keep_s=0.2),
+            bounds=limits.ZmqLimits(message_ttl_s=0.2),
         )
         async with _running(network):
             accepted = [network.send(away, Item(b'x')) for _ in range(5)]
--- a/libraries/zones/src/sardinepier/zones/limit_parts.py
+++ b/libraries/zones/src/sardinepier/zones/limit_parts.py
@@ -50,5 +50,7 @@
             return found
         first = (*found[:1], *self._carriers.of_other_zones())
         zones = {one.zone for one in first}
-        instead = rendezvous.first(limit_parts.ranking_key(target_id), zones, 1)
+        instead = rendezvous.top_candidates(
+            limit_parts.ranking_key(target_id), zones, 1
+        )
         return self._carriers.of_zone(ids.ZoneName(instead[0]))
--- a/libraries/zones/src/sardinepier/zones/ranking.py
+++ b/libraries/zones/src/sardinepier/zones/ranking.py
@@ -47,7 +47,7 @@
 
 def _in_order(zone: ids.ZoneName, found: list[members.Member]) -> Members:
     by_name = {str(member.instance_id): member for member in found}
-    order = rendezvous.first(_KEY.format(zone), by_name, len(found))
+    order = rendezvous.top_candidates(_KEY.format(zone), by_name, len(found))
     ranked = [by_name[name] for name in order]
     # Sorting keeps the order among those that are equally strong.
     ranked.sort(key=_strength, reverse=True)
