--- a/libraries/zones/src/sardinepier/zones/__init__.py
+++ b/libraries/zones/src/sardinepier/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Who carries a zone's traffic, and what its daemons tell each other."""
+"""Carriers of a zone's traffic, and the exchange of state between daemons."""
--- a/libraries/zones/src/sardinepier/zones/burst_share.py
+++ b/libraries/zones/src/sardinepier/zones/burst_share.py
@@ -1,11 +1,12 @@
-"""Which part of the fleet's burst of further attempts one daemon may use.
+"""One daemon's share of the fleet's burst of further attempts.
 
-The users bound the attempts beyond the first of each request over the whole fleet,
-a burst of them in any window of ten seconds. Nobody asks anybody: each carrier has
-its part of its zone's part, and one that has just become a carrier can't know what
-those before it have used. Its part grows over a window from nothing. However often
-a zone changes hands, those who come after the first one use no more together than
-that first one has, so that twice the share holds at any time.
+The attempts beyond the first of each request are limited over the whole fleet,
+to a burst in any window of ten seconds. The daemons don't coordinate: each
+carrier has its share of its zone's share. A new carrier can't know what its
+predecessors used, so that its share grows from zero over a window. However
+often a zone is handed over, all successors of a carrier together use no more
+than the share of that carrier, so that the zone never uses more than twice its
+share.
 
 For example::
 
@@ -17,16 +18,18 @@
 
 from sardinepier.core import clock as clocks
 
-_SHARE: Final = 0.45
-"""Of the burst, for carriers that have carried for a window. Twice as much may be
-used while zones change hands, which leaves a tenth for two that overlap."""
+_CARRIER_SHARE: Final = 0.45
+"""Share of the burst for zones whose carriers have served for a whole window.
+Up to twice as much is used during handovers, which leaves a tenth for carriers
+that overlap."""
 
-_RIPE_S: Final = 10.0
-"""The users' window: what a carrier's predecessors used is out of it then."""
+_GROWTH_TIME_S: Final = 10.0
+"""Time for which a new carrier's share grows: the window of the limit, which by
+then no longer contains what its predecessors used."""
 
 
 class BurstShare:
-    """The part of one daemon, from when it became a carrier."""
+    """The share of one daemon, which grows after it became a carrier."""
 
     def __init__(
         self,
@@ -34,26 +37,26 @@
         zones: int,
         attempts: int,
     ) -> None:
-        """Share ``attempts`` a window equally among ``zones``."""
+        """Divide ``attempts`` a window equally among ``zones``."""
         self._clock = clock
-        self._zone_part = _SHARE * attempts / zones
-        self._since_s: float | None = None
-        self._most_living = 1
+        self._zone_share = _CARRIER_SHARE * attempts / zones
+        self._carrier_since_s: float | None = None
+        self._max_living = 1
 
     def part(self, *, is_carrier: bool, count: int, living: int) -> float:
         """Return how many attempts a window this daemon may use now.
 
-        ``count`` carry the zone, of whose daemons ``living`` are known to live.
-        One that sees a few of those it knew is likely cut off from the others,
-        who have a carrier of their own.
+        The zone has ``count`` carriers and ``living`` daemons that are known to
+        live. A daemon that sees only some of those it knew is probably
+        partitioned from the others, which then have a carrier of their own.
         """
-        self._most_living = max(self._most_living, living)
+        self._max_living = max(self._max_living, living)
         if not is_carrier:
-            self._since_s = None
+            self._carrier_since_s = None
             return 0.0
         now_s = self._clock.monotonic_s()
-        if self._since_s is None:
-            self._since_s = now_s
-        ripe = min(1.0, (now_s - self._since_s) / _RIPE_S)
-        seen = living / self._most_living
-        return self._zone_part / count * ripe * seen
+        if self._carrier_since_s is None:
+            self._carrier_since_s = now_s
+        growth = min(1.0, (now_s - self._carrier_since_s) / _GROWTH_TIME_S)
+        visible_share = living / self._max_living
+        return self._zone_share / count * growth * visible_share
--- a/libraries/zones/src/sardinepier/zones/carriers.py
+++ b/libraries/zones/src/sardinepier/zones/carriers.py
@@ -1,10 +1,11 @@
-"""Which daemons of a zone carry its traffic.
-
-Few daemons carry a zone, so that each sees enough requests to tell a failing
-target from bad luck, and as many as its traffic needs. They are the first of
-an order that all daemons have in common, the strongest before the others, and others take over when one goes.
-A carrier beats; one that falls silent is passed over at once, long before
-membership gives it up, and one that can't do its work hands it over.
+"""Selection of the daemons that carry a zone's traffic.
+
+A zone has as few carriers as its traffic allows, so that each observes enough
+requests to distinguish a failing target from chance. They are the first of an
+order that all daemons share, strongest first, and the next one replaces a
+carrier that goes. Carriers send heartbeats: one that becomes silent is skipped
+long before membership declares it dead, and one that can't reach targets hands
+its zone over.
 """
 
 from sardinepier.core import clock as clocks
@@ -15,70 +16,74 @@
 
 
 class Carriers:
-    """Names the carriers of each zone, from the view of one daemon.
+    """Determines the carriers of each zone, from the view of one daemon.
 
-    ``fitness`` is what it knows of those that may carry the own zone.
+    ``availability`` holds which daemons of the own zone can carry it.
     """
 
     def __init__(self, fleet: view.View, clock: clocks.Clock) -> None:
-        """Name one carrier a zone until another number is set."""
-        self.fitness = availability.Availability(clock)
+        """Start with one carrier a zone."""
+        self.availability = availability.Availability(clock)
         self.own_id = fleet.own.instance_id
         self._fleet = fleet
         self._count = 1
         self._ranking = ranking.Ranking(fleet)
-        self._order = order.ZoneOrder(fleet, self._ranking, self.fitness)
+        self._order = order.ZoneOrder(fleet, self._ranking, self.availability)
 
     @property
     def count(self) -> int:
-        """How many daemons shall carry the own zone."""
+        """The intended number of carriers of the own zone."""
         return self._count
 
     def set_count(self, count: int) -> None:
-        """Let ``count`` daemons carry the own zone."""
+        """Set the number of carriers of the own zone."""
         self._count = count
 
-    def heard(self, sender: ids.InstanceId, count: int) -> None:
-        """Note a beat of ``sender``, which holds ``count`` for right.
+    def record_heartbeat(self, sender: ids.InstanceId, count: int) -> None:
+        """Record a heartbeat of ``sender`` with its number of carriers.
 
-        The first of the carriers decides.
+        The number of the first carrier applies.
         """
-        self.fitness.heard(sender)
+        self.availability.record_heartbeat(sender)
         if self._first() == sender:
             self._count = count
 
     def capacities(self) -> tuple[capacities.Capacity, ...]:
-        """Return what those who could carry the own zone can do, in order."""
+        """Return the capacities of the own zone's daemons, in order."""
         order = self._order.own_zone(self._count)
         return tuple(member.capacity for member in order)
 
     def is_first(self) -> bool:
-        """Tell whether this daemon decides for its zone."""
+        """Return whether this daemon is the first carrier of its zone."""
         return self._first() == self._fleet.own.instance_id
 
     def is_carrier(self) -> bool:
-        """Tell whether this daemon is one of its zone's carriers."""
+        """Return whether this daemon is one of its zone's carriers."""
         return self.own_rank() < self._count
 
     def hand_over(self) -> bool:
         """Let another daemon carry the zone in place of this one.
 
-        Returns whether there is one. One handover at a time: where the next
-        one fares no better, a further one would not help.
+        Returns whether there is one. There is one handover at a time: if the
+        next daemon can't reach the targets either, a further handover would
+        not help.
         """
         zone = self._ranking.of_zone(self._fleet.own.zone)
-        if any(self.fitness.is_down(member.instance_id) for member in zone):
+        if any(
+            self.availability.has_handed_over(member.instance_id)
+            for member in zone
+        ):
             return False
         if not self.is_carrier() or len(zone) <= self._count:
             return False
-        self.fitness.stands_down(self._fleet.own.instance_id)
+        self.availability.record_handover(self._fleet.own.instance_id)
         return True
 
     def of_zone(self, zone: ids.ZoneName) -> ranking.Members:
         """Return the carriers of ``zone``, best first.
 
-        Another zone is taken to have as many as the own one. Those of the own
-        one stand in for a zone without living daemons.
+        Other zones are assumed to have as many carriers as the own one. The
+        own zone's carriers act for a zone without living daemons.
         """
         ranked = self._ranking.of_zone(zone)
         if ranked and zone != self._fleet.own.zone:
@@ -88,8 +93,8 @@
     def own_rank(self) -> int:
         """Return this daemon's place in its zone, 0 for the first.
 
-        Those that fell silent are passed over. Places below the number of
-        carriers are theirs.
+        Silent carriers are skipped. The carriers are the daemons with places
+        below their number.
         """
         own = self._fleet.own.instance_id
         for place, member in enumerate(self._order.own_zone(self._count)):
@@ -102,7 +107,7 @@
         return self._order.own_zone(self._count)[: self._count]
 
     def of_other_zones(self, each: int = 1) -> ranking.Members:
-        """Return the first carriers of each zone but the own."""
+        """Return the first ``each`` carriers of each other zone."""
         own = self._fleet.own.zone
         return tuple(
             member
@@ -120,12 +125,12 @@
             if member.zone == own.zone and member.instance_id != own.instance_id
         )
 
-    def is_neighbour(self, instance_id: ids.InstanceId) -> bool:
-        """Tell whether a daemon is known to be of the own zone."""
+    def is_zone_peer(self, instance_id: ids.InstanceId) -> bool:
+        """Return whether a daemon is known to be of the own zone."""
         return self.zone_of(instance_id) == self._fleet.own.zone
 
     def zone_of(self, instance_id: ids.InstanceId) -> ids.ZoneName | None:
-        """Return the zone of a daemon, None if that one is not known."""
+        """Return the zone of a daemon, None if the daemon is unknown."""
         member = self._fleet.find(instance_id)
         return member.zone if member else None
 
@@ -134,9 +139,9 @@
         return ordered[0].instance_id if ordered else None
 
 
-def other_carriers(chosen: Carriers) -> ranking.Members:
-    """Return the carriers of the own zone but for this daemon."""
-    zone_peers = chosen.zone_peers()
+def other_carriers(zone_carriers: Carriers) -> ranking.Members:
+    """Return the carriers of the own zone without this daemon."""
+    zone_peers = zone_carriers.zone_peers()
     return tuple(
-        member for member in chosen.of_own_zone() if member in zone_peers
+        member for member in zone_carriers.of_own_zone() if member in zone_peers
     )
--- a/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/confirmation_sharing.py
@@ -1,8 +1,9 @@
-"""Asking other daemons how long ago the configuration was confirmed.
+"""Requests to other daemons for the age of the newest confirmation.
 
-Those that read the platform confirm it with each reading. All others ask a
-carrier of their zone now and then, and further daemons when that one does not
-know: the platform may turn this daemon away, or a whole zone.
+Daemons that read the platform confirm the configuration with each snapshot. All
+others periodically request the confirmation of a carrier of their zone, and of
+further daemons if that one has none: the platform may refuse this daemon, or a
+whole zone.
 """
 
 import random
@@ -15,72 +16,75 @@
 from sardinepier.wire import network
 from sardinepier.zones import carriers, events, messages, ranking
 
-_RENEW_S: Final = 1.2
-"""Age after which a carrier of the zone is asked. Carriers read each second and
-ask each other, so that what they tell is at most two seconds old."""
+_REQUEST_AFTER_S: Final = 1.2
+"""Age after which a confirmation is requested of a carrier of the zone.
+Carriers read each second and query each other, so that theirs is at most two
+seconds old."""
 
-_WIDER_S: Final = 2.4
-"""Age after which others are asked, too: half of the shortest bound in which a
-key has to stop working."""
+_REQUEST_WIDELY_AFTER_S: Final = 2.4
+"""Age after which further daemons are queried: half of the shortest time in
+which a revoked key has to stop working."""
 
-_ASK_AGAIN_S: Final = 0.2
-_MOST_NEIGHBOURS: Final = 2
-"""Daemons of the zone, drawn at random, that are asked beside its carriers."""
+_REQUEST_INTERVAL_S: Final = 0.2
+_MAX_RANDOM_PEERS: Final = 2
+"""Random daemons of the zone that are queried in addition to its carriers."""
 
 _MS_PER_S: Final = 1000
 
 
 class ConfirmationSharing:
-    """Keeps the confirmation of one daemon young, and tells it to others.
+    """Renews the confirmation of one daemon, and answers requests of others.
 
     For example::
 
-        confirming = Confirming(network, carriers, services, clock, random)
-        confirming.step()  # with each beat
+        confirmations = ConfirmationSharing(
+            network, carriers, services, clock, random
+        )
+        confirmations.step()  # with each heartbeat
     """
 
     def __init__(
         self,
         peer_network: network.PeerNetwork,
-        chosen: carriers.Carriers,
-        held: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
         clock: clocks.Clock,
         random_source: random.Random,
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
         self._network = peer_network
-        self._carriers = chosen
-        self._held = held
+        self._carriers = zone_carriers
+        self._services = services
         self._clock = clock
         self._random = random_source
-        self._ask_again_s = clock.monotonic_s()
+        self._next_request_s = clock.monotonic_s()
         self._was_valid = True
         peer_network.subscribe(messages.ConfirmationRequest, self._on_request)
         peer_network.subscribe(messages.ConfirmationReply, self._on_reply)
 
     def step(self) -> None:
-        """Ask if the confirmation grows old and no question is on its way."""
-        held = self._held.confirmation
+        """Request a confirmation if it is due and none was just requested."""
+        confirmation = self._services.confirmation
         now_s = self._clock.monotonic_s()
-        if held.is_needed:
-            self._tell_change()
-        if not held.is_needed or now_s < self._ask_again_s:
+        if confirmation.is_needed:
+            self._log_change()
+        if not confirmation.is_needed or now_s < self._next_request_s:
             return
-        age_s = held.age_s()
-        if age_s is not None and age_s < _RENEW_S:
+        age_s = confirmation.age_s()
+        if age_s is not None and age_s < _REQUEST_AFTER_S:
             return
-        self._ask_again_s = now_s + _ASK_AGAIN_S
-        is_old = age_s is None or age_s > _WIDER_S
-        question = messages.ConfirmationRequest(
-            int(held.now_s() * _MS_PER_S),
+        self._next_request_s = now_s + _REQUEST_INTERVAL_S
+        is_old = age_s is None or age_s > _REQUEST_WIDELY_AFTER_S
+        request = messages.ConfirmationRequest(
+            int(confirmation.now_s() * _MS_PER_S),
         )
-        for member in self._wider() if is_old else self._carrier():
-            self._network.send(member.peer_address, question)
+        for member in self._many_daemons() if is_old else self._other_carrier():
+            self._network.send(member.peer_address, request)
 
-    def _tell_change(self) -> None:
-        held = self._held.confirmation
-        is_valid = held.is_valid()
-        age_s = held.age_s()
+    def _log_change(self) -> None:
+        confirmation = self._services.confirmation
+        is_valid = confirmation.is_valid()
+        age_s = confirmation.age_s()
         if is_valid == self._was_valid or age_s is None:
             return
         self._was_valid = is_valid
@@ -93,21 +97,25 @@
                 level=logs.Level.WARNING,
             )
 
-    def _carrier(self) -> ranking.Members:
-        """Return one of the other carriers of the zone, if there are any."""
-        others = carriers.other_carriers(self._carriers)
-        return (self._random.choice(others),) if others else self._wider()
+    def _other_carrier(self) -> ranking.Members:
+        """Return a random other carrier of the zone, if there is one."""
+        other_carriers = carriers.other_carriers(self._carriers)
+        return (
+            (self._random.choice(other_carriers),)
+            if other_carriers
+            else self._many_daemons()
+        )
 
-    def _wider(self) -> ranking.Members:
+    def _many_daemons(self) -> ranking.Members:
         zone_peers = self._carriers.zone_peers()
-        drawn = self._random.sample(
+        random_peers = self._random.sample(
             zone_peers,
-            min(_MOST_NEIGHBOURS, len(zone_peers)),
+            min(_MAX_RANDOM_PEERS, len(zone_peers)),
         )
         return (
             *carriers.other_carriers(self._carriers),
             *self._carriers.of_other_zones(),
-            *drawn,
+            *random_peers,
         )
 
     def _on_request(
@@ -115,17 +123,17 @@
         sender: wire_messages.Sender,
         request: messages.ConfirmationRequest,
     ) -> None:
-        """Answer, unless this daemon's own confirmation ran out."""
-        held = self._held.confirmation
-        age_s = held.age_s()
-        if age_s is None or not held.is_valid():
+        """Reply, unless this daemon's own confirmation has expired."""
+        confirmation = self._services.confirmation
+        age_s = confirmation.age_s()
+        if age_s is None or not confirmation.is_valid():
             return
-        version, _ = self._held.versions()
+        version, _ = self._services.versions()
         self._network.send(
             sender.address,
             messages.ConfirmationReply(
-                request.asked_ms,
-                # Rounded up: an age may seem older than it is, not younger.
+                request.requested_ms,
+                # Rounded up: a reported age must not be below the real one.
                 int(age_s * _MS_PER_S) + 1,
                 version,
             ),
@@ -136,11 +144,11 @@
         sender: wire_messages.Sender,
         reply: messages.ConfirmationReply,
     ) -> None:
-        """Take the confirmation, unless it is of a version not held here.
+        """Apply a confirmation, unless this daemon lacks its version.
 
-        Beats bring that version, and the next question its confirmation.
+        A heartbeat announces that version, and the next request confirms it.
         """
-        version, _ = self._held.versions()
+        version, _ = self._services.versions()
         if reply.configuration_version <= version:
-            confirmed_ms = reply.asked_ms - reply.age_ms
-            self._held.confirmation.confirm(confirmed_ms / _MS_PER_S)
+            confirmed_ms = reply.requested_ms - reply.age_ms
+            self._services.confirmation.confirm(confirmed_ms / _MS_PER_S)
--- a/libraries/zones/src/sardinepier/zones/estimate_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_sharing.py
@@ -1,7 +1,7 @@
-"""Beliefs on their way to carriers: of the own zone, and of the others.
+"""Exchange of target estimates and statements with carriers.
 
-Between zones only the first carriers exchange them, and pass them on to the
-others of their zone with their beats.
+Between zones only the first carriers exchange them. A first carrier forwards
+what it receives to the daemons of its zone with its heartbeats.
 """
 
 from typing import Final
@@ -12,136 +12,146 @@
 from sardinepier.wire import messages as wire_messages
 from sardinepier.wire import network
 from sardinepier.zones import (
-    estimate_updates,
     carriers,
-    unreachable_zones,
+    estimate_updates,
     messages,
     statements,
+    unreachable_zones,
 )
 
-_OTHER_ZONES_S: Final = 0.5
-"""Pace of news to other zones, where bytes are dear."""
+_ESTIMATE_INTERVAL_S: Final = 0.5
+"""Interval of estimates to other zones, where traffic is expensive."""
 
-_SIGN_S: Final = 0.2
-"""Pace of reports without any news, by which other zones know that this one is
-carried: a zone that falls silent has to be known within a second
-(:mod:`sardinepier.zones.unreachable_zones`). Less than the interval of beats, with each of
-which one goes out."""
+_REPORT_INTERVAL_S: Final = 0.2
+"""Minimum interval of reports to other zones, which also go out without
+updates: the absence of reports has to show an unreachable zone within a second
+(:mod:`sardinepier.zones.unreachable_zones`). It is shorter than the interval of
+heartbeats, so that a report goes out with each of these."""
 
 
 class EstimateSharing:
-    """Sends beliefs to carriers, and takes in what is sent to this daemon."""
+    """Sends estimates and statements to carriers, and applies received ones."""
 
     def __init__(
         self,
         peer_network: network.PeerNetwork,
-        chosen: carriers.Carriers,
-        held: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
         clock: clocks.Clock,
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
         self._network = peer_network
-        self._carriers = chosen
-        self._held = held
+        self._carriers = zone_carriers
+        self._services = services
         self._clock = clock
-        self._zone_news = estimate_updates.for_own_zone(held, clock)
-        self._other_news = estimate_updates.for_other_zones(held, clock)
-        self._zone_stated = statements.for_own_zone(held, clock)
-        self._other_stated = statements.for_other_zones(held, clock)
-        self._other_news_due_s = clock.monotonic_s()
-        self._sign_due_s = clock.monotonic_s()
+        self._zone_estimates = estimate_updates.for_own_zone(services, clock)
+        self._other_zone_estimates = estimate_updates.for_other_zones(
+            services, clock
+        )
+        self._zone_statements = statements.for_own_zone(services, clock)
+        self._other_zone_statements = statements.for_other_zones(
+            services, clock
+        )
+        self._estimates_due_s = clock.monotonic_s()
+        self._report_due_s = clock.monotonic_s()
         self.unreachable_zones = unreachable_zones.UnreachableZones(clock)
         peer_network.subscribe(messages.BeliefReport, self._on_report)
 
-    def for_own_zone(self) -> tuple[messages.TargetEstimate, ...]:
-        """Return what is new for the own zone; each is returned once."""
-        return self._zone_news.take()
+    def collect_estimates(self) -> tuple[messages.TargetEstimate, ...]:
+        """Return the new estimates for the own zone, each of them once."""
+        return self._zone_estimates.collect()
 
-    def stated_for_own_zone(self) -> tuple[messages.StatementUpdate, ...]:
-        """Return what targets said anew; each is returned once."""
-        return self._zone_stated.take()
+    def collect_statements(self) -> tuple[messages.StatementUpdate, ...]:
+        """Return the new statements for the own zone, each of them once."""
+        return self._zone_statements.collect()
 
-    def take_from_zone(
+    def apply_zone_updates(
         self,
-        told: messages.ZoneBeat | messages.BeliefReport,
+        received: messages.ZoneBeat | messages.BeliefReport,
     ) -> None:
-        """Take in what another daemon of the zone saw."""
-        self._take_in(told, target_record.ObservationSource.ZONE)
-
-    def to_carriers(self) -> None:
-        """Tell the carriers of the own zone what is new, if anything is."""
-        news = self._zone_news.take()
-        stated = self._zone_stated.take()
-        if not news and not stated:
+        """Apply the observations of another daemon of the zone."""
+        self._apply(received, target_record.ObservationSource.ZONE)
+
+    def send_to_carriers(self) -> None:
+        """Send updates to the carriers of the own zone, if there are any."""
+        estimates = self._zone_estimates.collect()
+        new_statements = self._zone_statements.collect()
+        if not estimates and not new_statements:
             return
-        report = messages.BeliefReport(news, stated=stated)
+        report = messages.BeliefReport(estimates, statements=new_statements)
         for member in self._carriers.of_own_zone():
             self._network.send(member.peer_address, report)
 
-    def to_other_zones(self) -> None:
-        """Tell the first carriers of the other zones, if it is time."""
+    def send_to_other_zones(self) -> None:
+        """Send a report to the first carriers of other zones, if it is due."""
         now_s = self._clock.monotonic_s()
-        if now_s < self._sign_due_s:
+        if now_s < self._report_due_s:
             return
-        self._sign_due_s = now_s + _SIGN_S
+        self._report_due_s = now_s + _REPORT_INTERVAL_S
         report = messages.BeliefReport(
-            self._due_for_other_zones(now_s),
-            stated=self._other_stated.take(),
+            self._collect_due_estimates(now_s),
+            statements=self._other_zone_statements.collect(),
         )
         for member in self._carriers.of_other_zones():
             self._network.send(member.peer_address, report)
 
-    def _due_for_other_zones(
+    def _collect_due_estimates(
         self,
         now_s: float,
     ) -> tuple[messages.TargetEstimate, ...]:
-        if now_s < self._other_news_due_s:
+        if now_s < self._estimates_due_s:
             return ()
-        self._other_news_due_s = now_s + _OTHER_ZONES_S
-        return self._other_news.take()
+        self._estimates_due_s = now_s + _ESTIMATE_INTERVAL_S
+        return self._other_zone_estimates.collect()
 
     def _on_report(
         self,
         sender: wire_messages.Sender,
         report: messages.BeliefReport,
     ) -> None:
-        if not self._carriers.is_neighbour(sender.instance_id):
+        if not self._carriers.is_zone_peer(sender.instance_id):
             zone = self._carriers.zone_of(sender.instance_id)
-            self._from_other_zone(zone, report)
-            self._pass_on(zone, report)
+            self._apply_other_zone(zone, report)
+            self._forward(zone, report)
         elif report.of_zone is not None:
-            self._from_other_zone(report.of_zone, report)
+            self._apply_other_zone(report.of_zone, report)
         else:
-            self.take_from_zone(report)
+            self.apply_zone_updates(report)
 
-    def _from_other_zone(
+    def _apply_other_zone(
         self,
         zone: ids.ZoneName | None,
         report: messages.BeliefReport,
     ) -> None:
         if zone is not None:
-            self.unreachable_zones.heard(zone)
-        self._take_in(report, target_record.ObservationSource.OTHER_ZONE)
+            self.unreachable_zones.record_report(zone)
+        self._apply(report, target_record.ObservationSource.OTHER_ZONE)
 
-    def _take_in(
+    def _apply(
         self,
-        told: messages.ZoneBeat | messages.BeliefReport,
+        received: messages.ZoneBeat | messages.BeliefReport,
         source: target_record.ObservationSource,
     ) -> None:
-        estimate_updates.take_in(self._held, self._clock, told.beliefs, source)
-        statements.take_in(self._held, self._clock, told.stated, source)
+        estimate_updates.apply_updates(
+            self._services, self._clock, received.estimates, source
+        )
+        statements.apply_updates(
+            self._services, self._clock, received.statements, source
+        )
 
-    def _pass_on(
+    def _forward(
         self,
         zone: ids.ZoneName | None,
         report: messages.BeliefReport,
     ) -> None:
-        """Hand a report to who carries the zone first now.
+        """Forward a report to the zone's current first carrier.
 
-        Other zones don't hear that this daemon stood down.
+        Other zones aren't informed when this daemon hands its zone over.
         """
         if self._carriers.is_first():
             return
-        passed_on = messages.BeliefReport(report.beliefs, zone, report.stated)
+        forwarded = messages.BeliefReport(
+            report.estimates, zone, report.statements
+        )
         for member in self._carriers.of_own_zone()[:1]:
-            self._network.send(member.peer_address, passed_on)
+            self._network.send(member.peer_address, forwarded)
--- a/libraries/zones/src/sardinepier/zones/estimate_updates.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_updates.py
@@ -1,4 +1,4 @@
-"""Which beliefs about targets are worth telling, and taking in others'."""
+"""Selects failure estimates to send, and applies those of other daemons."""
 
 from typing import Final
 
@@ -10,123 +10,130 @@
 
 _Source = target_record.ObservationSource
 _MS_PER_S: Final = 1000
-_WORTH_TELLING: Final = 0.1
-"""Change of the chance that a target fails which other zones are told of:
-less would not change their choice, and bytes between zones are dear."""
+_MIN_CHANGE: Final = 0.1
+"""Minimum change of a failure probability that is sent to other zones: a
+smaller one would not change their choice, and traffic between zones is
+expensive."""
 
-_OLDEST_NEWS_S: Final = 5.0
+_MAX_AGE_S: Final = 5.0
 
 
 class EstimateUpdates:
-    """Tells what became known since it last told, to one audience.
+    """Collects the estimates that are new to one group of receivers.
 
-    What comes from some of the ``sources`` only is told, so that nothing goes
-    round in circles: on its way news seems ever younger.
+    Only observations from ``sources`` are sent. Forwarding all of them would
+    make them circulate between daemons, as transit time is not part of an age
+    and each hop makes an observation seem younger.
     """
 
     def __init__(
         self,
-        held: service_registry.ServiceRegistry,
+        services: service_registry.ServiceRegistry,
         clock: clocks.Clock,
         sources: frozenset[target_record.ObservationSource],
-        least_change: float = 0.0,
+        min_change: float = 0.0,
     ) -> None:
-        """Tell of changes by ``least_change`` and more."""
-        self._held = held
+        """Collect changes of the probability by ``min_change`` or more."""
+        self._services = services
         self._clock = clock
         self._sources = sources
-        self._least_change = least_change
+        self._min_change = min_change
         self._began_s = clock.monotonic_s()
-        self._told_s: dict[ids.TargetId, float] = {}
-        self._told: dict[ids.TargetId, failure_estimate.FailureEstimate] = {}
+        self._sent_observation_s: dict[ids.TargetId, float] = {}
+        self._sent: dict[ids.TargetId, failure_estimate.FailureEstimate] = {}
 
-    def take(self) -> tuple[messages.TargetEstimate, ...]:
-        """Return the news; each is returned once."""
+    def collect(self) -> tuple[messages.TargetEstimate, ...]:
+        """Return the new estimates, each of them once."""
         now_s = self._clock.monotonic_s()
-        told_before_s = self._told_s
-        self._told_s = {}
-        news = []
-        for pool in self._held.pools():
+        sent_before_s = self._sent_observation_s
+        self._sent_observation_s = {}
+        estimates = []
+        for pool in self._services.pools():
             for record in pool.targets.records():
                 target_id = record.listed.target_id
-                seen_s = record.estimate.updated_s
-                before_s = told_before_s.get(target_id, self._began_s)
-                self._told_s[target_id] = max(before_s, seen_s)
-                if seen_s > before_s and record.belief_source in self._sources:
-                    news.append(_news_of(record, now_s))
-        return tuple(one for one in news if self._is_new(one))
-
-    def _is_new(self, news: messages.TargetEstimate) -> bool:
-        """Tell whether others believe otherwise by now.
-
-        What they were told fades with time, so that a target which fails
-        again and again is told of again and again.
+                observed_s = record.estimate.updated_s
+                before_s = sent_before_s.get(target_id, self._began_s)
+                self._sent_observation_s[target_id] = max(before_s, observed_s)
+                if (
+                    observed_s > before_s
+                    and record.belief_source in self._sources
+                ):
+                    estimates.append(_estimate_of(record, now_s))
+        return tuple(
+            estimate for estimate in estimates if self._is_new(estimate)
+        )
+
+    def _is_new(self, estimate: messages.TargetEstimate) -> bool:
+        """Return whether the receivers' estimate differs by now.
+
+        The estimate that they were sent decays with time, so that repeated
+        failures of a target are sent repeatedly.
         """
         now_s = self._clock.monotonic_s()
-        told = self._told.get(news.target_id)
-        if told is None:
-            told = failure_estimate.FailureEstimate(
-                self._held.belief_options, now_s
+        sent = self._sent.get(estimate.target_id)
+        if sent is None:
+            sent = failure_estimate.FailureEstimate(
+                self._services.belief_options, now_s
             )
-            self._told[news.target_id] = told
+            self._sent[estimate.target_id] = sent
         elif (
-            abs(told.failing_probability(now_s) - news.failing)
-            < self._least_change
+            abs(sent.failing_probability(now_s) - estimate.failing)
+            < self._min_change
         ):
             return False
-        told.adopt(news.failing, now_s)
+        sent.adopt(estimate.failing, now_s)
         return True
 
 
 def for_own_zone(
-    held: service_registry.ServiceRegistry,
+    services: service_registry.ServiceRegistry,
     clock: clocks.Clock,
 ) -> EstimateUpdates:
-    """Return news for the own zone, also what other zones reported here."""
+    """Return updates for the own zone, including reports of other zones."""
     return EstimateUpdates(
-        held,
+        services,
         clock,
         frozenset((_Source.OWN, _Source.OTHER_ZONE)),
     )
 
 
 def for_other_zones(
-    held: service_registry.ServiceRegistry,
+    services: service_registry.ServiceRegistry,
     clock: clocks.Clock,
 ) -> EstimateUpdates:
-    """Return news that only has what matters to other zones."""
+    """Return updates for other zones, with larger changes only."""
     return EstimateUpdates(
-        held,
+        services,
         clock,
         frozenset((_Source.OWN, _Source.ZONE)),
-        _WORTH_TELLING,
+        _MIN_CHANGE,
     )
 
 
-def take_in(
-    held: service_registry.ServiceRegistry,
+def apply_updates(
+    services: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-    news: tuple[messages.TargetEstimate, ...],
+    received: tuple[messages.TargetEstimate, ...],
     source: target_record.ObservationSource,
 ) -> None:
-    """Believe what others saw later than this daemon."""
+    """Adopt estimates that are based on newer outcomes than the own ones."""
     now_s = clock.monotonic_s()
     by_target = {
         record.listed.target_id: record
-        for pool in held.pools()
+        for pool in services.pools()
         for record in pool.targets.records()
     }
-    for one in news:
-        record = by_target.get(one.target_id)
-        seen_s = now_s - one.age_ms / _MS_PER_S
-        if record is None or now_s - seen_s > _OLDEST_NEWS_S:
+    for estimate in received:
+        record = by_target.get(estimate.target_id)
+        observed_s = now_s - estimate.age_ms / _MS_PER_S
+        if record is None or now_s - observed_s > _MAX_AGE_S:
             continue
-        if seen_s > record.estimate.updated_s:
-            record.estimate.adopt(one.failing, seen_s)
+        if observed_s > record.estimate.updated_s:
+            record.estimate.adopt(estimate.failing, observed_s)
             record.belief_source = source
 
 
-def _news_of(
+def _estimate_of(
     record: target_record.TargetRecord,
     now_s: float,
 ) -> messages.TargetEstimate:
--- a/libraries/zones/src/sardinepier/zones/events.py
+++ b/libraries/zones/src/sardinepier/zones/events.py
@@ -1,4 +1,4 @@
-"""What the daemons of a zone write to the log about their part in it."""
+"""Log events of a daemon's role in its zone, and of its platform reader."""
 
 from collections.abc import Sequence
 
@@ -6,20 +6,20 @@
 
 
 class ZoneHandedOver(line_events.LineEvent, frozen=True):
-    """This carrier lost the way to targets and stands down for a while."""
+    """This carrier can't reach targets and hands its zone over for a while."""
 
     out_of_reach: Sequence[str]
 
 
 class CarriersWanted(line_events.LineEvent, frozen=True):
-    """This daemon, the first carrier, decided on another number of them."""
+    """This daemon, the first carrier, changed the number of carriers."""
 
     count: int
     before: int
 
 
 class CarrierChanged(line_events.LineEvent, frozen=True):
-    """This daemon began or ceased to be one of its zone's ``count`` carriers.
+    """This daemon became or ceased to be one of its zone's ``count`` carriers.
 
     ``rank`` is its place in the order, 0 for the first.
     """
@@ -30,9 +30,9 @@
 
 
 class EntryUnusable(line_events.LineEvent, frozen=True):
-    """An entry of the platform can't be read and is passed over.
+    """An entry of the platform can't be read and is skipped.
 
-    Told once for each entry and reason, not at each reading.
+    Logged once for each entry and reason, not at each snapshot.
     """
 
     key: str
@@ -40,22 +40,22 @@
 
 
 class EntryUsable(line_events.LineEvent, frozen=True):
-    """An entry that could not be read is gone, or can be read again."""
+    """An entry that could not be read was removed, or can be read again."""
 
     key: str
 
 
 class ReadingSlow(line_events.LineEvent, frozen=True):
-    """A reading of the platform took long: what it tells is as old.
+    """Reading a platform snapshot took long, so that the snapshot is old.
 
-    The platform is slow, or the link or the processor of this instance.
+    The platform, the link or the processor of this instance is slow.
     """
 
     took_ms: int
 
 
 class PlatformRegained(line_events.LineEvent, frozen=True):
-    """The platform answers this daemon again, after so many failures."""
+    """The platform answers this daemon again, after ``failures`` failures."""
 
     failures: int
 
@@ -63,8 +63,7 @@
 class PlatformLost(line_events.LineEvent, frozen=True):
     """The platform did not answer this daemon.
 
-    ``age_ms`` is how old the target list was that stays in use, -1 without
-    one.
+    ``age_ms`` is the age of the target list that stays in use, -1 without one.
     """
 
     error: str
@@ -73,10 +72,10 @@
 
 
 class ConfirmationLost(line_events.LineEvent, frozen=True):
-    """Requests with a key are refused.
+    """Requests with a key are refused, for lack of a confirmation.
 
-    Neither the platform nor another daemon has confirmed the configuration
-    since ``age_ms``.
+    Neither the platform nor another daemon has confirmed the configuration for
+    ``age_ms``.
     """
 
     age_ms: int
--- a/libraries/zones/src/sardinepier/zones/expired_entries.py
+++ b/libraries/zones/src/sardinepier/zones/expired_entries.py
@@ -1,11 +1,11 @@
-"""Telling a target that is gone from one whose entry lapsed.
+"""Distinction between targets that left and targets whose entry only expired.
 
-While the platform is away, entries of targets that live may run out. They
-are back a moment after its return, so that what is missing right then is
-kept for that moment, and what is still missing afterwards is gone.
+During an outage of the platform, entries of live targets may expire. The
+targets renew them soon after its return, so that missing targets are kept for
+that time, and those that are still missing afterwards are gone.
 
-The platform may also come back from a copy that is some seconds old. Such a list
-lacks targets that started since, and names some that left.
+The platform may also be restored from a copy that is some seconds old. Its list
+then lacks targets that started since, and contains some that left.
 """
 
 from collections.abc import Collection
@@ -15,143 +15,145 @@
 from sardinepier.core import ids
 from sardinepier.entry import model
 
-_AWAY_AFTER_S: Final = 1.5
-"""Readings come each second; a longer gap after which this daemon's own
-reading had failed, too, means that the platform was away."""
+_OUTAGE_AFTER_S: Final = 1.5
+"""Age of the newest snapshot that shows an outage of the platform, if this
+daemon's own read failed, too. Snapshots are read each second."""
 
-_BACK_WITHIN_S: Final = 2.2
-"""Entries of targets that live are back within two seconds of the
-platform's return."""
+_RENEWAL_TIME_S: Final = 2.2
+"""Targets renew their entries within two seconds of the platform's return."""
 
-
-_COPY_CORRECTED_S: Final = 6.0
-"""Entries of targets that left are gone from a restored copy by then: they run out
-after three heartbeats of a second and a half."""
+_COPY_EXPIRY_S: Final = 6.0
+"""Time after which a restored copy no longer has entries of targets that left:
+they expire after three heartbeats of a second and a half."""
 
 
 class ExpiredEntryGuard:
-    """Knows how old the list of targets is, and keeps those that only lapsed.
+    """Tracks the age of the target list, and keeps expired targets.
 
-    A list is as old as the moment at which the platform was asked for it:
-    what it took on the way, to the reader and from there, counts. ``is_own``
-    tells that this daemon made the newest reading known to it.
+    The age counts from the request to the platform, so that it includes the
+    transfers to the reader and from there. ``is_own_snapshot`` says that this
+    daemon itself read the newest snapshot known to it.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        """Start without a reading."""
-        self.is_own = False
+        """Start without a snapshot."""
+        self.is_own_snapshot = False
         self._clock = clock
-        self._asked_s: float | None = None
+        self._requested_s: float | None = None
         self._has_failed = False
         self._keep_until_s = 0.0
-        self._read_era: int | None = None
-        self._left: frozenset[ids.TargetId] = frozenset()
-        self._left_until_s = 0.0
+        self._epoch: int | None = None
+        self._departed: frozenset[ids.TargetId] = frozenset()
+        self._departed_until_s = 0.0
         self._restored_until_s = 0.0
 
     def is_restoring(self) -> bool:
-        """Tell whether a restored platform may still lack what was written.
+        """Return whether a restored platform may still lack newer writes.
 
-        Until then a reading confirms nothing: what it lacks may be newer.
+        Until they are repeated, a snapshot confirms no configuration, as a
+        newer one may be missing.
         """
         return self._clock.monotonic_s() < self._restored_until_s
 
     def age_s(self) -> float | None:
-        """Return how long ago somebody asked for the list, None for never."""
-        if self._asked_s is None:
+        """Return how long ago the list was requested, None without one."""
+        if self._requested_s is None:
             return None
-        return self._clock.monotonic_s() - self._asked_s
+        return self._clock.monotonic_s() - self._requested_s
 
-    def heard(self, reading_age_s: float) -> None:
-        """Note that another daemon asked so long ago, and has a reading.
+    def record_peer_snapshot(self, snapshot_age_s: float) -> None:
+        """Record the age of a snapshot that another daemon has read.
 
-        Only the reader itself tells of its reading: if others passed it on
-        with its age, the time on its way would make it seem ever younger.
+        Only the reader itself announces its snapshot. Transit time is not part
+        of the age, so that each hop would make the snapshot seem younger.
         """
-        asked_s = self._clock.monotonic_s() - reading_age_s
-        if self._asked_s is None or asked_s > self._asked_s:
-            self._asked_s = asked_s
+        requested_s = self._clock.monotonic_s() - snapshot_age_s
+        if self._requested_s is None or requested_s > self._requested_s:
+            self._requested_s = requested_s
             self._has_failed = False
-            self.is_own = False
+            self.is_own_snapshot = False
 
-    def failed(self) -> None:
-        """Note that this daemon's own reading failed."""
+    def record_failure(self) -> None:
+        """Record that this daemon failed to read the platform."""
         self._has_failed = True
 
-    def complete(
+    def reconcile(
         self,
-        held: model.TargetList | None,
+        current: model.TargetList | None,
         fresh: model.TargetList,
         *,
-        asked_s: float,
+        requested_s: float,
         unusable: Collection[str] = (),
     ) -> model.TargetList:
-        """Return ``fresh``, with what may only have lapsed from ``held``.
-
-        ``asked_s`` is when this daemon asked for it, by its clock. Nothing is
-        kept unless its own reading failed since anybody's succeeded, or the
-        platform was restored from a copy. A target
-        that ``held`` shows as draining is not kept, nor one that is listed as
-        started anew, nor one whose entry is among the ``unusable``: that one
-        is there, and names no target.
+        """Return ``fresh`` with the targets of ``current`` that only expired.
+
+        ``requested_s`` is when this daemon requested ``fresh``, by its clock.
+        Targets are only kept if this daemon failed to read since the newest
+        successful snapshot of any daemon, or after the platform was restored
+        from a copy. Not kept are targets that drain in ``current``, those with
+        a newer incarnation in ``fresh``, and those whose entry is among the
+        ``unusable``, which exists and hasn't expired.
         """
         now_s = self._clock.monotonic_s()
         age_s = self.age_s()
-        if self._has_failed and age_s is not None and age_s > _AWAY_AFTER_S:
-            self._keep_until_s = now_s + _BACK_WITHIN_S
+        if self._has_failed and age_s is not None and age_s > _OUTAGE_AFTER_S:
+            self._keep_until_s = now_s + _RENEWAL_TIME_S
         self._has_failed = False
-        self._asked_s = asked_s
-        self.is_own = True
-        self._note_era(held, fresh)
-        fresh = self._without_those_that_left(held, fresh)
-        if held is None or now_s >= self._keep_until_s:
+        self._requested_s = requested_s
+        self.is_own_snapshot = True
+        self._detect_restore(current, fresh)
+        fresh = self._without_departed(current, fresh)
+        if current is None or now_s >= self._keep_until_s:
             return fresh
         listed = {target.stable_name for target in fresh.targets}
-        lapsed = tuple(
+        expired = tuple(
             target
-            for target in held.targets
+            for target in current.targets
             if target.stable_name not in listed
             and target.stable_name not in unusable
             and target.state is model.TargetState.READY
         )
-        return model.TargetList(fresh.revision, fresh.targets + lapsed)
+        return model.TargetList(fresh.revision, fresh.targets + expired)
 
-    def _note_era(
+    def _detect_restore(
         self,
-        held: model.TargetList | None,
+        current: model.TargetList | None,
         fresh: model.TargetList,
     ) -> None:
-        """Take in whether the platform was restored since the last reading."""
-        before = self._read_era
-        self._read_era = fresh.epoch
-        if held is None or before is None or fresh.epoch <= before:
+        """Detect whether the platform was restored since the last snapshot."""
+        before = self._epoch
+        self._epoch = fresh.epoch
+        if current is None or before is None or fresh.epoch <= before:
             return
         now_s = self._clock.monotonic_s()
-        self._keep_until_s = now_s + _BACK_WITHIN_S
-        self._restored_until_s = now_s + _BACK_WITHIN_S
-        self._left_until_s = now_s + _COPY_CORRECTED_S
-        known = {target.target_id for target in held.targets}
-        self._left = frozenset(
+        self._keep_until_s = now_s + _RENEWAL_TIME_S
+        self._restored_until_s = now_s + _RENEWAL_TIME_S
+        self._departed_until_s = now_s + _COPY_EXPIRY_S
+        known = {target.target_id for target in current.targets}
+        self._departed = frozenset(
             target.target_id
             for target in fresh.targets
             if target.target_id not in known
         )
 
-    def _without_those_that_left(
+    def _without_departed(
         self,
-        held: model.TargetList | None,
+        current: model.TargetList | None,
         fresh: model.TargetList,
     ) -> model.TargetList:
-        """Return ``fresh`` without what a restored copy names wrongly.
+        """Return ``fresh`` without outdated entries of a restored copy.
 
-        That are targets which had left before, and the state of those that
-        had begun to.
+        These are targets that had left before the restore, and the state of
+        those that had begun to drain.
         """
-        if held is None or self._clock.monotonic_s() >= self._left_until_s:
+        if (
+            current is None
+            or self._clock.monotonic_s() >= self._departed_until_s
+        ):
             return fresh
         draining = {
             target.target_id: target
-            for target in held.targets
+            for target in current.targets
             if target.state is model.TargetState.DRAINING
         }
         return model.TargetList(
@@ -159,6 +161,6 @@
             tuple(
                 draining.get(target.target_id, target)
                 for target in fresh.targets
-                if target.target_id not in self._left
+                if target.target_id not in self._departed
             ),
         )
--- a/libraries/zones/src/sardinepier/zones/handover.py
+++ b/libraries/zones/src/sardinepier/zones/handover.py
@@ -1,8 +1,8 @@
-"""When a carrier hands its zone over to another daemon.
+"""Handover of a zone by a carrier that can't reach targets.
 
-The way from one daemon to some targets may be lost while others still reach
-them. A carrier sends most of its zone's requests, so that it is the wrong one
-to carry on: another daemon of the zone most likely has the way.
+One daemon may lose the network path to targets that others still reach. As a
+carrier it sends most of the zone's requests, so that it hands the zone over to
+another daemon, which most likely still has a path.
 """
 
 from typing import Final
@@ -13,60 +13,62 @@
 from sardinepier.telemetry import logs
 from sardinepier.zones import carriers, events
 
-_LEAST_TARGETS: Final = 2
-"""Targets of one service out of reach at once: a single one may be gone."""
+_MIN_TARGETS: Final = 2
+"""Unreachable targets of one service that cause a handover; a single one may be
+gone itself."""
 
-_LEAST_CONNECTS: Final = 2
-"""Connections that timed out in a row: over a link that loses three packets in a
-hundred, one in sixteen does."""
+_MIN_TIMEOUTS: Final = 2
+"""Consecutive connection timeouts at which a target is unreachable: a single
+one happens to one in sixteen connections on a link that loses three packets in
+a hundred."""
 
-_FAILING: Final = 0.5
-"""Targets that fail more likely than not are no loss."""
+_MAX_FAILURE_PROBABILITY: Final = 0.5
+"""Targets with at least this failure probability don't count as unreachable."""
 
 
 class Handover:
-    """Watches what one daemon reaches, and hands its zone over.
+    """Checks which targets one daemon reaches, and hands its zone over.
 
     For example::
 
         if handover.begin():
-            tell_the_zone()
+            announce_handover()
     """
 
     def __init__(
         self,
-        held: service_registry.ServiceRegistry,
-        chosen: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
         clock: clocks.Clock,
     ) -> None:
-        """Watch the targets of ``held``."""
-        self._held = held
-        self._carriers = chosen
+        """Check the targets of ``services``."""
+        self._services = services
+        self._carriers = zone_carriers
         self._clock = clock
 
     def begin(self) -> bool:
-        """Stand down if that is due; tell whether this daemon now does."""
-        lost = self._lost()
-        if not lost or not self._carriers.hand_over():
+        """Hand the zone over if that is due; return whether it was done."""
+        unreachable = self._unreachable_targets()
+        if not unreachable or not self._carriers.hand_over():
             return False
-        logs.write(events.ZoneHandedOver(out_of_reach=lost))
+        logs.write(events.ZoneHandedOver(out_of_reach=unreachable))
         return True
 
-    def _lost(self) -> list[ids.TargetId]:
-        """Return the targets of the first service that is out of reach."""
+    def _unreachable_targets(self) -> list[ids.TargetId]:
+        """Return the unreachable targets of the first service with enough."""
         now_s = self._clock.monotonic_s()
-        for pool in self._held.pools():
-            lost = [
+        for pool in self._services.pools():
+            unreachable = [
                 record.listed.target_id
                 for record in pool.targets.records()
-                if _is_lost(record, now_s)
+                if _is_unreachable(record, now_s)
             ]
-            if len(lost) >= _LEAST_TARGETS:
-                return lost
+            if len(unreachable) >= _MIN_TARGETS:
+                return unreachable
         return []
 
 
-def _is_lost(record: target_record.TargetRecord, now_s: float) -> bool:
-    if record.failed_connects < _LEAST_CONNECTS:
+def _is_unreachable(record: target_record.TargetRecord, now_s: float) -> bool:
+    if record.failed_connects < _MIN_TIMEOUTS:
         return False
-    return record.estimate.failing_probability(now_s) < _FAILING
+    return record.estimate.failing_probability(now_s) < _MAX_FAILURE_PROBABILITY
--- a/libraries/zones/src/sardinepier/zones/limit_parts.py
+++ b/libraries/zones/src/sardinepier/zones/limit_parts.py
@@ -1,6 +1,6 @@
-"""The parts of one daemon in the limits that targets name.
+"""This daemon's shares of the rate limits that targets state.
 
-Only those that carry a target's zone send to it while it names a limit.
+While a target states a limit, only the carriers of its zone send to it.
 """
 
 from sardinepier.core import ids, rendezvous
@@ -10,20 +10,20 @@
 
 
 class LimitParts:
-    """Lets the request path of one daemon know its parts of the limits."""
+    """Assigns this daemon's shares of the limits to the request path."""
 
     def __init__(
         self,
-        held: service_registry.ServiceRegistry,
-        chosen: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
     ) -> None:
-        """Decide by the carriers that are ``chosen``."""
-        self._held = held
-        self._carriers = chosen
+        """Share the limits among ``zone_carriers``."""
+        self._services = services
+        self._carriers = zone_carriers
 
     def assign(self) -> None:
-        """Decide anew for all targets that name a limit."""
-        for pool in self._held.pools():
+        """Update the shares for all targets that state a limit."""
+        for pool in self._services.pools():
             for record in pool.targets.with_statements():
                 limit_per_s = record.statements.newest.limit_per_s
                 if limit_per_s is not None:
@@ -43,14 +43,15 @@
     ) -> ranking.Members:
         """Return the carriers of ``zone``.
 
-        For a zone without living daemons all daemons name the same other one.
+        For a zone without living daemons, all daemons select the same other
+        zone.
         """
-        found = self._carriers.of_zone(zone)
-        if not found or found[0].zone == zone:
-            return found
-        first = (*found[:1], *self._carriers.of_other_zones())
-        zones = {one.zone for one in first}
-        instead = rendezvous.top_candidates(
+        zone_senders = self._carriers.of_zone(zone)
+        if not zone_senders or zone_senders[0].zone == zone:
+            return zone_senders
+        first_carriers = (*zone_senders[:1], *self._carriers.of_other_zones())
+        zones = {member.zone for member in first_carriers}
+        replacement = rendezvous.top_candidates(
             limit_parts.ranking_key(target_id), zones, 1
         )
-        return self._carriers.of_zone(ids.ZoneName(instead[0]))
+        return self._carriers.of_zone(ids.ZoneName(replacement[0]))
--- a/libraries/zones/src/sardinepier/zones/messages.py
+++ b/libraries/zones/src/sardinepier/zones/messages.py
@@ -1,4 +1,4 @@
-"""What the daemons of one zone tell each other."""
+"""Messages that the daemons of a zone, and carriers of all zones, exchange."""
 
 import msgspec
 
@@ -8,10 +8,10 @@
 
 
 class TargetEstimate(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender believes of one target.
+    """The sender's failure estimate of one target.
 
-    ``failing`` is the chance, 0 to 1, that it fails now, ``age_ms`` how long
-    ago its newest outcome was seen.
+    ``failing`` is the probability, 0 to 1, that it fails now, and ``age_ms``
+    the age of the newest outcome that was observed.
     """
 
     target_id: ids.TargetId
@@ -20,9 +20,10 @@
 
 
 class StatementUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What a target said of itself, ``age_ms`` ago.
+    """What a target stated of itself ``age_ms`` ago.
 
-    ``limit_per_s`` is None when it named no limit. One that leaves stays so.
+    ``limit_per_s`` is None if it named no limit. ``is_leaving`` is never
+    revoked.
     """
 
     target_id: ids.TargetId
@@ -32,10 +33,10 @@
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """What a carrier has to do.
+    """The load of a carrier.
 
-    ``late_ms`` is how late its timers are, which grows when its processor
-    has no time left. ``kbit_per_s`` is what it passes on, each way.
+    ``late_ms`` is the delay of its timers, which grows when its processor is
+    saturated. ``kbit_per_s`` is the traffic that it forwards, each way.
     """
 
     requests_per_s: int = 0
@@ -44,69 +45,69 @@
 
 
 class ZoneBeat(messages.Message, frozen=True):
-    """Sent by those who carry the zone, at least once an interval.
+    """Heartbeat of a carrier to its zone, at least once an interval.
 
-    ``configuration_version`` and ``targets_revision`` are what the sender
-    holds, -1 for nothing, and ``targets_digest`` tells lists with other
-    targets apart. ``reading_age_ms`` is how long ago the sender asked the
-    platform for a reading that it tells of, None when it tells of none.
-    ``beliefs`` are those that changed since its last beat.
+    ``configuration_version`` and ``targets_revision`` are the sender's current
+    ones, -1 without any, and ``targets_digest`` distinguishes lists with
+    different targets. ``snapshot_age_ms`` is how long ago the sender requested
+    the platform snapshot that it announces, None if it announces none.
+    ``estimates`` are those that changed since the sender's last heartbeat.
     ``hands_over`` says that the sender can't reach targets and that another
-    daemon shall carry the zone for a while. ``carriers`` is how many there
-    shall be, which counts when it comes from the first of them. ``stated`` is
-    what targets said of themselves since its last beat.
+    daemon is to carry the zone for a while. ``carrier_count`` is the intended
+    number of carriers, which applies if the sender is the first of them.
+    ``statements`` are those of targets since the sender's last heartbeat.
     """
 
     configuration_version: int
     targets_revision: int
     targets_digest: int
-    reading_age_ms: int | None = None
-    beliefs: tuple[TargetEstimate, ...] = ()
+    snapshot_age_ms: int | None = None
+    estimates: tuple[TargetEstimate, ...] = ()
     hands_over: bool = False
     load: Load = Load()
-    carriers: int = 1
-    stated: tuple[StatementUpdate, ...] = ()
+    carrier_count: int = 1
+    statements: tuple[StatementUpdate, ...] = ()
 
 
 class BeliefReport(messages.Message, frozen=True):
-    """Beliefs and statements, from a daemon that does not beat to the reader.
+    """Estimates and statements, from a daemon that sends no heartbeats here.
 
-    Daemons beside the carriers report what they saw to the carriers of their
-    zone, and carriers report to those of other zones. ``of_zone`` names the zone
-    that a report came from when a neighbour passes it on.
+    Non-carriers report to the carriers of their zone, and first carriers to
+    those of other zones. ``of_zone`` names the zone that a report came from if
+    a daemon of the receiver's own zone forwards it.
     """
 
-    beliefs: tuple[TargetEstimate, ...]
+    estimates: tuple[TargetEstimate, ...]
     of_zone: ids.ZoneName | None = None
-    stated: tuple[StatementUpdate, ...] = ()
+    statements: tuple[StatementUpdate, ...] = ()
 
 
 class ConfirmationRequest(messages.Message, frozen=True):
-    """Asks how long ago the configuration was confirmed.
+    """Requests how long ago the configuration was confirmed.
 
-    ``asked_ms`` is a moment of the sender's clock, which comes back as it is.
+    ``requested_ms`` is the time by the sender's clock; the reply repeats it.
     """
 
-    asked_ms: int
+    requested_ms: int
 
 
 class ConfirmationReply(messages.Message, frozen=True):
-    """Tells that ``configuration_version`` was the newest ``age_ms`` ago.
+    """Confirms that ``configuration_version`` was the newest ``age_ms`` ago.
 
-    ``asked_ms`` is the one of the request. The answer was made after it, so
-    that the receiver may take the moment of its own question less the age for
-    that of the confirmation, however long the messages were on their way.
+    ``requested_ms`` is copied from the request. As the reply is made after the
+    request, ``requested_ms`` less ``age_ms`` is a safe time of the confirmation
+    by the requester's clock, whatever the delay of the messages.
     """
 
-    asked_ms: int
+    requested_ms: int
     age_ms: int
     configuration_version: int
 
 
 class CustomerUsage(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender let through of one customer since its start.
+    """The requests of one customer that the sender admitted since its start.
 
-    ``level`` is how many more requests it takes the limit to allow.
+    ``level`` is how many more requests the limit allows by its count.
     """
 
     customer: ids.CustomerName
@@ -115,10 +116,10 @@
 
 
 class UsageNews(messages.Message, frozen=True):
-    """All customers of whom the sender let any through since its last news.
+    """The usage of all customers with requests admitted since the last message.
 
-    ``sends_regularly`` says that the sender tells again soon, with news or without.
-    ``age_ms`` is how long ago it started to count.
+    ``sends_regularly`` says that the sender sends its next message soon, with
+    new usage or without. ``age_ms`` is how long ago it started to count.
     """
 
     usages: tuple[CustomerUsage, ...]
@@ -127,7 +128,7 @@
 
 
 class NewsRequest(messages.Message, frozen=True):
-    """Asks for what is newer than the sender's own."""
+    """Requests configuration and targets newer than these versions."""
 
     configuration_version: int
     targets_revision: int
@@ -140,19 +141,19 @@
 
 
 class TargetsNews(messages.Message, frozen=True):
-    """A whole target list; ``reading_age_ms`` as for a beat."""
+    """A whole target list; ``snapshot_age_ms`` as in ``ZoneBeat``."""
 
     targets: model.TargetList
-    reading_age_ms: int | None = None
+    snapshot_age_ms: int | None = None
 
 
 class TargetsChange(messages.Message, frozen=True):
-    """What a reading changed of the list before it.
+    """The difference between a platform snapshot and the target list before it.
 
-    The list with ``base_digest`` becomes that with ``digest``, at ``revision``,
-    by the targets that are new or ``changed`` and those that are ``gone``.
-    Whoever holds another list asks for the whole one. ``reading_age_ms`` as for
-    a beat.
+    ``changed`` holds new and changed targets, ``gone`` the removed ones.
+    Applied to the list with ``base_digest`` they result in the list with
+    ``digest`` at ``revision``. A receiver with any other list requests the
+    whole one. ``snapshot_age_ms`` as in ``ZoneBeat``.
     """
 
     base_digest: int
@@ -160,7 +161,7 @@
     revision: int
     changed: tuple[model.ListedTarget, ...]
     gone: tuple[ids.TargetId, ...]
-    reading_age_ms: int
+    snapshot_age_ms: int
 
 
 KINDS = (
--- a/libraries/zones/src/sardinepier/zones/packing.py
+++ b/libraries/zones/src/sardinepier/zones/packing.py
@@ -1,4 +1,4 @@
-"""A configuration in few bytes: large ones repeat themselves a lot."""
+"""Compression of configurations, as large ones are highly repetitive."""
 
 import zlib
 from typing import Final
@@ -8,9 +8,9 @@
 from sardinepier.entry import model
 
 _LEVEL: Final = 1
-_MOST_BYTES: Final = 16_777_216
-"""Bounds what a damaged message may unpack to: the platform's values have a
-megabyte at most."""
+_MAX_BYTES: Final = 16_777_216
+"""Limits the unpacked size of a damaged message; values of the platform are at
+most one megabyte."""
 
 _encoder: Final = msgspec.msgpack.Encoder()
 _decoder: Final = msgspec.msgpack.Decoder(model.ServedConfiguration)
@@ -27,4 +27,4 @@
     Raises ``zlib.error`` and ``msgspec.DecodeError`` for damaged bytes.
     """
     unpacker = zlib.decompressobj()
-    return _decoder.decode(unpacker.decompress(packed, _MOST_BYTES))
+    return _decoder.decode(unpacker.decompress(packed, _MAX_BYTES))
--- a/libraries/zones/src/sardinepier/zones/platform_reader.py
+++ b/libraries/zones/src/sardinepier/zones/platform_reader.py
@@ -1,10 +1,10 @@
-"""Reading the platform for a zone: by one daemon, at a bounded pace.
+"""Platform reader of a zone: one daemon reads, at a limited rate.
 
-The first of the carriers reads, since it has the strongest processor and link,
-and the others hear from it. When the newest reading is too old, the others try
-in the order of their places among the carriers, a moment apart, and the first
-that succeeds goes on until the first carrier reads again. The platform may turn
-some daemons away while it serves others.
+The first carrier reads, as it has the strongest processor and link, and sends
+the snapshots to the others. When the newest snapshot is too old, the others try
+in the order of their ranks, a short time apart, and the first that succeeds
+goes on until the first carrier reads again. The platform may refuse some
+daemons while it serves others.
 """
 
 import asyncio
@@ -24,49 +24,50 @@
 )
 
 _INTERVAL_S: Final = 0.9
-"""Pace of readings. A target that leaves and a new configuration have to be
-known everywhere within two seconds, and each reading is paid for."""
-
-_YIELDS_S: Final = 0.1
-"""How long a reader that is not the first carrier leaves it to that one to read.
-A reading of 240 kB, and a list for 25 neighbours, take a weak link of ten
-megabits 0.2 s each, and a strong one a hundredth."""
-
-_SPARE_S: Final = 0.2
-"""How long after its time the reader's reading may come before others try:
-the platform answers in milliseconds, a slow one in a quarter of a second."""
-
-_STEP_S: Final = 0.1
-"""How much later each further daemon tries. Where the platform turns a third
-away, four in a row fail in one case of eighty."""
-
-_MEETS_S: Final = (0.6, 1.2)
-"""How long a daemon that starts serves by what it read at a tenth of the price
-before it reads anew, unless it hears from its zone. Half of 293 that start at once
-know half of the others after 0.75 s; until then each takes itself for the one that
-reads. Targets that left a moment ago are avoided as they fail."""
-
-_OTHERS_ANSWER_S: Final = 0.06
-"""How long other daemons are given to confirm the configuration before this one
-asks the platform itself, while requests wait."""
-
-_IDLE_S: Final = 0.05
-_FIRST_RETRY_S: Final = 0.4
-_LONGEST_RETRY_S: Final = 3.0
+"""Interval of snapshots. Leaving targets and new configurations have to be
+known everywhere within two seconds, and each read costs money."""
+
+_FIRST_CARRIER_LEAD_S: Final = 0.1
+"""Delay by which a reader that is not the first carrier lets that one read
+first. A snapshot of 240 kB, and a list for 25 daemons of the zone, take 0.2 s
+each on a weak link of ten megabits, and a hundredth of that on a strong one."""
+
+_MAX_DELAY_S: Final = 0.2
+"""Delay of a snapshot after which other daemons try to read: the platform
+answers in milliseconds, when slow in a quarter of a second."""
+
+_DELAY_PER_RANK_S: Final = 0.1
+"""Additional delay for each rank. If the platform refuses a third of the
+daemons, four in a row fail in one case of eighty."""
+
+_MEETING_TIME_S: Final = (0.6, 1.2)
+"""Range of the time for which a starting daemon serves by a stale snapshot, at
+a tenth of the price, before it reads a fresh one, unless its zone sends it one.
+Half of 293 daemons that start together know half of the others after 0.75 s;
+until then each one acts as the reader. Targets that just left are avoided as
+they fail."""
+
+_PEER_CONFIRMATION_S: Final = 0.06
+"""Time that other daemons have to confirm the configuration before this one
+reads the platform itself, while requests wait for the confirmation."""
+
+_POLL_INTERVAL_S: Final = 0.05
+_MIN_RETRY_S: Final = 0.4
+_MAX_RETRY_S: Final = 3.0
 _RETRY_SPREAD: Final = (0.75, 1.25)
-_FIRST_AGAIN_S: Final = 1.0
+_STALE_RETRY_S: Final = 1.0
 _MS_PER_S: Final = 1000
 _NO_AGE: Final = -1
 
 
 class PlatformReader:
-    """Reads the platform while this daemon has to."""
+    """Reads the platform while that is this daemon's task."""
 
     def __init__(
         self,
         source: platform_state.PublishedState,
-        held: service_registry.ServiceRegistry,
-        chosen: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
         guard: expired_entries.ExpiredEntryGuard,
         shared: sharing.ZoneSharing,
         clock: clocks.Clock,
@@ -74,50 +75,50 @@
     ) -> None:
         """Read from ``source``; nothing is read yet."""
         self._source = source
-        self._held = held
-        self._carriers = chosen
+        self._services = services
+        self._carriers = zone_carriers
         self._guard = guard
-        self._shared = shared
+        self._sharing = shared
         self._clock = clock
         self._random = random_source
         self.unusable_entries = unusable_entries.UnusableEntries()
         self._failures = 0
-        meets_s = random_source.uniform(*_MEETS_S)
-        self._met_s = clock.monotonic_s() + meets_s
-        self._not_before_s = clock.monotonic_s()
-        self._first_due_s = clock.monotonic_s()
+        meeting_time_s = random_source.uniform(*_MEETING_TIME_S)
+        self._met_at_s = clock.monotonic_s() + meeting_time_s
+        self._next_read_s = clock.monotonic_s()
+        self._stale_due_s = clock.monotonic_s()
 
     async def run(self) -> None:
         """Read until cancelled."""
         while True:
             await self.step()
-            await asyncio.sleep(_IDLE_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def step(self) -> None:
-        """Read once if this daemon has to read now."""
-        if self._lacks_first():
+        """Read the platform once if a read is due."""
+        if self._needs_stale_snapshot():
             await self._read(allow_stale=True)
         elif self._is_due():
             await self._read(allow_stale=False)
 
-    def _lacks_first(self) -> bool:
-        """Tell whether to ask for what there is, old or not.
+    def _needs_stale_snapshot(self) -> bool:
+        """Return whether to request a snapshot that may be stale.
 
-        A daemon that starts can serve by it until it hears more.
+        A starting daemon can serve by it until a fresh one arrives.
         """
-        if self._held.configuration and self._held.targets:
+        if self._services.configuration and self._services.targets:
             return False
         now_s = self._clock.monotonic_s()
-        if now_s < self._first_due_s:
+        if now_s < self._stale_due_s:
             return False
-        self._first_due_s = now_s + _FIRST_AGAIN_S * (1 + self._random.random())
+        self._stale_due_s = now_s + _STALE_RETRY_S * (1 + self._random.random())
         return True
 
     def _is_due(self) -> bool:
-        """Tell whether this daemon has to read now."""
-        if self._clock.monotonic_s() < self._not_before_s:
+        """Return whether this daemon has to read a fresh snapshot now."""
+        if self._clock.monotonic_s() < self._next_read_s:
             return False
-        if self._is_waited_for():
+        if self._is_confirmation_overdue():
             return True
         rank = self._carriers.own_rank()
         age_s = self._guard.age_s()
@@ -125,57 +126,57 @@
             return rank == 0 and self._has_met()
         if rank == 0:
             return age_s >= _INTERVAL_S
-        if self._guard.is_own:
-            return age_s >= _INTERVAL_S + _YIELDS_S
-        return age_s >= _INTERVAL_S + _SPARE_S + _STEP_S * rank
+        if self._guard.is_own_snapshot:
+            return age_s >= _INTERVAL_S + _FIRST_CARRIER_LEAD_S
+        return age_s >= _INTERVAL_S + _MAX_DELAY_S + _DELAY_PER_RANK_S * rank
 
-    def _is_waited_for(self) -> bool:
-        """Tell whether requests wait for a confirmation that nobody gives."""
-        waited_s = self._held.confirmation.longest_wait_s()
-        return waited_s is not None and waited_s > _OTHERS_ANSWER_S
+    def _is_confirmation_overdue(self) -> bool:
+        """Return whether requests wait and no daemon confirms in time."""
+        waited_s = self._services.confirmation.longest_wait_s()
+        return waited_s is not None and waited_s > _PEER_CONFIRMATION_S
 
     def _has_met(self) -> bool:
-        """Tell whether this daemon had time to hear of its zone.
+        """Return whether this daemon had time to meet its zone.
 
-        Not waited for without anything to serve by.
+        A daemon without a target list doesn't wait for that.
         """
-        if self._held.targets is None:
+        if self._services.targets is None:
             return True
-        return self._clock.monotonic_s() >= self._met_s
+        return self._clock.monotonic_s() >= self._met_at_s
 
     async def _read(self, *, allow_stale: bool) -> None:
-        asked_s = self._clock.monotonic_s()
-        confirms_s = self._held.confirmation.now_s()
+        requested_s = self._clock.monotonic_s()
+        confirms_s = self._services.confirmation.now_s()
         try:
-            reading = await self._source.read(allow_stale=allow_stale)
+            snapshot = await self._source.read(allow_stale=allow_stale)
         except errors.PlatformError as error:
-            self._lost(error)
+            self._on_failure(error)
             return
-        self.unusable_entries.take(reading.unusable)
-        if reading.configuration is not None:
-            self._shared.take_configuration(reading.configuration)
+        self.unusable_entries.update(snapshot.unusable)
+        if snapshot.configuration is not None:
+            self._sharing.apply_configuration(snapshot.configuration)
         if not allow_stale:
-            self._shared.take_targets(
-                reading.targets,
-                asked_s=asked_s,
-                unusable=_names_of(reading.unusable),
+            self._sharing.apply_targets(
+                snapshot.targets,
+                requested_s=requested_s,
+                unusable=_names_of(snapshot.unusable),
             )
-            if reading.configuration and not self._guard.is_restoring():
-                self._held.confirmation.confirm(confirms_s)
-            self._regained()
-            self._tell_slow(asked_s)
-        elif self._held.targets is None:
-            self._held.offer_targets(reading.targets)
-
-    def _tell_slow(self, asked_s: float) -> None:
-        took_s = self._clock.monotonic_s() - asked_s
-        if took_s > _SPARE_S:
+            if snapshot.configuration and not self._guard.is_restoring():
+                self._services.confirmation.confirm(confirms_s)
+            self._on_success()
+            self._log_slow(requested_s)
+        elif self._services.targets is None:
+            self._services.offer_targets(snapshot.targets)
+
+    def _log_slow(self, requested_s: float) -> None:
+        took_s = self._clock.monotonic_s() - requested_s
+        if took_s > _MAX_DELAY_S:
             logs.write(
                 events.ReadingSlow(took_ms=round(took_s * _MS_PER_S)),
                 level=logs.Level.WARNING,
             )
 
-    def _lost(self, error: errors.PlatformError) -> None:
+    def _on_failure(self, error: errors.PlatformError) -> None:
         if not self._failures:
             age_s = self._guard.age_s()
             logs.write(
@@ -186,13 +187,13 @@
                 ),
                 level=logs.Level.WARNING,
             )
-        retry_s = min(_LONGEST_RETRY_S, _FIRST_RETRY_S * 2**self._failures)
+        retry_s = min(_MAX_RETRY_S, _MIN_RETRY_S * 2**self._failures)
         self._failures += 1
-        self._guard.failed()
+        self._guard.record_failure()
         spread = self._random.uniform(*_RETRY_SPREAD)
-        self._not_before_s = self._clock.monotonic_s() + retry_s * spread
+        self._next_read_s = self._clock.monotonic_s() + retry_s * spread
 
-    def _regained(self) -> None:
+    def _on_success(self) -> None:
         if self._failures:
             logs.write(events.PlatformRegained(failures=self._failures))
         self._failures = 0
@@ -201,4 +202,4 @@
 def _names_of(
     unusable: tuple[platform_state.UnusableEntry, ...],
 ) -> frozenset[str]:
-    return frozenset(one.name for one in unusable if one.name is not None)
+    return frozenset(entry.name for entry in unusable if entry.name is not None)
--- a/libraries/zones/src/sardinepier/zones/ranking.py
+++ b/libraries/zones/src/sardinepier/zones/ranking.py
@@ -1,9 +1,9 @@
-"""The order in which the daemons of a zone are chosen to carry it.
+"""The order in which daemons of a zone become its carriers.
 
-The strongest come first, by what each tells of its processor and its link.
-Among equals the order is that of rendezvous hashing, so that all daemons that
-know the same members have the same order without an agreement, and a member
-that comes or goes changes no other one's place against the rest.
+The strongest come first, by the capacity of the processor and link that each
+announces. Equally strong ones are ordered by rendezvous hashing: all daemons
+with the same members get the same order without coordination, and a member that
+joins or leaves doesn't change the relative order of the others.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 
 
 class Ranking:
-    """Orders the living members of each zone, anew when they change."""
+    """Orders the living members of each zone, and caches the order."""
 
     def __init__(self, fleet: view.View) -> None:
         """Order the members of ``fleet``."""
@@ -39,17 +39,19 @@
         return self.by_zone().get(zone, ())
 
     def _rank(self) -> Mapping[ids.ZoneName, Members]:
-        found: dict[ids.ZoneName, list[members.Member]] = {}
+        by_zone: dict[ids.ZoneName, list[members.Member]] = {}
         for member in self._fleet.serving():
-            found.setdefault(member.zone, []).append(member)
-        return {zone: _in_order(zone, found[zone]) for zone in found}
+            by_zone.setdefault(member.zone, []).append(member)
+        return {zone: _in_order(zone, by_zone[zone]) for zone in by_zone}
 
 
-def _in_order(zone: ids.ZoneName, found: list[members.Member]) -> Members:
-    by_name = {str(member.instance_id): member for member in found}
-    order = rendezvous.top_candidates(_KEY.format(zone), by_name, len(found))
+def _in_order(
+    zone: ids.ZoneName, zone_members: list[members.Member]
+) -> Members:
+    by_name = {str(member.instance_id): member for member in zone_members}
+    order = rendezvous.top_candidates(_KEY.format(zone), by_name, len(zone_members))
     ranked = [by_name[name] for name in order]
-    # Sorting keeps the order among those that are equally strong.
+    # The sort is stable: it keeps the order of equally strong members.
     ranked.sort(key=_strength, reverse=True)
     return tuple(ranked)
 
--- a/libraries/zones/src/sardinepier/zones/role.py
+++ b/libraries/zones/src/sardinepier/zones/role.py
@@ -1,4 +1,4 @@
-"""The part that one daemon has in carrying its zone, decided beat by beat."""
+"""The role of one daemon in its zone, updated with each heartbeat."""
 
 from sardinepier.core import clock as clocks
 from sardinepier.entry import service_registry
@@ -7,52 +7,56 @@
 
 
 class Role:
-    """Takes up and gives up the role of a carrier.
+    """Decides whether this daemon is a carrier, and how many there are.
 
-    ``load`` is what is known of the load of the zone's carriers.
+    ``load`` holds the load of the zone's carriers.
     """
 
     def __init__(
         self,
-        held: service_registry.ServiceRegistry,
-        chosen: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
         load: zone_load.ZoneLoad,
         clock: clocks.Clock,
     ) -> None:
-        """Start without the role."""
+        """Start as a non-carrier."""
         self.load = load
-        self._held = held
-        self._carriers = chosen
-        self._handover = handover.Handover(held, chosen, clock)
+        self._services = services
+        self._carriers = zone_carriers
+        self._handover = handover.Handover(services, zone_carriers, clock)
         self._was_carrier = False
 
     def step(self) -> bool:
-        """Decide once; return whether this daemon now hands its zone over."""
+        """Update the role; return whether this daemon hands its zone over."""
         if self._carriers.is_first():
-            self._decide_number()
+            self._set_carrier_count()
         hands_over = self._handover.begin()
         self._apply()
         return hands_over
 
-    def _decide_number(self) -> None:
-        """Let as many carry the zone as its traffic needs."""
-        held = self._carriers.count
-        wanted = self.load.wanted(held, self._carriers.capacities())
-        if wanted != held:
-            self._carriers.set_count(wanted)
-            logs.write(events.CarriersWanted(count=wanted, before=held))
+    def _set_carrier_count(self) -> None:
+        """Set the number of carriers that the zone's traffic needs."""
+        before = self._carriers.count
+        required_count = self.load.required_count(
+            before, self._carriers.capacities()
+        )
+        if required_count != before:
+            self._carriers.set_count(required_count)
+            logs.write(
+                events.CarriersWanted(count=required_count, before=before)
+            )
 
     def _apply(self) -> None:
-        """Let the request path act by what this daemon is now."""
+        """Apply this daemon's role to the request path."""
         is_carrier = self._carriers.is_carrier()
-        # Whoever doesn't carry the zone is one of many who don't.
-        is_alone = is_carrier and self._carriers.count == 1
-        self._held.set_shares_zone(shares_zone=not is_alone)
+        # A non-carrier shares the zone with the other non-carriers.
+        is_only_sender = is_carrier and self._carriers.count == 1
+        self._services.set_shares_zone(shares_zone=not is_only_sender)
         if is_carrier != self._was_carrier:
             self._was_carrier = is_carrier
-            self._tell_change()
+            self._log_change()
 
-    def _tell_change(self) -> None:
+    def _log_change(self) -> None:
         logs.write(
             events.CarrierChanged(
                 is_carrier=self._was_carrier,
--- a/libraries/zones/src/sardinepier/zones/sharing.py
+++ b/libraries/zones/src/sardinepier/zones/sharing.py
@@ -1,7 +1,8 @@
-"""The beats of one daemon: what it tells its zone, and how often.
+"""Exchange of state between one daemon and the other daemons of its zone.
 
-Carriers beat to all daemons of their zone, with their versions and what they
-believe of targets. Others tell the carriers what they see.
+A carrier sends heartbeats to all daemons of its zone, with the versions that it
+has and its estimates of targets. The other daemons report their observations to
+the carriers.
 """
 
 import asyncio
@@ -15,10 +16,10 @@
 from sardinepier.wire import messages as wire_messages
 from sardinepier.wire import network
 from sardinepier.zones import (
-    estimate_sharing,
+    availability,
     carriers,
     confirmation_sharing,
-    availability,
+    estimate_sharing,
     expired_entries,
     messages,
     role,
@@ -28,32 +29,33 @@
 from sardinepier.zones import updates as zone_updates
 from sardinepier.zones import usage_sharing
 
-_LEAST_INTERVAL_S: Final = 0.02
-"""Beats that failures bring about are so far apart at least."""
+_MIN_INTERVAL_S: Final = 0.02
+"""Minimum time between two heartbeats, also when targets keep failing."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Notice:
-    """What a beat tells beside what its sender holds and believes."""
+    """The fields of a heartbeat that only some heartbeats set."""
 
-    reading_age_ms: int | None = None
+    snapshot_age_ms: int | None = None
     hands_over: bool = False
 
 
-_NOTHING: Final = _Notice()
+_NO_NOTICE: Final = _Notice()
 
 
 class ZoneSharing:
-    """Exchanges news between one daemon and its zone.
+    """Exchanges updates between one daemon and its zone.
 
-    ``on_configuration`` is told of each configuration that came into force.
+    ``on_configuration`` is called with each configuration that comes into
+    force.
     """
 
     def __init__(
         self,
         peer_network: network.PeerNetwork,
-        chosen: carriers.Carriers,
-        held: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
         guard: expired_entries.ExpiredEntryGuard,
         load: zone_load.ZoneLoad,
         clock: clocks.Clock,
@@ -61,140 +63,140 @@
         on_configuration: Callable[[model.ServedConfiguration], None],
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
-        self._carriers = chosen
-        self._held = held
+        self._carriers = zone_carriers
+        self._services = services
         self._clock = clock
-        self._news = zone_updates.ZoneUpdates(
+        self._updates = zone_updates.ZoneUpdates(
             peer_network,
-            chosen,
-            held,
+            zone_carriers,
+            services,
             guard,
             clock,
             on_configuration,
         )
-        self._telling = estimate_sharing.EstimateSharing(
+        self._estimates = estimate_sharing.EstimateSharing(
             peer_network,
-            chosen,
-            held,
+            zone_carriers,
+            services,
             clock,
         )
-        self._confirming = confirmation_sharing.ConfirmationSharing(
+        self._confirmations = confirmation_sharing.ConfirmationSharing(
             peer_network,
-            chosen,
-            held,
+            zone_carriers,
+            services,
             clock,
             random_source,
         )
         self._usage = usage_sharing.UsageSharing(
             peer_network,
-            chosen,
-            held,
+            zone_carriers,
+            services,
             clock,
         )
-        self._limit_parts = parts.LimitParts(held, chosen)
-        self._role = role.Role(held, chosen, load, clock)
-        self._stirred = asyncio.Event()
-        peer_network.subscribe(messages.ZoneBeat, self._on_beat)
+        self._limit_parts = parts.LimitParts(services, zone_carriers)
+        self._role = role.Role(services, zone_carriers, load, clock)
+        self._early_beat = asyncio.Event()
+        peer_network.subscribe(messages.ZoneBeat, self._on_heartbeat)
 
-    def take_configuration(self, fresh: model.ServedConfiguration) -> None:
-        """Put a configuration that was read in force, and pass it on."""
-        self._news.take_configuration(fresh)
+    def apply_configuration(self, fresh: model.ServedConfiguration) -> None:
+        """Put a configuration from the platform in force and forward it."""
+        self._updates.apply_configuration(fresh)
 
-    def take_targets(
+    def apply_targets(
         self,
         fresh: model.TargetList,
         *,
-        asked_s: float,
+        requested_s: float,
         unusable: Collection[str] = (),
     ) -> None:
-        """Use a target list that was read, and pass on what is new of it.
+        """Apply a target list from the platform and forward its changes.
 
-        The others are told of each reading, so that they need not read.
-        ``asked_s`` is when the platform was asked for it. ``unusable`` are the
-        names of targets whose entries can't be read.
+        The zone is informed of each snapshot, so that its other daemons need
+        not read the platform. ``requested_s`` is when the snapshot was
+        requested. ``unusable`` are the names of targets whose entries can't be
+        read.
         """
-        age_ms = self._news.take_targets(
+        age_ms = self._updates.apply_targets(
             fresh,
-            asked_s=asked_s,
+            requested_s=requested_s,
             unusable=unusable,
         )
         if age_ms is not None:
-            self._beat_to_all(_Notice(reading_age_ms=age_ms))
+            self._send_heartbeat(_Notice(snapshot_age_ms=age_ms))
 
     def request_early_beat(self) -> None:
-        """Beat soon: a target has just failed."""
-        self._stirred.set()
+        """Send the next heartbeat early, such as after a target failed."""
+        self._early_beat.set()
 
     async def run(self) -> None:
-        """Beat while this daemon is a carrier, until cancelled.
-
-        Others tell the carriers what they see.
-        """
+        """Send heartbeats or, as a non-carrier, reports, until cancelled."""
         while True:
-            self._stirred.clear()
+            self._early_beat.clear()
             self.step()
             began_s = self._clock.monotonic_s()
-            await asyncio.sleep(_LEAST_INTERVAL_S)
+            await asyncio.sleep(_MIN_INTERVAL_S)
             slept_s = self._clock.monotonic_s() - began_s
-            self._role.load.woke(slept_s - _LEAST_INTERVAL_S)
+            self._role.load.record_timer_delay(slept_s - _MIN_INTERVAL_S)
             await self._wait()
 
     def step(self) -> None:
-        """Beat or report once, by what this daemon is now."""
+        """Send one heartbeat or report, as this daemon's role requires."""
         if self._role.step():
-            self._beat_to_all(_Notice(hands_over=True))
+            self._send_heartbeat(_Notice(hands_over=True))
         elif self._carriers.is_carrier():
-            self._beat_to_all()
+            self._send_heartbeat()
         else:
-            self._telling.to_carriers()
+            self._estimates.send_to_carriers()
         self._exchange_with_other_zones()
-        self._confirming.step()
+        self._confirmations.step()
         self._usage.step()
         self._limit_parts.assign()
 
     def _exchange_with_other_zones(self) -> None:
-        """Tell them what is new, and take over the turns of lost ones.
+        """Send updates, and take over the exploration of unreachable zones.
 
-        First carriers alone hear of other zones.
+        Only the first carrier of a zone receives reports of other zones.
         """
-        unreachable_zones = self._telling.unreachable_zones
+        unreachable_zones = self._estimates.unreachable_zones
         if self._carriers.is_first():
-            self._telling.to_other_zones()
+            self._estimates.send_to_other_zones()
         else:
             unreachable_zones.forget()
-        self._held.set_unreachable_zones(unreachable_zones.names())
+        self._services.set_unreachable_zones(unreachable_zones.names())
 
     async def _wait(self) -> None:
-        left_s = availability.BEAT_INTERVAL_S - _LEAST_INTERVAL_S
+        left_s = availability.HEARTBEAT_INTERVAL_S - _MIN_INTERVAL_S
         try:
             async with asyncio.timeout(left_s):
-                await self._stirred.wait()
+                await self._early_beat.wait()
         except TimeoutError:
             return
 
-    def _beat_to_all(self, notice: _Notice = _NOTHING) -> None:
-        self._news.to_all(self._beat(notice))
+    def _send_heartbeat(self, notice: _Notice = _NO_NOTICE) -> None:
+        self._updates.send_to_all(self._heartbeat(notice))
 
-    def _beat(self, notice: _Notice) -> messages.ZoneBeat:
+    def _heartbeat(self, notice: _Notice) -> messages.ZoneBeat:
         return messages.ZoneBeat(
-            *self._held.versions(),
-            targets_digest=self._held.targets_digest,
-            reading_age_ms=notice.reading_age_ms,
-            beliefs=self._telling.for_own_zone(),
+            *self._services.versions(),
+            targets_digest=self._services.targets_digest,
+            snapshot_age_ms=notice.snapshot_age_ms,
+            estimates=self._estimates.collect_estimates(),
             hands_over=notice.hands_over,
             load=self._role.load.own(),
-            carriers=self._carriers.count,
-            stated=self._telling.stated_for_own_zone(),
+            carrier_count=self._carriers.count,
+            statements=self._estimates.collect_statements(),
         )
 
-    def _on_beat(
+    def _on_heartbeat(
         self,
         sender: wire_messages.Sender,
-        beat: messages.ZoneBeat,
+        heartbeat: messages.ZoneBeat,
     ) -> None:
-        self._carriers.heard(sender.instance_id, beat.carriers)
-        self._role.load.heard(sender.instance_id, beat.load)
-        if beat.hands_over:
-            self._carriers.fitness.stands_down(sender.instance_id)
-        self._news.compare(sender, beat)
-        self._telling.take_from_zone(beat)
+        self._carriers.record_heartbeat(
+            sender.instance_id, heartbeat.carrier_count
+        )
+        self._role.load.record_load(sender.instance_id, heartbeat.load)
+        if heartbeat.hands_over:
+            self._carriers.availability.record_handover(sender.instance_id)
+        self._updates.compare(sender, heartbeat)
+        self._estimates.apply_zone_updates(heartbeat)
--- a/libraries/zones/src/sardinepier/zones/statements.py
+++ b/libraries/zones/src/sardinepier/zones/statements.py
@@ -1,4 +1,4 @@
-"""Passing on what targets say of themselves, so that it need not be met twice."""
+"""Exchange of target statements, so that each is received only once."""
 
 from typing import Final
 
@@ -10,73 +10,73 @@
 
 _Source = target_record.ObservationSource
 _MS_PER_S: Final = 1000
-_AGAIN_S: Final = 1.0
-"""Pace at which a statement that goes on is passed on again: it must not lapse
-where nobody hears the target itself."""
+_REPEAT_INTERVAL_S: Final = 1.0
+"""Interval at which a statement that a target keeps repeating is sent again, so
+that it doesn't expire at daemons without requests to the target."""
 
-_OLDEST_NEWS_S: Final = 5.0
+_MAX_AGE_S: Final = 5.0
 
 
 class StatementUpdates:
-    """Tells what targets said since it last told, to one audience.
+    """Collects the statements that are new to one group of receivers.
 
-    What came from one of the ``sources`` is told, again and again while it goes
-    on. Of others only changes are told, when they are ``relayed``: as news seems
-    younger on its way, it would else go round in circles for ever.
+    Statements from ``sources`` are sent repeatedly while the target repeats
+    them. Of those from ``relayed`` sources only changes are sent: transit time
+    is not part of an age, so that repeated ones would circulate for ever.
     """
 
     def __init__(
         self,
-        held: service_registry.ServiceRegistry,
+        services: service_registry.ServiceRegistry,
         clock: clocks.Clock,
         sources: frozenset[target_record.ObservationSource],
         *,
         relayed: frozenset[target_record.ObservationSource],
     ) -> None:
-        """Start without having told anything."""
-        self._held = held
+        """Start with nothing sent."""
+        self._services = services
         self._clock = clock
         self._sources = sources
         self._relayed = relayed
-        self._told: dict[ids.TargetId, _Told] = {}
+        self._sent: dict[ids.TargetId, _SentStatement] = {}
 
-    def take(self) -> tuple[messages.StatementUpdate, ...]:
-        """Return the news; each is returned once."""
+    def collect(self) -> tuple[messages.StatementUpdate, ...]:
+        """Return the statements that are due, each of them once."""
         now_s = self._clock.monotonic_s()
-        before = self._told
-        self._told = {}
-        news = []
-        for record in _with_statements(self._held):
+        before = self._sent
+        self._sent = {}
+        updates = []
+        for record in _with_statements(self._services):
             target_id = record.listed.target_id
-            told = before.get(target_id, _NEVER)
-            if self._is_due(record, told, now_s):
-                told = _Told(record, now_s)
-                news.append(_news_of(record, now_s))
-            self._told[target_id] = told
-        return tuple(news)
+            sent = before.get(target_id, _NEVER_SENT)
+            if self._is_due(record, sent, now_s):
+                sent = _SentStatement(record, now_s)
+                updates.append(_update_of(record, now_s))
+            self._sent[target_id] = sent
+        return tuple(updates)
 
     def _is_due(
         self,
         record: target_record.TargetRecord,
-        told: '_Told',
+        sent: '_SentStatement',
         now_s: float,
     ) -> bool:
-        if now_s - record.statements.received_s >= _OLDEST_NEWS_S:
+        if now_s - record.statements.received_s >= _MAX_AGE_S:
             return False
         source = record.statements_source
-        if told.differs_from(record.statements.newest):
+        if sent.differs_from(record.statements.newest):
             return source in self._sources or source in self._relayed
         if source not in self._sources:
             return False
-        if now_s - told.at_s < _AGAIN_S:
+        if now_s - sent.at_s < _REPEAT_INTERVAL_S:
             return False
-        # A target that leaves is not heard again, and news may be lost.
-        is_newer = record.statements.received_s > told.heard_s
+        # A leaving target states nothing more, and messages may be lost.
+        is_newer = record.statements.received_s > sent.heard_s
         return is_newer or record.statements.newest.is_leaving
 
 
-class _Told:
-    """What was told of one target, and when."""
+class _SentStatement:
+    """The newest statement of one target that was sent, and when."""
 
     __slots__ = ('at_s', 'heard_s', 'statement')
 
@@ -92,7 +92,7 @@
         )
 
     def differs_from(self, newest: statements.Statement) -> bool:
-        """Tell whether others would go by something else now."""
+        """Return whether receivers would act differently on ``newest``."""
         before = self.statement
         return (
             before.limit_per_s != newest.limit_per_s
@@ -100,16 +100,16 @@
         )
 
 
-_NEVER: Final = _Told(None, 0.0)
+_NEVER_SENT: Final = _SentStatement(None, 0.0)
 
 
 def for_own_zone(
-    held: service_registry.ServiceRegistry,
+    services: service_registry.ServiceRegistry,
     clock: clocks.Clock,
 ) -> StatementUpdates:
-    """Return news for the own zone, also what others reported here."""
+    """Return updates for the own zone, including reports of other zones."""
     return StatementUpdates(
-        held,
+        services,
         clock,
         frozenset((_Source.OWN, _Source.OTHER_ZONE)),
         relayed=frozenset((_Source.ZONE,)),
@@ -117,49 +117,49 @@
 
 
 def for_other_zones(
-    held: service_registry.ServiceRegistry,
+    services: service_registry.ServiceRegistry,
     clock: clocks.Clock,
 ) -> StatementUpdates:
-    """Return news for other zones of what was heard in this one."""
+    """Return updates for other zones, with statements received in this one."""
     sources = frozenset((_Source.OWN, _Source.ZONE))
-    return StatementUpdates(held, clock, sources, relayed=frozenset())
+    return StatementUpdates(services, clock, sources, relayed=frozenset())
 
 
-def take_in(
-    held: service_registry.ServiceRegistry,
+def apply_updates(
+    services: service_registry.ServiceRegistry,
     clock: clocks.Clock,
-    news: tuple[messages.StatementUpdate, ...],
+    updates: tuple[messages.StatementUpdate, ...],
     source: target_record.ObservationSource,
 ) -> None:
-    """Go by what others heard later than this daemon."""
-    if not news:
+    """Apply statements that others received later than this daemon."""
+    if not updates:
         return
     now_s = clock.monotonic_s()
     tables = {
         record.listed.target_id: pool.targets
-        for pool in held.pools()
+        for pool in services.pools()
         for record in pool.targets.records()
     }
-    for one in news:
-        table = tables.get(one.target_id)
-        record = table.find(one.target_id) if table else None
-        age_s = one.age_ms / _MS_PER_S
-        if table is None or record is None or age_s > _OLDEST_NEWS_S:
+    for update in updates:
+        table = tables.get(update.target_id)
+        record = table.find(update.target_id) if table else None
+        age_s = update.age_ms / _MS_PER_S
+        if table is None or record is None or age_s > _MAX_AGE_S:
             continue
-        if one.is_leaving or now_s - age_s > record.statements.received_s:
-            told = statements.Statement(
-                is_leaving=one.is_leaving,
-                limit_per_s=one.limit_per_s,
+        if update.is_leaving or now_s - age_s > record.statements.received_s:
+            statement = statements.Statement(
+                is_leaving=update.is_leaving,
+                limit_per_s=update.limit_per_s,
             )
-            table.apply_statement(record, told, now_s - age_s, source)
+            table.apply_statement(record, statement, now_s - age_s, source)
 
 
 def _with_statements(
-    held: service_registry.ServiceRegistry,
+    services: service_registry.ServiceRegistry,
 ) -> list[target_record.TargetRecord]:
     return [
         record
-        for pool in held.pools()
+        for pool in services.pools()
         for record in (
             *pool.targets.with_statements(),
             *pool.targets.departed(),
@@ -167,7 +167,7 @@
     ]
 
 
-def _news_of(
+def _update_of(
     record: target_record.TargetRecord,
     now_s: float,
 ) -> messages.StatementUpdate:
--- a/libraries/zones/src/sardinepier/zones/target_changes.py
+++ b/libraries/zones/src/sardinepier/zones/target_changes.py
@@ -1,8 +1,8 @@
-"""What one target list changes of another.
+"""Differences between target lists.
 
-A list grows with the fleet, and what changes within a second does not: of 142
-targets of one site four leave at a time. Passed on whole to 25 neighbours that
-list is 250 kB, which a link of ten megabits takes a fifth of a second for.
+A list grows with the fleet, but the changes within a second don't: of 142
+targets of one site four leave at a time. Sending that whole list to 25 daemons
+of the zone takes 250 kB, or a fifth of a second on a link of ten megabits.
 """
 
 from sardinepier.core import ids
@@ -16,9 +16,9 @@
     *,
     base_digest: int,
     digest: int,
-    reading_age_ms: int,
+    snapshot_age_ms: int,
 ) -> messages.TargetsChange:
-    """Return what makes ``after`` of ``before``, whose digests are given."""
+    """Return the change from ``before`` to ``after``, with their digests."""
     known = {target.target_id: target for target in before.targets}
     listed = {target.target_id for target in after.targets}
     return messages.TargetsChange(
@@ -31,18 +31,20 @@
             if known.get(target.target_id) != target
         ),
         gone=tuple(sorted(known.keys() - listed)),
-        reading_age_ms=reading_age_ms,
+        snapshot_age_ms=snapshot_age_ms,
     )
 
 
 def applied(
-    held: model.TargetList,
+    current: model.TargetList,
     change: messages.TargetsChange,
 ) -> model.TargetList:
-    """Return ``held`` with the change, in the order of the targets' ids."""
-    left_out = {target.target_id for target in change.changed}
-    left_out.update(change.gone)
-    kept = [one for one in held.targets if one.target_id not in left_out]
+    """Return ``current`` with the change applied, in order of target ids."""
+    replaced = {target.target_id for target in change.changed}
+    replaced.update(change.gone)
+    kept = [
+        target for target in current.targets if target.target_id not in replaced
+    ]
     kept.extend(change.changed)
     kept.sort(key=_target_id)
     return model.TargetList(change.revision, tuple(kept))
--- a/libraries/zones/src/sardinepier/zones/unusable_entries.py
+++ b/libraries/zones/src/sardinepier/zones/unusable_entries.py
@@ -1,7 +1,7 @@
-"""Entries of the platform that can't be read, told once each.
+"""Log lines for entries of the platform that can't be read.
 
-Other writers may leave anything among the entries. Whoever reads passes over
-what it can't use; operators have to learn of it without a line a second.
+Other writers may leave anything among the entries. A reader skips what it can't
+use, and logs each such entry once rather than at each snapshot.
 """
 
 from collections.abc import Iterable
@@ -11,41 +11,43 @@
 from sardinepier.telemetry import logs
 from sardinepier.zones import events
 
-_MOST_TOLD: Final = 64
-"""Entries whose reasons are kept and told; of more, only the number."""
+_MAX_LOGGED: Final = 64
+"""Entries that are logged at most; further ones are only counted."""
 
-_MOST_CHARACTERS: Final = 200
-"""Of a key and of a reason: both hold what somebody else wrote."""
+_MAX_CHARACTERS: Final = 200
+"""Limit of the logged key and reason: both contain text of other writers."""
 
 
 class UnusableEntries:
-    """Tells what changes among the entries that can't be read.
+    """Logs changes of the entries that can't be read.
 
-    ``count`` is how many of the newest reading were passed over.
+    ``count`` is how many the newest snapshot had.
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without any entry."""
         self.count = 0
-        self._told: dict[str, str] = {}
-
-    def take(self, unusable: Iterable[platform_state.UnusableEntry]) -> None:
-        """Take in what the newest reading had."""
-        now = {one.key: one.what[:_MOST_CHARACTERS] for one in unusable}
-        self.count = len(now)
-        for key in self._told.keys() - now.keys():
-            del self._told[key]
-            logs.write(events.EntryUsable(key=key[:_MOST_CHARACTERS]))
-        for key, what in now.items():
-            self._tell(key, what)
-
-    def _tell(self, key: str, what: str) -> None:
-        if self._told.get(key) == what:
+        self._logged: dict[str, str] = {}
+
+    def update(self, unusable: Iterable[platform_state.UnusableEntry]) -> None:
+        """Replace the entries by those of the newest snapshot."""
+        reasons = {
+            entry.key: entry.what[:_MAX_CHARACTERS] for entry in unusable
+        }
+        self.count = len(reasons)
+        for key in self._logged.keys() - reasons.keys():
+            del self._logged[key]
+            logs.write(events.EntryUsable(key=key[:_MAX_CHARACTERS]))
+        for key, what in reasons.items():
+            self._log(key, what)
+
+    def _log(self, key: str, what: str) -> None:
+        if self._logged.get(key) == what:
             return
-        if key not in self._told and len(self._told) >= _MOST_TOLD:
+        if key not in self._logged and len(self._logged) >= _MAX_LOGGED:
             return
-        self._told[key] = what
+        self._logged[key] = what
         logs.write(
-            events.EntryUnusable(key=key[:_MOST_CHARACTERS], what=what),
+            events.EntryUnusable(key=key[:_MAX_CHARACTERS], what=what),
             level=logs.Level.WARNING,
         )
--- a/libraries/zones/src/sardinepier/zones/updates.py
+++ b/libraries/zones/src/sardinepier/zones/updates.py
@@ -1,8 +1,9 @@
-"""Passing configurations and target lists on within a zone.
+"""Distribution of configurations and target lists within a zone.
 
-Whoever reads something newer sends it to all at once: of a target list what
-changed. Whoever sees in a beat that it is behind asks its sender. Everything has
-a version that only grows, so that loss, repeats and reordering do no harm.
+The daemon that reads a newer version sends it to all others at once; of a
+target list it sends the changes. A daemon that learns from a heartbeat that it
+is behind requests the newer version of the sender. Versions only grow, so that
+lost, repeated and reordered messages do no harm.
 """
 
 import zlib
@@ -25,81 +26,84 @@
 )
 
 _MS_PER_S: Final = 1000
-_ASK_AGAIN_S: Final = 0.1
-"""Carriers beat up to fifty times a second while targets fail, and the answer
-to a question is a whole list, which takes a weak link a hundredth of a second."""
+_REQUEST_INTERVAL_S: Final = 0.1
+"""Minimum interval of requests. Carriers send up to fifty heartbeats a second
+while targets fail, and the reply is a whole list, which takes a hundredth of a
+second on a weak link."""
 
 
 class ZoneUpdates:
-    """Takes in what is newer, from the platform or from others of the zone.
+    """Applies newer state, from the platform or from daemons of the zone.
 
-    ``on_configuration`` is told of each configuration that came into force.
+    ``on_configuration`` is called with each configuration that comes into
+    force.
     """
 
     def __init__(
         self,
         peer_network: network.PeerNetwork,
-        chosen: carriers.Carriers,
-        held: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
         guard: expired_entries.ExpiredEntryGuard,
         clock: clocks.Clock,
         on_configuration: Callable[[model.ServedConfiguration], None],
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
         self._network = peer_network
-        self._carriers = chosen
-        self._held = held
+        self._carriers = zone_carriers
+        self._services = services
         self._guard = guard
         self._clock = clock
         self._on_configuration = on_configuration
-        self._ask_again_s = clock.monotonic_s()
+        self._next_request_s = clock.monotonic_s()
         peer_network.subscribe(messages.NewsRequest, self._on_request)
         peer_network.subscribe(
             messages.ConfigurationNews,
-            self._on_configuration_news,
+            self._on_configuration_update,
         )
         peer_network.subscribe(messages.TargetsNews, self._on_targets)
         peer_network.subscribe(messages.TargetsChange, self._on_change)
 
-    def take_configuration(self, fresh: model.ServedConfiguration) -> None:
-        """Put a configuration that was read in force, and pass it on."""
-        if self._take(fresh):
-            self.to_all(messages.ConfigurationNews(packing.pack(fresh)))
+    def apply_configuration(self, fresh: model.ServedConfiguration) -> None:
+        """Put a configuration from the platform in force and forward it."""
+        if self._offer_configuration(fresh):
+            self.send_to_all(messages.ConfigurationNews(packing.pack(fresh)))
 
-    def take_targets(
+    def apply_targets(
         self,
         fresh: model.TargetList,
         *,
-        asked_s: float,
+        requested_s: float,
         unusable: Collection[str] = (),
     ) -> int | None:
-        """Use a target list that was read, and pass on what is new of it.
+        """Apply a target list from the platform and forward its changes.
 
-        ``asked_s`` is when the platform was asked for it, and ``unusable`` are
-        the names of targets whose entries can't be read. Returns None if all
-        were told of the reading, and else its age, in ms, to be told.
+        ``requested_s`` is when the snapshot was requested, and ``unusable`` are
+        the names of targets whose entries can't be read. Returns None if the
+        zone was informed of the snapshot, and else its age in ms, which the
+        caller has to announce.
         """
-        before = self._held.targets
-        base_digest = self._held.targets_digest
-        complete = self._guard.complete(
+        before = self._services.targets
+        base_digest = self._services.targets_digest
+        complete = self._guard.reconcile(
             before,
             fresh,
-            asked_s=asked_s,
+            requested_s=requested_s,
             unusable=unusable,
         )
-        age_ms = round((self._clock.monotonic_s() - asked_s) * _MS_PER_S)
-        if not self._held.offer_targets(complete):
+        age_ms = round((self._clock.monotonic_s() - requested_s) * _MS_PER_S)
+        if not self._services.offer_targets(complete):
             return age_ms
         if before is None:
-            self.to_all(messages.TargetsNews(complete, age_ms))
+            self.send_to_all(messages.TargetsNews(complete, age_ms))
             return None
-        self.to_all(
+        self.send_to_all(
             target_changes.between(
                 before,
                 complete,
                 base_digest=base_digest,
-                digest=self._held.targets_digest,
-                reading_age_ms=age_ms,
+                digest=self._services.targets_digest,
+                snapshot_age_ms=age_ms,
             ),
         )
         return None
@@ -107,19 +111,19 @@
     def compare(
         self,
         sender: wire_messages.Sender,
-        beat: messages.ZoneBeat,
+        heartbeat: messages.ZoneBeat,
     ) -> None:
-        """Ask ``sender`` for what its beat shows to be newer."""
-        version, revision = self._held.versions()
+        """Request from ``sender`` what is newer according to its heartbeat."""
+        version, revision = self._services.versions()
         lacks_targets = (
-            beat.targets_digest != self._held.targets_digest
-            and beat.targets_revision >= revision
+            heartbeat.targets_digest != self._services.targets_digest
+            and heartbeat.targets_revision >= revision
         )
-        if lacks_targets or beat.configuration_version > version:
-            self._ask(sender)
-        self._heard_reading(beat.reading_age_ms)
+        if lacks_targets or heartbeat.configuration_version > version:
+            self._request(sender)
+        self._record_snapshot_age(heartbeat.snapshot_age_ms)
 
-    def to_all(self, message: wire_messages.Message) -> None:
+    def send_to_all(self, message: wire_messages.Message) -> None:
         """Send to all other daemons of the zone."""
         for member in self._carriers.zone_peers():
             self._network.send(member.peer_address, message)
@@ -129,9 +133,9 @@
         sender: wire_messages.Sender,
         request: messages.NewsRequest,
     ) -> None:
-        version, revision = self._held.versions()
-        configuration = self._held.configuration
-        targets = self._held.targets
+        version, revision = self._services.versions()
+        configuration = self._services.configuration
+        targets = self._services.targets
         if configuration and version > request.configuration_version:
             self._network.send(
                 sender.address,
@@ -140,60 +144,62 @@
         if targets and revision >= request.targets_revision:
             self._network.send(sender.address, messages.TargetsNews(targets))
 
-    def _on_configuration_news(
+    def _on_configuration_update(
         self,
         sender: wire_messages.Sender,
-        news: messages.ConfigurationNews,
+        update: messages.ConfigurationNews,
     ) -> None:
         try:
-            configuration = packing.unpack(news.packed)
+            configuration = packing.unpack(update.packed)
         except (zlib.error, msgspec.DecodeError) as error:
             logs.failure('news-damaged', error, sender=sender.instance_id)
             return
-        self._take(configuration)
+        self._offer_configuration(configuration)
 
     def _on_targets(
         self,
         sender: wire_messages.Sender,
-        news: messages.TargetsNews,
+        update: messages.TargetsNews,
     ) -> None:
-        self._heard_reading(news.reading_age_ms)
-        self._held.offer_targets(news.targets)
+        self._record_snapshot_age(update.snapshot_age_ms)
+        self._services.offer_targets(update.targets)
 
     def _on_change(
         self,
         sender: wire_messages.Sender,
         change: messages.TargetsChange,
     ) -> None:
-        self._heard_reading(change.reading_age_ms)
-        held = self._held.targets
-        digest = self._held.targets_digest
-        if held is None or digest not in {change.base_digest, change.digest}:
-            self._ask(sender)
+        self._record_snapshot_age(change.snapshot_age_ms)
+        current = self._services.targets
+        digest = self._services.targets_digest
+        if current is None or digest not in {change.base_digest, change.digest}:
+            self._request(sender)
             return
-        fresh = target_changes.applied(held, change)
+        fresh = target_changes.applied(current, change)
         if service_registry.digest_of(fresh) == change.digest:
-            self._held.offer_targets(fresh)
+            self._services.offer_targets(fresh)
         else:
-            self._ask(sender)
+            self._request(sender)
 
-    def _ask(self, sender: wire_messages.Sender) -> None:
-        """Ask for what is newer, unless that was just asked for."""
+    def _request(self, sender: wire_messages.Sender) -> None:
+        """Request newer versions, unless that was just done."""
         now_s = self._clock.monotonic_s()
-        if now_s < self._ask_again_s:
+        if now_s < self._next_request_s:
             return
-        self._ask_again_s = now_s + _ASK_AGAIN_S
+        self._next_request_s = now_s + _REQUEST_INTERVAL_S
         self._network.send(
             sender.address,
-            messages.NewsRequest(*self._held.versions()),
+            messages.NewsRequest(*self._services.versions()),
         )
 
-    def _heard_reading(self, age_ms: int | None) -> None:
+    def _record_snapshot_age(self, age_ms: int | None) -> None:
         if age_ms is not None:
-            self._guard.heard(age_ms / _MS_PER_S)
+            self._guard.record_peer_snapshot(age_ms / _MS_PER_S)
 
-    def _take(self, configuration: model.ServedConfiguration) -> bool:
-        if not self._held.offer_configuration(configuration):
+    def _offer_configuration(
+        self, configuration: model.ServedConfiguration
+    ) -> bool:
+        if not self._services.offer_configuration(configuration):
             return False
         self._on_configuration(configuration)
         return True
--- a/libraries/zones/src/sardinepier/zones/usage_sharing.py
+++ b/libraries/zones/src/sardinepier/zones/usage_sharing.py
@@ -1,4 +1,4 @@
-"""Telling the carriers of all zones what customers were let through."""
+"""Exchange of the customers' usage of their limits between carriers."""
 
 from typing import Final
 
@@ -11,39 +11,39 @@
 from sardinepier.zones import carriers, messages
 
 _INTERVAL_S: Final = 0.2
-"""Pace of news. What customers send beyond their limits within it is let through
-once, and paid back."""
+"""Interval of updates. Requests beyond a limit that are admitted within it are
+deducted later."""
 
 _MS_PER_S: Final = 1000
 
 
 class UsageSharing:
-    """Sends the news of one daemon, and takes in those of others.
+    """Sends the usage counted by one daemon, and applies that of others.
 
-    Only carriers are told: they get nearly all requests. They tell each other
-    all the while, with news or without; those beside them only when they let
-    a request through.
+    Only carriers receive updates, as they get nearly all requests. Carriers
+    send them regularly, with new usage or without; non-carriers only when they
+    admitted requests.
     """
 
     def __init__(
         self,
         peer_network: network.PeerNetwork,
-        chosen: carriers.Carriers,
-        held: service_registry.ServiceRegistry,
+        zone_carriers: carriers.Carriers,
+        services: service_registry.ServiceRegistry,
         clock: clocks.Clock,
     ) -> None:
         """Listen on ``peer_network``; nothing is sent yet."""
         self._network = peer_network
-        self._carriers = chosen
-        self._limits = held.limits
+        self._carriers = zone_carriers
+        self._limits = services.limits
         self._clock = clock
         self._due_s = clock.monotonic_s()
-        self._went_on = False
-        self._told: frozenset[ids.InstanceId] = frozenset()
-        peer_network.subscribe(messages.UsageNews, self._on_news)
+        self._sent_regularly = False
+        self._previous_receivers: frozenset[ids.InstanceId] = frozenset()
+        peer_network.subscribe(messages.UsageNews, self._on_usage)
 
     def step(self) -> None:
-        """Tell what is new, if it is time and anybody has a limit."""
+        """Send new usage, if an update is due and any customer has a limit."""
         if self._limits.has_no_limits:
             return
         self._limits.receives_updates = self._carriers.is_carrier()
@@ -51,34 +51,36 @@
         if now_s < self._due_s:
             return
         self._due_s = now_s + _INTERVAL_S
-        others = (
+        receivers = (
             *carriers.other_carriers(self._carriers),
             *self._carriers.of_other_zones(self._carriers.count),
         )
-        named = frozenset(member.instance_id for member in others)
-        # Those who were not told before have to know of all that was let
-        # through: after a start nobody is known for a while.
-        news = self._limits.take_updates(is_all=not named <= self._told)
-        self._told = named
+        receiver_ids = frozenset(member.instance_id for member in receivers)
+        # New receivers need all usage: after a start no other daemon is known
+        # for a while, and what was admitted in that time was sent to none.
+        new_usage = self._limits.take_updates(
+            is_all=not receiver_ids <= self._previous_receivers
+        )
+        self._previous_receivers = receiver_ids
         sends_regularly = self._carriers.is_carrier()
-        if not news and not sends_regularly and not self._went_on:
+        if not new_usage and not sends_regularly and not self._sent_regularly:
             return
-        self._went_on = sends_regularly
-        told = messages.UsageNews(
+        self._sent_regularly = sends_regularly
+        update = messages.UsageNews(
             tuple(
                 messages.CustomerUsage(customer, usage.spent, usage.level)
-                for customer, usage in news.items()
+                for customer, usage in new_usage.items()
             ),
             sends_regularly,
             int(self._limits.age_s() * _MS_PER_S),
         )
-        for member in others:
-            self._network.send(member.peer_address, told)
+        for member in receivers:
+            self._network.send(member.peer_address, update)
 
-    def _on_news(
+    def _on_usage(
         self,
         sender: wire_messages.Sender,
-        news: messages.UsageNews,
+        update: messages.UsageNews,
     ) -> None:
         zone = self._carriers.zone_of(sender.instance_id)
         if zone is None:
@@ -87,9 +89,9 @@
             sender.instance_id,
             zone,
             {
-                told.customer: fleet_bucket.Usage(told.spent, told.level)
-                for told in news.usages
+                usage.customer: fleet_bucket.Usage(usage.spent, usage.level)
+                for usage in update.usages
             },
-            sends_regularly=news.sends_regularly,
-            age_s=news.age_ms / _MS_PER_S,
+            sends_regularly=update.sends_regularly,
+            age_s=update.age_ms / _MS_PER_S,
         )
--- a/libraries/zones/tests/cover/test_zones_burst.py
+++ b/libraries/zones/tests/cover/test_zones_burst.py
@@ -1,8 +1,8 @@
-"""The burst of further attempts holds for the fleet, whatever becomes of a zone.
+"""The fleet's limit on bursts of further attempts, under any events of a zone.
 
-Every sequence of five events of one zone is played, 2.5 s apart, with carriers
-that use whatever they may at once. The sum over all starts of daemons is looked at
-in each window.
+The tests run every sequence of five events of one zone, 2.5 s apart, with
+daemons that use their whole allowance at once. They check the sum over all
+incarnations of daemons in each window.
 """
 
 import itertools
@@ -18,11 +18,19 @@
 _STEP_S = 2.5
 _WINDOW_S = 10.0
 _DEPTH = 5
-_EVENTS = ('rest', 'handover', 'restart', 'part', 'heal', 'grow', 'leave')
+_EVENTS = (
+    'no_change',
+    'handover',
+    'restart',
+    'partition',
+    'heal',
+    'grow',
+    'restart_all',
+)
 
 
 class Daemon:
-    """One start of a daemon, and what it used when."""
+    """One incarnation of a daemon, with its retry budget."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -30,12 +38,12 @@
         self.retries = budget.RetryBudget(clock, 0, floor=0)
 
     def use_all(self, *, is_carrier, count, living):
-        part = self.share.part(
+        allowance = self.share.part(
             is_carrier=is_carrier,
             count=count,
             living=living,
         )
-        self.retries.set_burst(part)
+        self.retries.set_burst(allowance)
         used = 0
         while self.retries.try_spend():
             used += 1
@@ -43,52 +51,52 @@
 
 
 class Zone:
-    """Daemons of which the first carries, and what all of them used."""
+    """Daemons of one zone, first the carriers, and the attempts they used."""
 
     def __init__(self):
         self.clock = clocks.ManualClock(100.0)
         self.daemons = [Daemon(self.clock) for _ in range(_DAEMONS)]
         self.count = 1
-        self.is_parted = False
+        self.is_partitioned = False
         self.used = []
-        # The first has carried for more than a window, and used nothing.
+        # The first has been a carrier for more than a window without attempts.
         for daemon in self.daemons[:1]:
             daemon.share.part(is_carrier=True, count=1, living=_DAEMONS)
         self.clock.advance(2 * _WINDOW_S)
 
-    def rest(self):
+    def no_change(self):
         """Change nothing."""
 
     def handover(self):
         self.daemons.append(self.daemons.pop(0))
 
     def restart(self):
-        """The carrier dies; another start of it comes back as the last."""
+        """Restart the carrier, which becomes the last daemon."""
         self.daemons.pop(0)
         self.daemons.append(Daemon(self.clock))
 
-    def leave(self):
-        """All are killed at once and start again."""
+    def restart_all(self):
+        """Restart all daemons at once."""
         self.daemons = [Daemon(self.clock) for _ in range(_DAEMONS)]
 
-    def part(self):
-        self.is_parted = True
+    def partition(self):
+        self.is_partitioned = True
 
     def heal(self):
-        self.is_parted = False
+        self.is_partitioned = False
 
     def grow(self):
         self.count = min(self.count + 1, _DAEMONS)
 
     def step(self):
-        """Let all use what they may, and the time pass."""
+        """Let all daemons use their allowance, and advance the clock."""
         for place, daemon in enumerate(self.daemons):
             used = daemon.use_all(**self._view(place))
             self.used.append((self.clock.monotonic_s(), used))
         self.clock.advance(_STEP_S)
 
-    def most_used(self):
-        """Return the most of any window that ends with a step."""
+    def max_used(self):
+        """Return the maximum use in any window that ends with a step."""
         ends = {moment for moment, _ in self.used}
         return max(
             sum(used for moment, used in self.used if 0 <= end - moment <= 9.9)
@@ -96,8 +104,8 @@
         )
 
     def _view(self, place):
-        """Return what a daemon sees; parted, the last one is alone."""
-        if not self.is_parted:
+        """Return a daemon's view; in a partition the last one is alone."""
+        if not self.is_partitioned:
             return {
                 'is_carrier': place < self.count,
                 'count': self.count,
@@ -112,15 +120,15 @@
         }
 
 
-def worst(events=_EVENTS):
-    """Return the most that any sequence of ``events`` lets a zone use."""
+def max_over_sequences(events=_EVENTS):
+    """Return the maximum use of a zone over all sequences of ``events``."""
     return max(
-        played(sequence).most_used()
+        run_events(sequence).max_used()
         for sequence in itertools.product(events, repeat=_DEPTH)
     )
 
 
-def played(events):
+def run_events(events):
     zone = Zone()
     for event in events:
         getattr(zone, event)()
@@ -128,21 +136,23 @@
     return zone
 
 
-def test_no_sequence_uses_more_than_the_zone_s_part_of_the_burst():
-    assert worst() <= _BURST / _ZONES
+def test_no_sequence_uses_more_than_the_zone_s_share_of_the_burst():
+    assert max_over_sequences() <= _BURST / _ZONES
 
 
 @pytest.mark.parametrize(
     ('name', 'figure'),
-    [('_RIPE_S', 0.001), ('_SHARE', 0.9)],
+    [('_GROWTH_TIME_S', 0.001), ('_CARRIER_SHARE', 0.9)],
 )
-def test_the_check_finds_what_is_taken_out(monkeypatch, name, figure):
-    """Without the growth from nothing, or with a larger share, it fails."""
+def test_the_check_fails_without_each_rule(monkeypatch, name, figure):
+    """The check fails without the growth of the share or with a larger one."""
     monkeypatch.setattr(burst_share, name, figure)
-    found = worst(('rest', 'handover', 'restart', 'part', 'heal'))
-    assert found > _BURST / _ZONES
+    max_use = max_over_sequences(
+        ('no_change', 'handover', 'restart', 'partition', 'heal')
+    )
+    assert max_use > _BURST / _ZONES
 
 
-def test_a_carrier_of_long_standing_has_nearly_half_of_the_burst():
-    zone = played(('rest',))
-    assert zone.most_used() >= 0.4 * _BURST / _ZONES
+def test_an_established_carrier_has_nearly_half_of_the_burst():
+    zone = run_events(('no_change',))
+    assert zone.max_used() >= 0.4 * _BURST / _ZONES
--- a/libraries/zones/tests/cover/test_zones_limits.py
+++ b/libraries/zones/tests/cover/test_zones_limits.py
@@ -1,4 +1,4 @@
-"""The limits that targets name, over the daemons of several zones."""
+"""Rate limits that targets state, shared by the daemons of several zones."""
 
 import math
 
@@ -12,11 +12,13 @@
 
 
 def record_of(daemon):
-    return daemon.held.pool(support.SERVICE).targets.find(ids.TargetId(TARGET))
+    return daemon.services.pool(support.SERVICE).targets.find(
+        ids.TargetId(TARGET)
+    )
 
 
-def hear(daemon, limit_per_s, *, is_leaving=False):
-    daemon.held.pool(support.SERVICE).targets.apply_statement(
+def apply_statement(daemon, limit_per_s, *, is_leaving=False):
+    daemon.services.pool(support.SERVICE).targets.apply_statement(
         record_of(daemon),
         statements.Statement(is_leaving=is_leaving, limit_per_s=limit_per_s),
         daemon.clock.monotonic_s(),
@@ -25,11 +27,13 @@
 
 
 def limits(daemons):
-    return {record_of(one).statements.newest.limit_per_s for one in daemons}
+    return {
+        record_of(daemon).statements.newest.limit_per_s for daemon in daemons
+    }
 
 
 def parts(daemons):
-    return [record_of(one).statements.part for one in daemons]
+    return [record_of(daemon).statements.part for daemon in daemons]
 
 
 async def zones_with_a_target(*zones):
@@ -39,53 +43,54 @@
 
 
 @pytest.mark.parametrize('place', [0, 3, 4, 7])
-async def test_what_one_daemon_is_told_all_know_within_a_second(place):
-    """Guards against each of many daemons that meets a target's limit anew.
+async def test_a_limit_stated_to_one_daemon_reaches_all_within_a_second(place):
+    """Guards against each daemon having to receive a target's limit itself.
 
-    The pattern: requests of one service come to a hundred daemons, and one of
-    them, a carrier or not, of the target's zone or not, hears the limit.
+    Requests of one service go to a hundred daemons, and one of them, a carrier
+    or not, in the target's zone or not, receives the limit.
     """
     zone = await zones_with_a_target('z1', 'far')
-    hear(zone.daemons[place], 2.0)
+    apply_statement(zone.daemons[place], 2.0)
     await zone.run(1.0)
     assert limits(zone.daemons) == {2.0}
-    hear(zone.daemons[place], None)
+    apply_statement(zone.daemons[place], None)
     await zone.run(1.0)
     assert limits(zone.daemons) == {None}
 
 
 @pytest.mark.parametrize('place', [0, 3, 4, 7])
-async def test_what_leaves_for_one_daemon_leaves_for_all(place):
-    """Guards against each daemon that has to meet a leaving target itself."""
+async def test_a_target_that_leaves_for_one_daemon_leaves_for_all(place):
+    """Guards against each daemon having to try a leaving target itself."""
     zone = await zones_with_a_target('z1', 'far')
-    hear(zone.daemons[place], None, is_leaving=True)
+    apply_statement(zone.daemons[place], None, is_leaving=True)
     await zone.run(1.0)
     assert not any(map(record_of, zone.daemons))
-    # A list of the platform that still has it undoes nothing.
+    # A list of the platform that still contains it doesn't add it again.
     zone.platform.targets = support.target_list(2, TARGET, 't2')
     await zone.run(2.0)
     assert 't2' in zone.daemons[0].target_names
     assert not any(map(record_of, zone.daemons))
 
 
-async def test_an_answer_that_crossed_the_news_does_not_undo_leaving():
-    """Guards against news of a leaving target that a newer answer outweighs.
+async def test_a_response_in_transit_does_not_undo_leaving():
+    """Guards against a newer response that outweighs the notice of leaving.
 
-    The answer was on its way when the target began to leave, and names nothing.
+    The response was in transit when the target began to leave, and states
+    nothing.
     """
     zone = await zones_with_a_target('z1', 'far')
-    hear(zone.daemons[0], None, is_leaving=True)
+    apply_statement(zone.daemons[0], None, is_leaving=True)
     zone.clock.advance(0.01)
-    for one in zone.daemons[1:]:
-        hear(one, None)
+    for daemon in zone.daemons[1:]:
+        apply_statement(daemon, None)
     await zone.run(1.0)
     assert not any(map(record_of, zone.daemons))
 
 
-async def test_news_of_a_leaving_target_end(monkeypatch):
-    """Guards against news of each target that ever left in each beat."""
+async def test_updates_of_a_leaving_target_end(monkeypatch):
+    """Guards against heartbeats with all targets that ever left."""
     zone = await zones_with_a_target('z1', 'far')
-    hear(zone.daemons[0], None, is_leaving=True)
+    apply_statement(zone.daemons[0], None, is_leaving=True)
     await zone.run(8.0)
     sent = []
     monkeypatch.setattr(
@@ -95,19 +100,19 @@
     )
     await zone.run(2.0)
     assert sent
-    news = [getattr(one, 'stated', ()) for one in sent]
-    assert not any(news)
+    sent_statements = [getattr(message, 'statements', ()) for message in sent]
+    assert not any(sent_statements)
 
 
-async def test_a_limit_that_nobody_hears_again_lapses_everywhere():
-    """Guards against news of a limit that goes round in circles for ever."""
+async def test_a_limit_that_is_not_stated_again_expires_everywhere():
+    """Guards against a limit that circulates between daemons for ever."""
     zone = await zones_with_a_target('z1', 'far')
-    hear(zone.daemons[0], 2.0)
+    apply_statement(zone.daemons[0], 2.0)
     await zone.run(5.0)
-    opens = [_opens_in_s(one) for one in zone.daemons]
-    assert math.inf in opens
+    times_to_open_s = [_time_to_open_s(daemon) for daemon in zone.daemons]
+    assert math.inf in times_to_open_s
     await zone.run(27.0)
-    assert all(_opens_in_s(one) <= 0 for one in zone.daemons)
+    assert all(_time_to_open_s(daemon) <= 0 for daemon in zone.daemons)
 
 
 @pytest.mark.parametrize('limit_per_s', [0.1, 1.0, 2.8, 50.0])
@@ -116,18 +121,19 @@
     zones,
     limit_per_s,
 ):
-    """Guards against a limit that two daemons use, or none, also without a
-    daemon in the target's zone.
+    """Guards against a limit that two daemons use, or none.
+
+    This includes targets in a zone without daemons.
     """
     zone = await zones_with_a_target(*zones)
-    hear(zone.daemons[1], limit_per_s)
+    apply_statement(zone.daemons[1], limit_per_s)
     await zone.run(1.0)
     assert sum(parts(zone.daemons)) == pytest.approx(1.0)
 
 
-async def test_another_carrier_takes_over_the_part_of_one_that_is_gone():
+async def test_another_carrier_takes_over_the_part_of_a_stopped_one():
     zone = await zones_with_a_target('z1', 'far')
-    hear(zone.daemons[0], 1.0)
+    apply_statement(zone.daemons[0], 1.0)
     await zone.run(1.0)
     gone = zone.daemons[parts(zone.daemons).index(1.0)]
     zone.stop(gone)
@@ -135,6 +141,6 @@
     assert sum(parts(zone.living())) == pytest.approx(1.0)
 
 
-def _opens_in_s(daemon):
+def _time_to_open_s(daemon):
     now_s = daemon.clock.monotonic_s()
     return record_of(daemon).statements.opens_at_s(now_s) - now_s
--- a/libraries/zones/tests/cover/test_zones_load.py
+++ b/libraries/zones/tests/cover/test_zones_load.py
@@ -1,4 +1,4 @@
-"""How many carriers a zone gets by what they say of their load."""
+"""The number of carriers of a zone by their reported loads."""
 
 import pytest
 from hypothesis import given, strategies
@@ -8,8 +8,8 @@
 from sardinepier.zones import messages, zone_load
 
 
-class Bench:
-    """One daemon's knowledge of its zone's load."""
+class LoadBench:
+    """The load measured and recorded by one daemon."""
 
     def __init__(self):
         self.clock = clocks.ManualClock(100.0)
@@ -24,116 +24,116 @@
             self.clock.advance(0.25)
             self.load.own()
 
-    def hear(self, name, per_s, late_ms=0):
-        self.load.heard(
+    def receive(self, name, per_s, late_ms=0):
+        self.load.record_load(
             ids.InstanceId(name),
             messages.Load(per_s, late_ms),
         )
 
 
-def able(count, processor_millis=500, link_kbit_per_s=1_000_000):
-    """Return what so many equal instances can do: 110 requests a second."""
-    one = capacity.Capacity(processor_millis, link_kbit_per_s)
-    return (one,) * count
+def equal_capacities(count, processor_millis=500, link_kbit_per_s=1_000_000):
+    """Return equal capacities, each for 110 requests a second by default."""
+    single = capacity.Capacity(processor_millis, link_kbit_per_s)
+    return (single,) * count
 
 
 @pytest.fixture
 def bench():
-    return Bench()
+    return LoadBench()
 
 
-def test_one_is_enough_for_little_traffic(bench):
+def test_one_carrier_is_enough_for_little_traffic(bench):
     bench.serve(90, 5)
-    assert bench.load.wanted(1, able(10)) == 1
+    assert bench.load.required_count(1, equal_capacities(10)) == 1
 
 
-def test_traffic_is_shared_out_at_once(bench):
+def test_the_number_increases_at_once(bench):
     bench.serve(380, 3)
-    assert bench.load.wanted(1, able(10)) == 4
+    assert bench.load.required_count(1, equal_capacities(10)) == 4
 
 
-def test_what_all_carriers_get_counts(bench):
+def test_the_loads_of_all_carriers_count(bench):
     bench.serve(100, 3)
-    bench.hear('a', 150)
-    bench.hear('b', 100)
-    assert bench.load.wanted(2, able(10)) == 4
+    bench.receive('a', 150)
+    bench.receive('b', 100)
+    assert bench.load.required_count(2, equal_capacities(10)) == 4
 
 
-def test_there_are_no_more_than_daemons(bench):
+def test_there_are_no_more_carriers_than_daemons(bench):
     bench.serve(1500, 3)
-    assert bench.load.wanted(1, able(5)) == 5
+    assert bench.load.required_count(1, equal_capacities(5)) == 5
 
 
-def test_a_daemon_without_time_left_gets_help_once_a_while(bench):
+def test_a_saturated_daemon_causes_spaced_increases(bench):
     bench.serve(10, 1)
-    bench.hear('a', 20, late_ms=200)
-    assert bench.load.wanted(2, able(10)) == 3
-    assert bench.load.wanted(3, able(10)) == 3
+    bench.receive('a', 20, late_ms=200)
+    assert bench.load.required_count(2, equal_capacities(10)) == 3
+    assert bench.load.required_count(3, equal_capacities(10)) == 3
     bench.clock.advance(1.6)
-    bench.hear('a', 20, late_ms=200)
-    assert bench.load.wanted(3, able(10)) == 4
+    bench.receive('a', 20, late_ms=200)
+    assert bench.load.required_count(3, equal_capacities(10)) == 4
 
 
-def test_what_a_silent_carrier_said_is_forgotten(bench):
-    bench.hear('a', 700)
+def test_the_load_of_a_silent_carrier_expires(bench):
+    bench.receive('a', 700)
     bench.clock.advance(1.5)
-    assert bench.load.wanted(1, able(10)) == 1
+    assert bench.load.required_count(1, equal_capacities(10)) == 1
 
 
-def test_carriers_go_one_by_one_and_late(bench):
+def test_the_number_decreases_late_and_one_by_one(bench):
     bench.serve(380, 3)
-    assert bench.load.wanted(1, able(10)) == 4
+    assert bench.load.required_count(1, equal_capacities(10)) == 4
     bench.serve(10, 2)
-    assert bench.load.wanted(4, able(10)) == 4
+    assert bench.load.required_count(4, equal_capacities(10)) == 4
     bench.serve(10, 4)
-    assert bench.load.wanted(4, able(10)) == 3
-    assert bench.load.wanted(3, able(10)) == 3
+    assert bench.load.required_count(4, equal_capacities(10)) == 3
+    assert bench.load.required_count(3, equal_capacities(10)) == 3
 
 
-STRONG = able(2, 2150, 100_000)
-WEAK = able(8, 430, 5_000)
+STRONG = equal_capacities(2, 2150, 100_000)
+WEAK = equal_capacities(8, 430, 5_000)
 
 
-def test_one_that_is_strong_enough_carries_alone(bench):
-    """Callers choose at random, so that a weak one beside it would get half."""
+def test_a_strong_enough_carrier_is_the_only_one(bench):
+    """A second, weak carrier would get half, as callers choose at random."""
     bench.serve(212, 3, answer_bytes=12_000)
-    assert bench.load.wanted(1, STRONG + WEAK) == 1
+    assert bench.load.required_count(1, STRONG + WEAK) == 1
 
 
-def test_weak_links_share_what_a_processor_could_do_alone(bench):
-    """Twenty long answers a second fill three links of five megabits."""
+def test_weak_links_need_more_carriers_than_their_processors(bench):
+    """Twenty long responses a second fill three links of five megabits."""
     bench.serve(20, 3, answer_bytes=90_000)
-    assert bench.load.wanted(1, able(8, 500, 5_000)) == 6
+    assert bench.load.required_count(1, equal_capacities(8, 500, 5_000)) == 6
 
 
-def test_without_the_strong_ones_as_many_weak_ones_carry_as_it_takes(bench):
+def test_weak_daemons_replace_missing_strong_ones(bench):
     bench.serve(150, 3, answer_bytes=2_000)
-    assert bench.load.wanted(1, WEAK) == 2
-    assert bench.load.wanted(1, STRONG[:1] + WEAK) == 1
+    assert bench.load.required_count(1, WEAK) == 2
+    assert bench.load.required_count(1, STRONG[:1] + WEAK) == 1
 
 
 @given(
     per_s=strategies.floats(0, 5000),
     count=strategies.integers(1, 30),
-    most=strategies.integers(1, 30),
+    max_count=strategies.integers(1, 30),
     late_ms=strategies.integers(0, 500),
 )
-def test_the_number_stays_within_its_bounds(per_s, count, most, late_ms):
-    bench = Bench()
+def test_the_number_stays_within_its_bounds(per_s, count, max_count, late_ms):
+    bench = LoadBench()
     bench.serve(per_s, 2)
-    bench.hear('a', 10, late_ms)
-    wanted = bench.load.wanted(count, able(most))
-    assert 1 <= wanted <= most
-    assert wanted >= min(count, most) - 1
+    bench.receive('a', 10, late_ms)
+    wanted = bench.load.required_count(count, equal_capacities(max_count))
+    assert 1 <= wanted <= max_count
+    assert wanted >= min(count, max_count) - 1
 
 
 @given(per_s=strategies.floats(0, 1500))
 def test_a_steady_load_has_a_steady_number(per_s):
-    bench = Bench()
+    bench = LoadBench()
     count = 1
     numbers = []
     for _ in range(120):
         bench.serve(per_s, 0.25)
-        count = bench.load.wanted(count, able(20))
+        count = bench.load.required_count(count, equal_capacities(20))
         numbers.append(count)
     assert len(set(numbers[20:])) == 1
--- a/libraries/zones/tests/cover/test_zones_unreachable_zone.py
+++ b/libraries/zones/tests/cover/test_zones_unreachable_zone.py
@@ -1,8 +1,8 @@
-"""Targets of a zone whose daemons are all gone.
+"""Targets of a zone whose daemons are all unreachable.
 
-Seen: all instances of one of three zones lost power. Requests went on to the
-targets of the other two, and those of the lost zone, which were sound, got nothing
-for two seconds while a seventh of the requests failed.
+All instances of one of three zones lost power. The healthy targets of that zone
+got no requests for two seconds while a seventh of all requests failed, as the
+daemons of the other two zones used the targets of their own zones only.
 """
 
 import msgspec
@@ -18,24 +18,28 @@
     return support.Zone(count=3, zones=('z1', 'zone2'))
 
 
-def here(zone):
-    """Return the daemon that carries the first zone."""
+def first_zone_carrier(zone):
+    """Return the carrier of the first zone."""
     return zone.find(zone.daemons[0].carriers.of_own_zone()[0])
 
 
-def there(zone):
+def second_zone_carrier(zone):
     return zone.find(zone.daemons[-1].carriers.of_own_zone()[0])
 
 
-def lose_second_zone(zone):
-    for one in zone.daemons:
-        if one.own.zone == 'zone2':
-            zone.stop(one)
+def stop_second_zone(zone):
+    for daemon in zone.daemons:
+        if daemon.own.zone == 'zone2':
+            zone.stop(daemon)
 
 
-def leave_far_idle(zone):
-    """Let the other zone's target seem idle: only changes of it are told."""
-    record = here(zone).held.pool(support.SERVICE).targets.find('far')
+def age_far_estimate(zone):
+    """Age the estimate of ``far``, as only changes are sent between zones."""
+    record = (
+        first_zone_carrier(zone)
+        .services.pool(support.SERVICE)
+        .targets.find('far')
+    )
     record.estimate.adopt(0.05, zone.clock.monotonic_s() - 1.8)
 
 
@@ -50,13 +54,13 @@
 
 
 def serve(daemon, name):
-    pool = daemon.held.pool(support.SERVICE)
+    pool = daemon.services.pool(support.SERVICE)
     pool.answered(pool.targets.find(ids.TargetId(name)), 0.2)
 
 
-def chosen(daemon):
+def select_target(daemon):
     now_s = daemon.clock.monotonic_s()
-    pool = daemon.held.pool(support.SERVICE)
+    pool = daemon.services.pool(support.SERVICE)
     record = pool.try_acquire(
         attempt_requirements.AttemptRequirements(
             (), 0, now_s, now_s + 0.3, is_final_attempt=True
@@ -67,99 +71,110 @@
 
 
 async def pass_time(zone, seconds):
-    """Let both zones serve by their own targets."""
+    """Run both zones, with successful requests to their own targets."""
     for _ in range(round(seconds / 0.25)):
-        serve(here(zone), 'near')
-        if there(zone).own.instance_id not in zone.stopped:
-            serve(there(zone), 'far')
+        serve(first_zone_carrier(zone), 'near')
+        if second_zone_carrier(zone).own.instance_id not in zone.stopped:
+            serve(second_zone_carrier(zone), 'far')
         await zone.run(0.25)
 
 
-async def test_a_zone_gives_turns_to_its_own_targets_only(zone):
+async def test_a_zone_explores_only_its_own_targets(zone):
     await with_targets_of_both(zone)
     await pass_time(zone, 4.0)
-    assert chosen(here(zone)) == 'near'
+    assert select_target(first_zone_carrier(zone)) == 'near'
 
 
-async def test_the_others_give_turns_to_targets_of_a_lost_zone(zone):
+async def test_other_zones_explore_targets_of_an_unreachable_zone(zone):
     await with_targets_of_both(zone)
     await pass_time(zone, 3.0)
-    lose_second_zone(zone)
+    stop_second_zone(zone)
     await pass_time(zone, 1.0)
-    leave_far_idle(zone)
-    assert chosen(here(zone)) == 'far'
+    age_far_estimate(zone)
+    assert select_target(first_zone_carrier(zone)) == 'far'
 
 
-async def test_a_zone_that_is_back_gives_its_turns_itself(zone):
+async def test_a_zone_that_is_back_explores_its_own_targets_again(zone):
     await with_targets_of_both(zone)
     await pass_time(zone, 2.0)
-    lose_second_zone(zone)
+    stop_second_zone(zone)
     await pass_time(zone, 1.5)
     zone.stopped.clear()
     await pass_time(zone, 1.0)
-    leave_far_idle(zone)
-    assert chosen(here(zone)) == 'near'
+    age_far_estimate(zone)
+    assert select_target(first_zone_carrier(zone)) == 'near'
 
 
-async def test_a_zone_without_news_is_not_taken_for_lost(zone):
+async def test_a_zone_without_updates_is_not_unreachable(zone):
     await with_targets_of_both(zone)
     await zone.run(5.0)
-    serve(here(zone), 'near')
-    leave_far_idle(zone)
-    assert chosen(here(zone)) == 'near'
+    serve(first_zone_carrier(zone), 'near')
+    age_far_estimate(zone)
+    assert select_target(first_zone_carrier(zone)) == 'near'
 
 
-async def test_one_that_others_don_t_report_to_takes_no_zone_for_lost(zone):
+async def test_a_former_carrier_without_reports_takes_no_zone_for_unreachable(
+    zone,
+):
     await with_targets_of_both(zone)
-    former = here(zone)
+    former = first_zone_carrier(zone)
     await pass_time(zone, 1.0)
     former.carriers.hand_over()
     former.sharing.step()
     await zone.run(2.0)
-    assert not former.held.pool(support.SERVICE).unreachable_zones
+    assert not former.services.pool(support.SERVICE).unreachable_zones
 
 
-async def test_after_a_handover_no_zone_is_taken_for_lost(zone):
-    """Seen: zones go on to report to the one that stood down.
+async def test_after_a_handover_no_zone_is_taken_for_unreachable(zone):
+    """Guards against reports of other zones that go to the former carrier only.
 
-    Whoever had taken over heard of no other zone, and gave turns to the targets
-    of all of them: 145 of 13,000 requests that run only once failed by that.
+    The new carrier received none, took all other zones for unreachable and
+    explored their targets, by which 145 of 13,000 requests that run only once
+    failed.
     """
     await with_targets_of_both(zone)
     await pass_time(zone, 1.0)
-    former = here(zone)
+    former = first_zone_carrier(zone)
     former.carriers.hand_over()
-    for one in zone.daemons:
-        if one.own.zone == 'z1':
-            one.carriers.fitness.stands_down(former.own.instance_id)
+    for daemon in zone.daemons:
+        if daemon.own.zone == 'z1':
+            daemon.carriers.availability.record_handover(former.own.instance_id)
     for _ in range(12):
         await pass_time(zone, 0.25)
-        assert here(zone) is not former
-        assert not here(zone).held.pool(support.SERVICE).unreachable_zones
-    lose_second_zone(zone)
+        assert first_zone_carrier(zone) is not former
+        assert (
+            not first_zone_carrier(zone)
+            .services.pool(support.SERVICE)
+            .unreachable_zones
+        )
+    stop_second_zone(zone)
     await pass_time(zone, 1.25)
-    assert here(zone).held.pool(support.SERVICE).unreachable_zones == {'zone2'}
+    assert first_zone_carrier(zone).services.pool(
+        support.SERVICE
+    ).unreachable_zones == {'zone2'}
 
 
-async def test_one_that_takes_over_from_a_dead_one_takes_no_zone_for_lost(
+async def test_the_successor_of_a_dead_carrier_takes_no_zone_for_unreachable(
     zone,
 ):
-    """Until membership notices, other zones report to the dead one."""
+    """Other zones report to the dead carrier until membership detects it."""
     await with_targets_of_both(zone)
-    zone.stop(here(zone))
+    zone.stop(first_zone_carrier(zone))
     for _ in range(12):
         await zone.run(0.25)
-        for one in zone.living():
-            # The zone itself is silent for as long as it takes to take over.
-            lost = one.held.pool(support.SERVICE).unreachable_zones
-            assert 'zone2' not in lost
+        for daemon in zone.living():
+            # The first zone sends no reports until its new carrier takes over.
+            unreachable = daemon.services.pool(
+                support.SERVICE
+            ).unreachable_zones
+            assert 'zone2' not in unreachable
 
 
-async def test_a_sign_goes_out_with_each_beat(zone):
+async def test_a_report_goes_out_with_each_heartbeat(zone):
     await with_targets_of_both(zone)
-    heard = []
-    network = there(zone).network
+    received = []
+    network = second_zone_carrier(zone).network
     kind = zone_messages.BeliefReport
-    network.subscribe(kind, lambda sender, report: heard.append(report))
+    network.subscribe(kind, lambda sender, report: received.append(report))
     await zone.run(2.0)
-    assert len(heard) >= 7
+    assert len(received) >= 7
--- a/libraries/zones/tests/cover/test_zones_usage.py
+++ b/libraries/zones/tests/cover/test_zones_usage.py
@@ -1,4 +1,4 @@
-"""One limit of a customer over the carriers of several zones."""
+"""A customer's limit shared by the carriers of several zones."""
 
 import random
 
@@ -11,9 +11,9 @@
 CUSTOMER = ids.CustomerName('library')
 LIMIT_PER_S = 20.0
 WINDOW_S = 5.0
-MOST_IN_A_WINDOW = (LIMIT_PER_S * WINDOW_S + LIMIT_PER_S) * 1.25 + 20
-DARK_S = 0.75
-MET_AFTER_S = 1.1
+MAX_IN_A_WINDOW = (LIMIT_PER_S * WINDOW_S + LIMIT_PER_S) * 1.25 + 20
+OUTAGE_S = 0.75
+MEETING_TIME_S = 1.1
 STEP_S = 0.05
 
 
@@ -42,44 +42,46 @@
 
 
 def carriers_of(zone):
-    return [one for one in zone.living() if one.carriers.is_carrier()]
+    return [daemon for daemon in zone.living() if daemon.carriers.is_carrier()]
 
 
-async def let_through(zone, senders, seconds, each_per_s=100):
-    """Ask at all ``senders`` and return how many requests got through."""
-    through = 0
+async def send_requests(zone, senders, seconds, each_per_s=100):
+    """Send requests to all ``senders``; return how many were admitted."""
+    admitted = 0
     for _ in range(round(seconds / 0.05)):
-        for one in senders:
+        for daemon in senders:
             for _ in range(round(each_per_s * 0.05)):
-                if not one.held.limits.take(CUSTOMER):
-                    through += 1
+                if not daemon.services.limits.take(CUSTOMER):
+                    admitted += 1
         await zone.run(0.05)
-    return through
+    return admitted
 
 
 async def test_carriers_of_two_zones_share_one_limit():
     zone = await limited_zones()
-    through = await let_through(zone, carriers_of(zone), 10.0)
+    admitted = await send_requests(zone, carriers_of(zone), 10.0)
     allowed = LIMIT_PER_S * 11
-    assert 0.9 * allowed <= through <= 1.25 * allowed + 20
+    assert 0.9 * allowed <= admitted <= 1.25 * allowed + 20
 
 
-async def test_one_that_carries_nothing_lets_few_through():
+async def test_a_non_carrier_admits_few_requests():
     zone = await limited_zones()
-    beside = [one for one in zone.daemons if not one.carriers.is_carrier()]
-    through = await let_through(zone, beside[:1], 5.0)
-    assert 2 <= through <= 4
+    non_carriers = [
+        daemon for daemon in zone.daemons if not daemon.carriers.is_carrier()
+    ]
+    admitted = await send_requests(zone, non_carriers[:1], 5.0)
+    assert 2 <= admitted <= 4
 
 
-async def test_a_former_carrier_goes_by_what_it_heard():
+async def test_a_former_carrier_uses_the_updates_it_received():
     zone = await limited_zones()
     first, second = carriers_of(zone)
-    await let_through(zone, (first, second), 3.0)
-    first.held.limits.receives_updates = False
-    assert first.held.limits._knows_others(zone.clock.monotonic_s())
+    await send_requests(zone, (first, second), 3.0)
+    first.services.limits.receives_updates = False
+    assert first.services.limits._knows_others(zone.clock.monotonic_s())
 
 
-async def test_without_limits_nothing_is_told(monkeypatch):
+async def test_without_limits_no_usage_is_sent(monkeypatch):
     zone = support.Zone(count=3, zones=('z1', 'far'))
     await support.with_targets(zone)
     sent = []
@@ -94,57 +96,59 @@
 
 
 async def test_a_limit_holds_over_a_start_of_all():
-    """Guards against a daemon that knows nobody using a whole limit.
+    """Guards against daemons without known members using a whole limit each.
 
-    The pattern: a fleet loses its power while one customer sends far beyond its
-    limit. All start at once, know each other after a second, and the customer's
-    requests come to all of them until half a second later.
+    A fleet loses power while one customer sends far beyond its limit. All
+    daemons start at once and know each other after a second, and the customer's
+    requests go to all of them until half a second later.
     """
     too_many = [
         (sent_per_s, seed)
         for sent_per_s in (80, 140, 400)
         for seed in range(3)
-        if await _most_over_a_start(sent_per_s, seed) > MOST_IN_A_WINDOW
+        if await _max_over_a_start(sent_per_s, seed) > MAX_IN_A_WINDOW
     ]
     assert not too_many
 
 
-async def test_carriers_count_what_was_let_through_before_they_were_known():
-    """Guards against a start at which news reach nobody."""
+async def test_carriers_count_requests_admitted_before_they_were_known():
+    """Guards against losing usage that was sent while no daemon was known."""
     zone = support.Zone(count=4, zones=('z1', 'far'))
     zone.platform.configuration = with_limit(1)
-    for one in zone.daemons:
-        one.held.offer_configuration(with_limit(1))
+    for daemon in zone.daemons:
+        daemon.services.offer_configuration(with_limit(1))
     zone.fleet.has_met = False
-    through = await let_through(zone, zone.daemons, 0.25, each_per_s=40)
-    assert through > 2 * LIMIT_PER_S
+    admitted = await send_requests(zone, zone.daemons, 0.25, each_per_s=40)
+    assert admitted > 2 * LIMIT_PER_S
     zone.fleet.meet()
     await zone.run(0.5)
-    # They owe what the others let through, and nobody tells again.
-    assert all(one.held.limits.take(CUSTOMER) for one in carriers_of(zone))
+    # The others' usage is deducted, and is not sent again.
+    assert all(
+        daemon.services.limits.take(CUSTOMER) for daemon in carriers_of(zone)
+    )
 
 
-async def _most_over_a_start(sent_per_s, seed):
-    """Return the most requests in a window that holds a loss of power."""
-    drawn = random.Random(seed)
+async def _max_over_a_start(sent_per_s, seed):
+    """Return the maximum of requests in a window with a loss of power."""
+    random_source = random.Random(seed)
     zone = support.Zone(count=10, zones=('z1', 'far', 'farther'))
     zone.platform.configuration = with_limit(1)
-    for one in zone.daemons:
-        one.held.offer_configuration(with_limit(1))
+    for daemon in zone.daemons:
+        daemon.services.offer_configuration(with_limit(1))
     zone.fleet.has_met = False
-    through = 0
-    most = 0
-    for step in range(round((WINDOW_S - DARK_S) / STEP_S)):
+    admitted = 0
+    max_admitted = 0
+    for step in range(round((WINDOW_S - OUTAGE_S) / STEP_S)):
         now_s = step * STEP_S
-        if now_s >= MET_AFTER_S and not zone.fleet.has_met:
+        if now_s >= MEETING_TIME_S and not zone.fleet.has_met:
             zone.fleet.meet()
-        is_gathered = now_s >= MET_AFTER_S + 0.5
-        asked = carriers_of(zone) if is_gathered else zone.daemons
-        through += sum(
-            not drawn.choice(asked).held.limits.take(CUSTOMER)
+        is_gathered = now_s >= MEETING_TIME_S + 0.5
+        receivers = carriers_of(zone) if is_gathered else zone.daemons
+        admitted += sum(
+            not random_source.choice(receivers).services.limits.take(CUSTOMER)
             for _ in range(round(sent_per_s * STEP_S))
         )
         await zone.run(STEP_S)
-        left_s = WINDOW_S - DARK_S - now_s - STEP_S
-        most = max(most, through + LIMIT_PER_S * left_s)
-    return most
+        left_s = WINDOW_S - OUTAGE_S - now_s - STEP_S
+        max_admitted = max(max_admitted, admitted + LIMIT_PER_S * left_s)
+    return max_admitted
--- a/libraries/zones/tests/zones_support.py
+++ b/libraries/zones/tests/zones_support.py
@@ -1,4 +1,4 @@
-"""A zone of daemons in one process, on a network that the test cuts."""
+"""Emulated zones: daemons in one process on an in-memory network."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 SERVICE = ids.ServiceName('books')
 HALF_A_CORE = capacity.Capacity(processor_millis=500)
-"""What 110 requests a second take."""
+"""Capacity for 110 requests a second."""
 
 
 def target(target_id, state=model.TargetState.READY, **changed):
@@ -45,7 +45,7 @@
     return model.ServedConfiguration(version, (), ())
 
 
-def member(number, zone='z1', able=HALF_A_CORE):
+def member(number, zone='z1', instance_capacity=HALF_A_CORE):
     name = f'{zone}-{number}'
     return members.Member(
         instance_id=ids.InstanceId(f'{name}~{number:016x}'),
@@ -58,7 +58,7 @@
         incarnation=0,
         state=members.MemberState.ALIVE,
         started_at_s=0.0,
-        capacity=able,
+        capacity=instance_capacity,
     )
 
 
@@ -71,11 +71,11 @@
         self.has_met = True
 
     def drop(self, gone):
-        self.known = [one for one in self.known if one is not gone]
+        self.known = [member for member in self.known if member is not gone]
         self.version += 1
 
     def meet(self):
-        """Let all know each other, after ``has_met`` was false."""
+        """Make all members known to each other, after ``has_met`` was false."""
         self.has_met = True
         self.version += 1
 
@@ -99,16 +99,16 @@
     serving = members
 
     def find(self, instance_id):
-        for one in self._fleet.known:
-            if one.instance_id == instance_id:
-                return one
+        for member in self._fleet.known:
+            if member.instance_id == instance_id:
+                return member
         return None
 
 
 class Platform:
-    """A platform that the test fills, and takes away from some daemons.
+    """A platform with contents set by the test, which can refuse daemons.
 
-    ``transfer_s`` is how long an answer takes on the link of a daemon.
+    ``transfer_s`` is how long a snapshot takes on the link of a daemon.
     """
 
     def __init__(self, clock):
@@ -134,8 +134,8 @@
         self._platform.calls += 1
         self._platform.fresh_calls += not allow_stale
         if self._name in self._platform.refused:
-            raise errors.PlatformUnavailableError('turned away', 'wait')
-        reading = platform_state.PlatformSnapshot(
+            raise errors.PlatformUnavailableError('refused', 'wait')
+        snapshot = platform_state.PlatformSnapshot(
             self._platform.configuration,
             self._platform.targets,
             self._platform.unusable,
@@ -145,11 +145,11 @@
         arrives_s += self._platform.transfer_s.get(self._name, 0.0)
         while clock.monotonic_s() < arrives_s:
             await asyncio.sleep(0)
-        return reading
+        return snapshot
 
 
 class Daemon:
-    """One daemon's part in the zone."""
+    """The zone components of one daemon, which also emulates its traffic."""
 
     def __init__(self, zone, own):
         self.own = own
@@ -157,7 +157,7 @@
         self.forwarded_bytes = 0
         self.per_s = 0
         self.clock = zone.clock
-        self.held = service_registry.ServiceRegistry(
+        self.services = service_registry.ServiceRegistry(
             own.zone,
             zone.clock,
             random.Random(own.instance_id),
@@ -175,45 +175,47 @@
         self.sharing = sharing.ZoneSharing(
             self.network,
             self.carriers,
-            self.held,
+            self.services,
             self.guard,
             zone_load.ZoneLoad(zone.clock, self),
             zone.clock,
             random.Random(own.instance_id),
-            lambda taken: None,
+            lambda configuration: None,
         )
-        self.reading = platform_reader.PlatformReader(
+        self.reader = platform_reader.PlatformReader(
             zone.platform.for_daemon(own.daemon_id),
-            self.held,
+            self.services,
             self.carriers,
             self.guard,
             self.sharing,
             zone.clock,
             random.Random(1),
         )
-        self._reading_now = None
+        self._current_read = None
 
-    def read_on(self):
-        """Read the platform if that is due and no reading is on its way."""
-        if self._reading_now is not None:
-            if not self._reading_now.done():
+    def read_if_due(self):
+        """Read the platform if that is due and no read is in progress."""
+        if self._current_read is not None:
+            if not self._current_read.done():
                 return
-            self._reading_now.result()
-        self._reading_now = asyncio.ensure_future(self.reading.step())
+            self._current_read.result()
+        self._current_read = asyncio.ensure_future(self.reader.step())
 
     @property
     def version(self):
-        held = self.held.configuration
-        return held.version if held else None
+        current = self.services.configuration
+        return current.version if current else None
 
     @property
     def target_names(self):
-        listed = self.held.targets
-        return {one.target_id for one in listed.targets} if listed else set()
+        listed = self.services.targets
+        return (
+            {target.target_id for target in listed.targets} if listed else set()
+        )
 
 
 class Zone:
-    """Daemons that take turns in steps of time which the test makes."""
+    """Daemons of one or more zones, run in steps of a manual clock."""
 
     def __init__(self, count=6, zones=('z1',)):
         self.clock = clocks.ManualClock(1000.0)
@@ -238,31 +240,31 @@
         return self.find(first)
 
     def find(self, wanted):
-        for one in self.daemons:
-            if one.own is wanted:
-                return one
+        for daemon in self.daemons:
+            if daemon.own is wanted:
+                return daemon
         raise LookupError(wanted)
 
     def stop(self, daemon):
-        """Take a daemon's power; membership has not noticed yet."""
+        """Stop a daemon; membership doesn't notice it."""
         self.stopped.add(daemon.own.instance_id)
 
     def living(self):
         return [
-            one
-            for one in self.daemons
-            if one.own.instance_id not in self.stopped
+            daemon
+            for daemon in self.daemons
+            if daemon.own.instance_id not in self.stopped
         ]
 
     async def run(self, seconds, step_s=0.05):
-        """Let all daemons do what they do within so many seconds."""
+        """Run all daemons for ``seconds``."""
         for step in range(round(seconds / step_s)):
-            for one in self.living():
-                one.requests_started += one.per_s * step_s
-                one.read_on()
+            for daemon in self.living():
+                daemon.requests_started += daemon.per_s * step_s
+                daemon.read_if_due()
                 await asyncio.sleep(0)
                 if step % 5 == 0:
-                    one.sharing.step()
+                    daemon.sharing.step()
             self.hub.deliver()
             self.clock.advance(step_s)
 
@@ -274,17 +276,17 @@
 
 
 def fail(daemon, name):
-    pool = daemon.held.pool(SERVICE)
+    pool = daemon.services.pool(SERVICE)
     pool.failed(pool.targets.find(name), 0)
 
 
 def failing(daemon, name):
-    record = daemon.held.pool(SERVICE).targets.find(name)
+    record = daemon.services.pool(SERVICE).targets.find(name)
     return record.estimate.failing_probability(daemon.clock.monotonic_s())
 
 
-def crowd(zone, name):
-    """Let the first carriers of a zone get more than one can carry."""
-    for one in zone.daemons:
-        if one.own.zone == name:
-            one.per_s = 250
+def overload(zone, name):
+    """Give each daemon of a zone more requests than it can carry alone."""
+    for daemon in zone.daemons:
+        if daemon.own.zone == name:
+            daemon.per_s = 250
