--- a/libraries/zones/src/sardinepier/zones/availability.py
+++ b/libraries/zones/src/sardinepier/zones/availability.py
@@ -61,6 +61,6 @@
 
     def retain_only(self, living: Collection[ids.InstanceId]) -> None:
         """Remove the records of daemons that are not in ``living``."""
-        for known in (self._last_seen_s, self._available_at_s):
-            for instance_id in known.keys() - living:
-                del known[instance_id]
+        for times_s in (self._last_seen_s, self._available_at_s):
+            for instance_id in times_s.keys() - living:
+                del times_s[instance_id]
--- a/libraries/zones/src/sardinepier/zones/messages.py
+++ b/libraries/zones/src/sardinepier/zones/messages.py
@@ -70,7 +70,7 @@
 
 
 class BeliefReport(messages.Message, frozen=True):
-    """Estimates and statements, from a daemon that sends no heartbeats here.
+    """Estimates and statements, for receivers without the sender's heartbeats.
 
     Non-carriers report to the carriers of their zone, and first carriers to
     those of other zones. ``of_zone`` names the zone that a report came from if
--- a/libraries/zones/src/sardinepier/zones/platform_reader.py
+++ b/libraries/zones/src/sardinepier/zones/platform_reader.py
@@ -69,7 +69,7 @@
         services: service_registry.ServiceRegistry,
         zone_carriers: carriers.Carriers,
         guard: expired_entries.ExpiredEntryGuard,
-        shared: sharing.ZoneSharing,
+        zone_sharing: sharing.ZoneSharing,
         clock: clocks.Clock,
         random_source: random.Random,
     ) -> None:
@@ -78,7 +78,7 @@
         self._services = services
         self._carriers = zone_carriers
         self._guard = guard
-        self._sharing = shared
+        self._sharing = zone_sharing
         self._clock = clock
         self._random = random_source
         self.unusable_entries = unusable_entries.UnusableEntries()
@@ -146,7 +146,7 @@
 
     async def _read(self, *, allow_stale: bool) -> None:
         requested_s = self._clock.monotonic_s()
-        confirms_s = self._services.confirmation.now_s()
+        confirmed_s = self._services.confirmation.now_s()
         try:
             snapshot = await self._source.read(allow_stale=allow_stale)
         except errors.PlatformError as error:
@@ -162,7 +162,7 @@
                 unusable=_names_of(snapshot.unusable),
             )
             if snapshot.configuration and not self._guard.is_restoring():
-                self._services.confirmation.confirm(confirms_s)
+                self._services.confirmation.confirm(confirmed_s)
             self._on_success()
             self._log_slow(requested_s)
         elif self._services.targets is None:
--- a/libraries/zones/src/sardinepier/zones/zone_load.py
+++ b/libraries/zones/src/sardinepier/zones/zone_load.py
@@ -57,9 +57,9 @@
     For example::
 
         load = ZoneLoad(clock, activity)
-        load.woke(late_s=0.002)
+        load.record_timer_delay(late_s=0.002)
         reported = load.own()  # for the next heartbeat
-        count = load.wanted(count, carriers.capacities())
+        count = load.required_count(count, carriers.capacities())
     """
 
     def __init__(
--- a/libraries/zones/tests/cover/test_zones_load.py
+++ b/libraries/zones/tests/cover/test_zones_load.py
@@ -122,9 +122,9 @@
     bench = LoadBench()
     bench.serve(per_s, 2)
     bench.receive('a', 10, late_ms)
-    wanted = bench.load.required_count(count, equal_capacities(max_count))
-    assert 1 <= wanted <= max_count
-    assert wanted >= min(count, max_count) - 1
+    required = bench.load.required_count(count, equal_capacities(max_count))
+    assert 1 <= required <= max_count
+    assert required >= min(count, max_count) - 1
 
 
 @given(per_s=strategies.floats(0, 1500))
--- a/libraries/zones/tests/cover/test_zones_reading.py
+++ b/libraries/zones/tests/cover/test_zones_reading.py
@@ -236,7 +236,7 @@
     """Guards against each starting daemon acting as the reader of its zone.
 
     A daemon that doesn't know the others of its zone yet is its first carrier:
-    586 starts of 293 daemons new_zone 2,400 calls, a fiftieth of the calls of a
+    586 starts of 293 daemons made 2,400 calls, a fiftieth of the calls of a
     day. A stale snapshot, at a tenth of the price, lets it serve meanwhile.
     """
     zone = support.Zone(count=12)
