--- a/libraries/once/src/sardinepier/once/answers.py
+++ b/libraries/once/src/sardinepier/once/answers.py
@@ -1,4 +1,4 @@
-"""What a record holds once its request has come to an end."""
+"""The possible outcomes of a request that ran under a key."""
 
 import dataclasses
 import enum
@@ -6,16 +6,16 @@
 
 _ANSWER_BYTES: Final = 160
 _HEADER_BYTES: Final = 160
-"""What the objects of an answer and of each header take by themselves."""
+"""Memory of the Python objects of an answer and of each header, in bytes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordedAnswer:
     """The answer of a target, kept for resends.
 
-    ``headers`` are pairs of name and value as they go to the caller.
+    ``headers`` are pairs of name and value as they are sent to the caller.
     ``body`` is None when the answer was too large to keep: the request ran
-    and got ``status``, but its content can't be given again.
+    and got ``status``, but a resend can't get its content.
     """
 
     status: int
@@ -23,29 +23,29 @@
     body: bytes | None
 
     def size_bytes(self) -> int:
-        """Return about how much memory the content takes."""
+        """Return the approximate memory of the answer in bytes."""
         headers_bytes = sum(
             len(name) + len(text) + _HEADER_BYTES for name, text in self.headers
         )
         return _ANSWER_BYTES + headers_bytes + len(self.body or b'')
 
     def without_content(self) -> 'RecordedAnswer':
-        """Return the same answer with its status alone."""
+        """Return the same answer with only its status."""
         return RecordedAnswer(self.status, (), None)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnknownFate:
-    """The request was sent, and nobody can tell whether it ran.
+    """The request was sent, and it can't be known whether it ran.
 
-    ``problem`` names what happened, as an error message does.
+    ``problem`` describes what happened, in the words of an error message.
     """
 
     problem: str
 
 
 class Released(enum.Enum):
-    """The attempt ended with proof that nothing ran; the key is free."""
+    """The attempt ended and provably did not run; the key is free again."""
 
     NOT_RUN = 'not-run'
 
--- a/libraries/once/src/sardinepier/once/errors.py
+++ b/libraries/once/src/sardinepier/once/errors.py
@@ -1,16 +1,16 @@
-"""Why a non-idempotent request is not run, each reason with its own type."""
+"""The reasons not to run a non-idempotent request, one type for each."""
 
 from sardinepier.core import errors
 
 
 class OnceError(errors.SardinepierError):
-    """Root of the failures of this library."""
+    """Base class of all errors of this library."""
 
 
 class BadKeyError(OnceError):
-    """The key or the ticket within it is not in the stated form.
+    """The key, or the ticket that it contains, is malformed.
 
-    No home has ever accepted such a key, so nothing was run under it.
+    No home accepts such a key, so no request was run under it.
     """
 
 
@@ -21,14 +21,14 @@
 class FutureTicketError(OnceError):
     """The ticket is from an epoch that its home has not reached.
 
-    The home's clock never goes back, so it accepted no such key before.
+    The home's clock is monotonic, so it can't have accepted the key earlier.
     """
 
 
 class TicketExpiredError(OnceError):
-    """The ticket has run out and the home keeps no record of the key.
+    """The ticket has expired, and the home keeps no record of the key.
 
-    The key may have run while its ticket was valid, so its fate is unknown.
+    The request may have run while the ticket was valid; its fate is unknown.
     """
 
 
@@ -37,24 +37,24 @@
 
 
 class LedgerFullError(OnceError):
-    """All records are taken, and none of them may be given up yet."""
+    """The ledger has no free record, and none of its records has expired."""
 
     def __init__(self, what: str, remedy: str, retry_after_s: float) -> None:
-        """Keep how many seconds from now the next records expire."""
+        """Store the number of seconds until the next records expire."""
         super().__init__(what, remedy)
         self.retry_after_s = retry_after_s
 
 
 class RecordDeadlineError(OnceError):
-    """A resend waited for the running attempt until its own deadline."""
+    """A resend reached its deadline while the first attempt was running."""
 
     retry_after_s = 1.0
 
 
 class QuarantinedError(OnceError):
-    """The request crashed several targets and is held back for a while."""
+    """The request crashed several targets and is quarantined for a while."""
 
     def __init__(self, what: str, remedy: str, retry_after_s: float) -> None:
-        """Keep in how many seconds the request may be tried again."""
+        """Store the number of seconds until the request may be tried again."""
         super().__init__(what, remedy)
         self.retry_after_s = retry_after_s
--- a/libraries/once/src/sardinepier/once/internal/recent_answers.py
+++ b/libraries/once/src/sardinepier/once/internal/recent_answers.py
@@ -1,13 +1,14 @@
-"""Which requests had a good answer of late."""
+"""Requests that recently got a good answer."""
 
 from sardinepier.core import clock as clocks
 
 
 class RecentAnswers:
-    """Fingerprints of requests that a target answered well.
+    """Fingerprints of requests that recently got a good answer.
 
-    Each is kept for ``keep_s`` at least and twice as long at most, or less
-    long where there are more than ``capacity``.
+    They are kept in two generations: each fingerprint for at least ``keep_s``
+    and at most twice as long, or for less if a generation reaches
+    ``capacity`` fingerprints.
     """
 
     def __init__(
@@ -16,28 +17,28 @@
         keep_s: float,
         capacity: int,
     ) -> None:
-        """Start without any."""
+        """Start without fingerprints."""
         self._clock = clock
         self._keep_s = keep_s
         self._capacity = capacity
         self._newer: set[int] = set()
         self._older: set[int] = set()
-        self._turn_at_s = clock.monotonic_s() + keep_s
+        self._rotate_at_s = clock.monotonic_s() + keep_s
 
-    def note(self, fingerprint: int) -> None:
-        """Take in a good answer."""
+    def record(self, fingerprint: int) -> None:
+        """Record a good answer to the request."""
         self._newer.add(fingerprint)
         if len(self._newer) >= self._capacity:
-            self._turn()
+            self._rotate()
 
     def has(self, fingerprint: int) -> bool:
-        """Tell whether the request had a good answer of late."""
-        if self._clock.monotonic_s() >= self._turn_at_s:
-            self._turn()
+        """Return whether the request recently got a good answer."""
+        if self._clock.monotonic_s() >= self._rotate_at_s:
+            self._rotate()
         return fingerprint in self._newer or fingerprint in self._older
 
-    def _turn(self) -> None:
-        """Forget the older half."""
+    def _rotate(self) -> None:
+        """Drop the older generation and start a new one."""
         self._older = self._newer
         self._newer = set()
-        self._turn_at_s = self._clock.monotonic_s() + self._keep_s
+        self._rotate_at_s = self._clock.monotonic_s() + self._keep_s
--- a/libraries/once/src/sardinepier/once/ledger.py
+++ b/libraries/once/src/sardinepier/once/ledger.py
@@ -1,9 +1,9 @@
-"""The home's memory of the keys that it granted.
+"""The records of the keys that a home has granted.
 
-One instance, one memory, one writer: only the process that a ticket names
-may run its keys, so no agreement with others is needed. Two rules keep a key
-from running twice. A record is opened before the first byte goes out, and no
-record is dropped before its ticket has run out on the home's own clock.
+Only the instance that a ticket names as its home may run the keys of that
+ticket, so daemons need no agreement about them. Two rules keep a key from
+running twice: its record is opened before the first byte of the request is
+sent, and is not dropped before the ticket has expired on the home's clock.
 """
 
 import dataclasses
@@ -16,14 +16,18 @@
 from sardinepier.once import answers, errors, records, tickets
 
 RECORD_BYTES: Final = 900
-"""About what a record takes without its answer: key, dict entry, objects."""
+"""Approximate memory of a record without its answer.
+
+It covers the key, the dictionary entry and the Python objects.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerOptions:
-    """How long and how much the ledger keeps.
+    """How long the ledger keeps records, and how many.
 
-    A ticket of epoch ``n`` is good until epoch ``n + valid_epochs`` ends.
+    A ticket of epoch ``n`` is valid until the end of epoch
+    ``n + valid_epochs``.
     """
 
     epoch_s: float
@@ -33,26 +37,26 @@
     answer_limit_bytes: int
 
     def __post_init__(self) -> None:
-        """Refuse figures with which no request could ever be granted."""
+        """Reject options with which no request could ever be granted."""
         if self.epoch_s <= 0 or self.valid_epochs < 1 or self.capacity < 1:
             raise core_errors.InvalidArgumentError(
-                'The ledger needs an epoch above 0 s, at least one valid '
-                'epoch and room for at least one record',
-                'Correct the figures of the fleet file',
+                'The ledger needs an epoch longer than 0 s, at least one '
+                'valid epoch and a capacity of at least one record',
+                'Correct the ledger settings in the fleet file',
             )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Identity:
-    """Callers can't see each other's records, not even by one key."""
+    """A key and its caller; callers with the same key don't share records."""
 
     key: tickets.RequestKey
     caller: ids.CallerId
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Bucket:
-    """The records of all tickets of one epoch, dropped together."""
+class _EpochRecords:
+    """The records of all tickets of one epoch, which are dropped together."""
 
     by_identity: dict[_Identity, records.Record] = dataclasses.field(
         default_factory=dict,
@@ -61,10 +65,10 @@
 
 
 class Ledger:
-    """Grants each key once, and answers its resends.
+    """Grants each key once, and gives resends the recorded outcome.
 
-    ``epoch_s`` is fixed from the first request on, because it gives the
-    epochs their numbers. The other options may be replaced at any time.
+    ``epoch_s`` is fixed from the first request on, because the numbers of the
+    epochs depend on it. The other options may be replaced at any time.
     """
 
     def __init__(
@@ -74,12 +78,12 @@
         clock: clocks.Clock,
         options: LedgerOptions,
     ) -> None:
-        """Start empty, as the home ``home`` that started at that moment."""
+        """Create the empty ledger of ``home``, which started at that time."""
         self._home = home
         self._started_at_s = started_at_s
         self._clock = clock
         self._options = options
-        self._buckets: dict[int, _Bucket] = {}
+        self._epochs: dict[int, _EpochRecords] = {}
         self._count = 0
         self._kept_bytes = 0
         self._first_valid_epoch = 0
@@ -91,7 +95,7 @@
 
     @property
     def kept_bytes(self) -> int:
-        """About how many bytes the live records take."""
+        """The approximate memory of the live records in bytes."""
         return self._kept_bytes
 
     @property
@@ -100,10 +104,10 @@
         return self._options.epoch_s
 
     def set_options(self, options: LedgerOptions) -> None:
-        """Take new limits; once used, the length of an epoch stays.
+        """Apply new options; the epoch length stays once the ledger was used.
 
-        A longer validity never revives a ticket that has already run out,
-        because its records are gone.
+        A longer validity never revives a ticket that has already expired,
+        because its records have been dropped.
         """
         if self._is_used:
             options = dataclasses.replace(options, epoch_s=self.epoch_s)
@@ -117,64 +121,69 @@
         caller: ids.CallerId,
         fingerprint: int,
     ) -> records.Claim:
-        """Say what may be done for this send of ``key``.
+        """Return whether to run the request, to wait or to repeat its outcome.
 
-        ``Granted`` only if the key was never granted before, or was released
-        as proved not run. Raises ``ForeignHomeError``, ``FutureTicketError``,
-        ``TicketExpiredError``, ``KeyConflictError`` or ``LedgerFullError``.
+        The claim is ``Granted`` only if the key was never granted before, or
+        was released because it provably did not run. Raises
+        ``ForeignHomeError``, ``FutureTicketError``, ``TicketExpiredError``,
+        ``KeyConflictError`` or ``LedgerFullError``.
         """
         if key.ticket.home != self._home:
-            raise _foreign(key.ticket.home)
+            raise _foreign_home(key.ticket.home)
         self._is_used = True
         self.expire()
         epoch = key.ticket.epoch
-        # One epoch ahead is let through: a ticket is never minted early, but
-        # rounding at the border of an epoch is not worth a refusal.
+        # The next epoch is accepted: tickets are never minted early, but
+        # rounding errors at the boundary of an epoch must not cause a refusal.
         if epoch > self._epoch() + 1:
-            raise _future()
+            raise _future_ticket()
         if epoch < self._first_valid_epoch:
-            raise _expired()
-        bucket = self._buckets.get(epoch)
+            raise _expired_ticket()
+        epoch_records = self._epochs.get(epoch)
         identity = _Identity(key, caller)
-        found = bucket.by_identity.get(identity) if bucket else None
-        if found is None:
+        record = (
+            epoch_records.by_identity.get(identity) if epoch_records else None
+        )
+        if record is None:
             return records.Granted(self._open(identity, fingerprint))
-        return _resend(found, fingerprint)
+        return _claim_of_resend(record, fingerprint)
 
     def never_granted(
         self,
         key: tickets.RequestKey,
         caller: ids.CallerId,
     ) -> bool:
-        """Return whether it is proved that the key has not run.
+        """Return whether the request with this key provably has not run.
 
-        False when this is not its home, when its ticket has run out, or when
-        there is a record of it.
+        False if this is not the home of the key, if its ticket has expired or
+        if there is a record of the key.
         """
         if key.ticket.home != self._home:
             return False
         self.expire()
         if key.ticket.epoch < self._first_valid_epoch:
             return False
-        bucket = self._buckets.get(key.ticket.epoch)
+        epoch_records = self._epochs.get(key.ticket.epoch)
         identity = _Identity(key, caller)
-        return bucket is None or identity not in bucket.by_identity
+        return (
+            epoch_records is None or identity not in epoch_records.by_identity
+        )
 
     def expire(self) -> int:
-        """Drop the records whose tickets have run out; return how many."""
+        """Drop the records whose tickets have expired; return their number."""
         self._first_valid_epoch = max(
             self._first_valid_epoch,
             self._epoch() - self._options.valid_epochs,
         )
-        outdated = [
-            epoch for epoch in self._buckets if epoch < self._first_valid_epoch
+        expired = [
+            epoch for epoch in self._epochs if epoch < self._first_valid_epoch
         ]
-        before = self._count
-        for epoch in outdated:
-            bucket = self._buckets.pop(epoch)
-            self._count -= len(bucket.by_identity)
-            self._kept_bytes -= bucket.kept_bytes
-        return before - self._count
+        count_before = self._count
+        for epoch in expired:
+            epoch_records = self._epochs.pop(epoch)
+            self._count -= len(epoch_records.by_identity)
+            self._kept_bytes -= epoch_records.kept_bytes
+        return count_before - self._count
 
     def _epoch(self) -> int:
         age_s = self._clock.monotonic_s() - self._started_at_s
@@ -182,74 +191,80 @@
 
     def _open(self, identity: _Identity, fingerprint: int) -> records.Record:
         options = self._options
-        room_bytes = options.capacity_bytes - self._kept_bytes
-        if self._count >= options.capacity or room_bytes < RECORD_BYTES:
+        free_bytes = options.capacity_bytes - self._kept_bytes
+        if self._count >= options.capacity or free_bytes < RECORD_BYTES:
             raise errors.LedgerFullError(
-                'This daemon keeps as many records of non-idempotent '
-                'requests as it may',
+                'This daemon has reached its limit of records of '
+                'non-idempotent requests',
                 'Send the request again later, or with a ticket of another '
                 'address',
                 self._next_expiry_s(),
             )
-        bucket = self._buckets.setdefault(
+        epoch_records = self._epochs.setdefault(
             identity.key.ticket.epoch,
-            _Bucket(),
+            _EpochRecords(),
         )
         record = records.Record(
             fingerprint,
             self._clock,
-            functools.partial(self._settled, bucket, identity),
+            functools.partial(self._on_settled, epoch_records, identity),
         )
-        bucket.by_identity[identity] = record
+        epoch_records.by_identity[identity] = record
         self._count += 1
-        self._charge(bucket, RECORD_BYTES)
+        self._add_bytes(epoch_records, RECORD_BYTES)
         return record
 
-    def _settled(
+    def _on_settled(
         self,
-        bucket: _Bucket,
+        epoch_records: _EpochRecords,
         identity: _Identity,
         settlement: answers.Settlement,
     ) -> answers.Settlement:
-        if self._buckets.get(identity.key.ticket.epoch) is not bucket:
+        if self._epochs.get(identity.key.ticket.epoch) is not epoch_records:
             return settlement
         if isinstance(settlement, answers.Released):
-            del bucket.by_identity[identity]
+            del epoch_records.by_identity[identity]
             self._count -= 1
-            self._charge(bucket, -RECORD_BYTES)
+            self._add_bytes(epoch_records, -RECORD_BYTES)
             return settlement
         if isinstance(settlement, answers.RecordedAnswer):
-            return self._keep(bucket, settlement)
+            return self._store_answer(epoch_records, settlement)
         return settlement
 
-    def _keep(
+    def _store_answer(
         self,
-        bucket: _Bucket,
+        epoch_records: _EpochRecords,
         answer: answers.RecordedAnswer,
     ) -> answers.RecordedAnswer:
         size_bytes = answer.size_bytes()
-        room_bytes = self._options.capacity_bytes - self._kept_bytes
-        if size_bytes > min(room_bytes, self._options.answer_limit_bytes):
+        free_bytes = self._options.capacity_bytes - self._kept_bytes
+        if size_bytes > min(free_bytes, self._options.answer_limit_bytes):
             return answer.without_content()
-        self._charge(bucket, size_bytes)
+        self._add_bytes(epoch_records, size_bytes)
         return answer
 
-    def _charge(self, bucket: _Bucket, size_bytes: int) -> None:
-        bucket.kept_bytes += size_bytes
+    def _add_bytes(
+        self,
+        epoch_records: _EpochRecords,
+        size_bytes: int,
+    ) -> None:
+        epoch_records.kept_bytes += size_bytes
         self._kept_bytes += size_bytes
 
     def _next_expiry_s(self) -> float:
-        oldest = min(self._buckets, default=self._epoch())
-        ends_s = (oldest + self._options.valid_epochs + 1) * self.epoch_s
+        oldest_epoch = min(self._epochs, default=self._epoch())
+        expiry_s = (
+            oldest_epoch + self._options.valid_epochs + 1
+        ) * self.epoch_s
         age_s = self._clock.monotonic_s() - self._started_at_s
-        return max(0.0, ends_s - age_s)
+        return max(0.0, expiry_s - age_s)
 
 
-def _resend(record: records.Record, fingerprint: int) -> records.Claim:
+def _claim_of_resend(record: records.Record, fingerprint: int) -> records.Claim:
     if record.fingerprint != fingerprint:
         raise errors.KeyConflictError(
             'This Idempotency-Key was used before with a different request',
-            'Use a new key for a new request, and repeat a request unchanged',
+            'Use a new key for each new request, and resend a request unchanged',
         )
     settlement = record.settlement
     if settlement is None or isinstance(settlement, answers.Released):
@@ -257,23 +272,23 @@
     return records.Answered(settlement)
 
 
-def _foreign(home: ids.InstanceId) -> errors.ForeignHomeError:
+def _foreign_home(home: ids.InstanceId) -> errors.ForeignHomeError:
     return errors.ForeignHomeError(
-        f'The ticket names {home} as its home',
+        f'The home of the ticket is {home}, not this daemon',
         'Send the request to the address that came with the ticket',
     )
 
 
-def _future() -> errors.FutureTicketError:
+def _future_ticket() -> errors.FutureTicketError:
     return errors.FutureTicketError(
         'The ticket is from an epoch that this daemon has not reached',
         'Ask /v1/addresses for a ticket and use it unchanged',
     )
 
 
-def _expired() -> errors.TicketExpiredError:
+def _expired_ticket() -> errors.TicketExpiredError:
     return errors.TicketExpiredError(
-        'The ticket has run out, and with it what was known of this key',
-        'Find out by other means whether the request ran before it is sent '
+        'The ticket has expired, and the record of this key is gone',
+        'Find out by other means whether the request ran before sending it '
         'with a new key',
     )
--- a/libraries/once/src/sardinepier/once/marks.py
+++ b/libraries/once/src/sardinepier/once/marks.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about requests that crash targets."""
+"""Messages between daemons about requests that crash targets."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class CrashMark(msgspec.Struct, frozen=True):
-    """One request crashed these targets, as one daemon saw it itself.
+    """The targets that one request crashed, as observed by one daemon.
 
-    ``remaining_s`` says for how long the mark still counts, and ``held_s`` for
-    how long that daemon holds the request back, 0 if it doesn't. They become
-    deadlines on the receiver's clock on arrival.
+    ``remaining_s`` is the time until the mark expires. ``held_s`` is the
+    remaining time for which that daemon quarantines the request, 0 if it
+    doesn't. The receiver converts both to deadlines on its own clock.
     """
 
     fingerprint: int
@@ -20,6 +20,6 @@
 
 
 class QuarantineReport(msgspec.Struct, frozen=True):
-    """The newest marks of one daemon, a bounded number of them."""
+    """The newest marks of one daemon; their number is bounded."""
 
     marks: tuple[CrashMark, ...] = ()
--- a/libraries/once/src/sardinepier/once/records.py
+++ b/libraries/once/src/sardinepier/once/records.py
@@ -1,4 +1,4 @@
-"""The record of one key, from before its first byte goes out."""
+"""The record of one key, opened before the request is sent."""
 
 import asyncio
 import dataclasses
@@ -11,11 +11,11 @@
 
 
 class Record:
-    """One key that was granted to run; settled exactly once.
+    """A key that was granted to run; settled exactly once.
 
-    The one who was granted the record must call one of ``complete``,
-    ``mark_unknown`` and ``release_not_run``. Only the first of these counts, so a
-    ``finally`` clause may always call ``mark_unknown`` as the last resort.
+    Whoever was granted the record must call ``complete``, ``mark_unknown`` or
+    ``release_not_run``. Only the first of these calls has an effect, so a
+    ``finally`` clause may always call ``mark_unknown`` as a fallback.
     """
 
     __slots__ = ('_clock', '_on_settled', '_settled', '_waiters', 'fingerprint')
@@ -26,38 +26,39 @@
         clock: clocks.Clock,
         on_settled: '_OnSettled',
     ) -> None:
-        """Open the record of a request with this fingerprint.
+        """Open the record of the request with this fingerprint.
 
-        ``on_settled`` decides what is kept of the settlement that was given.
+        ``on_settled`` gets the settlement and returns the one to store, for
+        example without the body of a large answer.
         """
         self.fingerprint = fingerprint
         self._clock = clock
         self._on_settled: _OnSettled | None = on_settled
         self._settled: answers.Settlement | None = None
-        # Most records never have any, and many records are kept.
+        # A tuple, since many records are kept and most have no waiters.
         self._waiters: tuple[asyncio.Future[answers.Settlement], ...] = ()
 
     @property
     def settlement(self) -> answers.Settlement | None:
-        """How the request ended, or None while it runs."""
+        """The outcome of the request, or None while it runs."""
         return self._settled
 
     def complete(self, answer: answers.RecordedAnswer) -> None:
-        """Keep the answer of the target that ran the request."""
+        """Store the answer of the target that ran the request."""
         self._settle(answer)
 
     def mark_unknown(self, problem: str) -> None:
-        """Keep that nobody can tell whether the request ran."""
+        """Store that it is unknown whether the request ran."""
         self._settle(answers.UnknownFate(problem))
 
     def release_not_run(self) -> None:
-        """Free the key, because it is proved that nothing ran."""
+        """Free the key, because the request provably did not run."""
         self._settle(answers.Released.NOT_RUN)
 
     async def wait(self, deadline_s: float) -> answers.Settlement:
-        """Return how the running attempt ends.
+        """Wait until the record is settled and return its settlement.
 
-        Raises ``RecordDeadlineError`` when it has not by ``deadline_s``.
+        Raises ``RecordDeadlineError`` if that takes until ``deadline_s``.
         """
         if self._settled is not None:
             return self._settled
@@ -73,7 +74,7 @@
                 'Send the same request with the same key again later',
             ) from error
         finally:
-            self._forget(waiter)
+            self._remove_waiter(waiter)
 
     def _settle(self, settlement: answers.Settlement) -> None:
         on_settled = self._on_settled
@@ -85,29 +86,31 @@
             if not waiter.done():
                 waiter.set_result(self._settled)
 
-    def _forget(self, waiter: asyncio.Future[answers.Settlement]) -> None:
+    def _remove_waiter(
+        self, waiter: asyncio.Future[answers.Settlement]
+    ) -> None:
         self._waiters = tuple(
-            other for other in self._waiters if other is not waiter
+            pending for pending in self._waiters if pending is not waiter
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The key is new: run the request, then settle the record."""
+    """The key is new: the request may run, and must settle the record."""
 
     record: Record
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Joined:
-    """The key is running: wait for its record."""
+    """The request is already running: wait for its record."""
 
     record: Record
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """The key has run: give this again."""
+    """The request has ended: return its outcome again."""
 
     answer: answers.RecordedAnswer | answers.UnknownFate
 
--- a/libraries/once/src/sardinepier/once/tickets.py
+++ b/libraries/once/src/sardinepier/once/tickets.py
@@ -1,9 +1,10 @@
-"""Tickets, which bind a caller's keys to one start of one daemon.
+"""Tickets, which bind idempotency keys to one incarnation of one daemon.
 
-A ticket reads ``<instance>.<epoch>.<nonce>``, for example
-``d7~00f3a1b2c3d4e5f6.12.9f86d081884c7d65``. A caller makes a key of it by
-adding a full stop and a part of its own, which is new for each new request
-and the same in each resend.
+A ticket has the form ``<instance>.<epoch>.<nonce>``, for example
+``d7~00f3a1b2c3d4e5f6.12.9f86d081884c7d65``. The named instance is the home
+of the ticket and of its keys. A caller builds a key by appending a full stop
+and a part of its own, which is new for each request and the same for each
+resend of that request.
 """
 
 import dataclasses
@@ -30,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """The right to have requests run at one home during some epochs."""
+    """Permission to run requests at one home for a number of epochs."""
 
     home: ids.InstanceId
     epoch: int
@@ -39,50 +40,50 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestKey:
-    """A ticket with the part that tells one request of a caller apart."""
+    """A ticket and the part by which the caller identifies one request."""
 
     ticket: Ticket
     caller_part: str
 
 
 def parse_ticket(text: str) -> Ticket:
-    """Return the ticket that ``text`` spells; raise ``BadKeyError`` if none."""
+    """Parse a ticket; raise ``BadKeyError`` if ``text`` is malformed."""
     match = _TICKET_PATTERN.fullmatch(text)
     if match is None:
         raise errors.BadKeyError(
             'The ticket is not of the form <instance>.<epoch>.<nonce>',
             'Ask /v1/addresses for a ticket and use it unchanged',
         )
-    return _ticket(match)
+    return _from_match(match)
 
 
 def format_ticket(ticket: Ticket) -> str:
-    """Return the text from which ``parse_ticket`` gives ``ticket`` again."""
+    """Return the text form of ``ticket``, the inverse of ``parse_ticket``."""
     return f'{ticket.home}.{ticket.epoch}.{ticket.nonce}'
 
 
 def parse_key(header: str) -> RequestKey:
-    """Return the key in the value of an ``Idempotency-Key`` header.
+    """Parse the value of an ``Idempotency-Key`` header.
 
-    The value may stand in double quotes, which mean nothing. The caller's
-    part has 1 to 128 letters, digits, or any of ``_ . : -``. Raises
-    ``BadKeyError`` for all else.
+    Double quotes around the value are optional. The caller's part consists of
+    1 to 128 letters, digits, or any of ``_ . : -``. Raises ``BadKeyError`` if
+    the value is malformed.
     """
-    bare = header.strip()
-    if not bare.startswith(_QUOTE):
-        bare = f'{_QUOTE}{bare}{_QUOTE}'
-    match = _KEY_PATTERN.fullmatch(bare)
+    quoted = header.strip()
+    if not quoted.startswith(_QUOTE):
+        quoted = f'{_QUOTE}{quoted}{_QUOTE}'
+    match = _KEY_PATTERN.fullmatch(quoted)
     if match is None:
         raise errors.BadKeyError(
             'The Idempotency-Key is not of the form <ticket>.<own part>',
             'Ask /v1/addresses for a ticket, then add a full stop and up to '
             '128 letters, digits or any of _ . : -',
         )
-    return RequestKey(_ticket(match), match['caller_part'])
+    return RequestKey(_from_match(match), match['caller_part'])
 
 
 def format_key(key: RequestKey) -> str:
-    """Return the header value from which ``parse_key`` gives ``key``."""
+    """Return the header value of ``key``, the inverse of ``parse_key``."""
     return f'{format_ticket(key.ticket)}.{key.caller_part}'
 
 
@@ -93,18 +94,18 @@
     clock: clocks.Clock,
     random_source: random.Random,
 ) -> Ticket:
-    """Return a fresh ticket for ``home``.
+    """Return a new ticket for ``home``.
 
-    ``started_at_s`` is the home's start on the local monotonic clock. It may
-    be an estimate as long as it is not too early: the ticket then seems older
-    than it is, and its home stops taking it sooner.
+    ``started_at_s`` is the start time of the home on the local monotonic
+    clock. It may be estimated too late but not too early: a late estimate
+    gives an older epoch, so that the ticket merely expires sooner.
     """
     age_s = max(0.0, clock.monotonic_s() - started_at_s)
     nonce = f'{random_source.getrandbits(_NONCE_BITS):0{_NONCE_DIGITS}x}'
     return Ticket(home, int(age_s // epoch_s), nonce)
 
 
-def _ticket(match: re.Match[str]) -> Ticket:
+def _from_match(match: re.Match[str]) -> Ticket:
     return Ticket(
         ids.InstanceId(match['home']),
         int(match['epoch']),
--- a/libraries/once/tests/cover/test_once_ledger.py
+++ b/libraries/once/tests/cover/test_once_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger never grants a key twice, and answers its own callers only."""
+"""The ledger grants no key twice and answers only the caller of a key."""
 
 import asyncio
 import dataclasses
@@ -36,9 +36,9 @@
 
 
 class HomesOfKeys(stateful.RuleBasedStateMachine):
-    """Callers resend at will while homes die, restart and grow older.
+    """Callers resend at any time, while homes die, restart and expire records.
 
-    ``ran`` counts what reached a target; it is the witness.
+    ``ran`` counts how often each request was sent to a target.
     """
 
     keys = stateful.Bundle('keys')
@@ -50,14 +50,14 @@
         self.starts = 0
         self.ran = {}
         self.running = {}
-        self.kept = {}
-        self.dead = []
+        self.fingerprints = {}
+        self.dead_homes = []
         self.restart()
 
     @stateful.rule()
     def restart(self):
         if self.starts:
-            self.dead.append(self.home)
+            self.dead_homes.append(self.home)
         self.home = make_ledger(self.clock, self.starts)
         self.started_at_s = self.clock.monotonic_s()
         self.running = {}
@@ -68,9 +68,9 @@
         part=st.sampled_from('ab'),
         caller=st.sampled_from(['x', 'y']),
         late_s=st.sampled_from([0.0, 15.0]),
-        ahead=st.sampled_from([0, 0, 1, 2]),
+        epochs_ahead=st.sampled_from([0, 0, 1, 2]),
     )
-    def take_ticket(self, part, caller, late_s, ahead):
+    def take_ticket(self, part, caller, late_s, epochs_ahead):
         ticket = tickets.mint(
             ids.InstanceId(INSTANCE.format(self.starts - 1)),
             self.started_at_s + late_s,
@@ -78,22 +78,22 @@
             self.clock,
             self.source,
         )
-        later = tickets.Ticket(
+        later_ticket = tickets.Ticket(
             ticket.home,
-            ticket.epoch + ahead,
+            ticket.epoch + epochs_ahead,
             ticket.nonce,
         )
-        return tickets.RequestKey(later, part), ids.CallerId(caller)
+        return tickets.RequestKey(later_ticket, part), ids.CallerId(caller)
 
     @stateful.rule(
         sent=keys,
         fingerprint=st.sampled_from([1, 1, 1, 2]),
-        other=st.booleans(),
+        is_other_caller=st.booleans(),
     )
-    def send(self, sent, fingerprint, other):
+    def send(self, sent, fingerprint, is_other_caller):
         key, caller = sent
-        caller = ids.CallerId('other') if other else caller
-        for home in (*self.dead, self.home):
+        caller = ids.CallerId('other') if is_other_caller else caller
+        for home in (*self.dead_homes, self.home):
             self._send_to(home, key, caller, fingerprint)
 
     @stateful.rule(sent=keys, size_bytes=st.sampled_from([5, 150, 500]))
@@ -110,7 +110,7 @@
         )
 
     @stateful.rule(sent=keys)
-    def lose(self, sent):
+    def lose_connection(self, sent):
         self._settle(sent, lambda record, _: record.mark_unknown('lost'))
 
     @stateful.rule(sent=keys)
@@ -122,8 +122,8 @@
         self._settle(sent, release)
 
     @stateful.rule(sent=keys)
-    def claim_of_never_granted_is_true(self, sent):
-        for home in (*self.dead, self.home):
+    def never_granted_key_has_not_run(self, sent):
+        for home in (*self.dead_homes, self.home):
             if home.never_granted(*sent):
                 assert not self.ran.get(sent)
 
@@ -142,7 +142,7 @@
         assert all(count <= 1 for count in self.ran.values())
 
     @stateful.invariant()
-    def bounds_hold(self):
+    def capacity_is_not_exceeded(self):
         assert len(self.home) <= OPTIONS.capacity
         assert 0 <= self.home.kept_bytes <= 9000
 
@@ -153,15 +153,15 @@
         except errors.OnceError:
             return
         if isinstance(claim, records.Granted):
-            assert home is self.home or home in self.dead
+            assert home is self.home or home in self.dead_homes
             self.ran[identity] = self.ran.get(identity, 0) + 1
             self.running[identity] = claim.record
-            self.kept[identity] = fingerprint
+            self.fingerprints[identity] = fingerprint
         elif isinstance(claim, records.Answered):
             self._check_answer(claim.answer, identity, fingerprint)
 
     def _check_answer(self, answer, identity, fingerprint):
-        assert self.kept[identity] == fingerprint
+        assert self.fingerprints[identity] == fingerprint
         if isinstance(answer, answers.RecordedAnswer) and answer.headers:
             assert answer.headers == (('Of', repr(identity)),)
 
@@ -189,7 +189,7 @@
         (make_key(epoch=0, part='used'), 30, errors.TicketExpiredError),
     ],
 )
-def test_refusals(key, elapsed_s, expected):
+def test_keys_that_may_not_run_are_refused(key, elapsed_s, expected):
     clock = clocks.ManualClock()
     home = make_ledger(clock)
     home.begin(make_key(part='used'), CALLER, 1)
@@ -199,7 +199,7 @@
     assert caught.value.remedy
 
 
-def test_a_full_ledger_refuses_and_keeps_what_it_has():
+def test_a_full_ledger_refuses_new_keys_and_keeps_its_records():
     clock = clocks.ManualClock(5)
     home = make_ledger(clock)
     claims = [home.begin(make_key(part=part), CALLER, 1) for part in 'abcdef']
@@ -216,7 +216,7 @@
     assert (home.expire(), len(home), home.kept_bytes) == (6, 0, 0)
 
 
-def test_a_ledger_full_by_bytes_keeps_the_status_alone():
+def test_a_ledger_without_free_bytes_keeps_only_the_status():
     tight = dataclasses.replace(
         OPTIONS,
         capacity_bytes=3 * ledger.RECORD_BYTES + 800,
@@ -225,9 +225,9 @@
     for part, fits in (('a', True), ('b', True), ('c', False)):
         claim = home.begin(make_key(part=part), CALLER, 1)
         claim.record.complete(answers.RecordedAnswer(201, (), b'x' * 199))
-        again = home.begin(make_key(part=part), CALLER, 1)
-        assert again.answer.status == 201
-        assert (again.answer.body is not None) is fits
+        resend = home.begin(make_key(part=part), CALLER, 1)
+        assert resend.answer.status == 201
+        assert (resend.answer.body is not None) is fits
 
 
 def test_a_longer_validity_does_not_revive_an_expired_ticket():
@@ -272,6 +272,6 @@
     assert await record.wait(0) == answer
 
 
-def test_options_with_which_nothing_could_run_are_refused():
+def test_options_under_which_no_key_is_valid_are_rejected():
     with pytest.raises(core_errors.InvalidArgumentError):
         ledger.LedgerOptions(10.0, 0, 1, 1000, 10)
--- a/libraries/once/tests/cover/test_once_quarantine.py
+++ b/libraries/once/tests/cover/test_once_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash targets are held back, innocent ones are not."""
+"""Requests that crash targets are quarantined, and no others."""
 
 import pytest
 
@@ -6,28 +6,28 @@
 from sardinepier.core import ids
 from sardinepier.once import errors, marks, quarantine
 
-POISON = 13
-POPULAR = 7
+CRASHING = 13
+HARMLESS = 7
 OPTIONS = quarantine.QuarantineOptions(
-    mark_s=60,
-    hold_s=15,
-    trial_s=10,
+    mark_lifetime_s=60,
+    quarantine_s=15,
+    trial_timeout_s=10,
     capacity=8,
-    reported_marks=3,
+    max_reported_marks=3,
 )
 PEER = ids.InstanceId('d2~0000000000000000')
 
 
-def lose(held, fingerprint, *targets, healthy=True):
+def lose(local, fingerprint, *targets, healthy=True):
     return [
-        held.crashed(fingerprint, ids.TargetId(name), healthy)
+        local.crashed(fingerprint, ids.TargetId(name), healthy)
         for name in targets
     ]
 
 
-def is_held(held, fingerprint):
+def is_quarantined(local, fingerprint):
     try:
-        held.admit(fingerprint)
+        local.admit(fingerprint)
     except errors.QuarantinedError as error:
         assert error.retry_after_s > 0
         return True
@@ -40,160 +40,176 @@
 
 
 @pytest.fixture
-def held(clock):
+def local(clock):
     return quarantine.Quarantine(clock, OPTIONS)
 
 
-def test_the_second_target_is_the_last(held):
-    assert lose(held, POISON, 'a') == [False]
-    assert not is_held(held, POISON)
-    assert lose(held, POISON, 'b') == [True]
-    assert is_held(held, POISON)
-    assert not is_held(held, POPULAR)
-    assert held.quarantined() == (marks.CrashMark(POISON, ('a', 'b'), 15),)
+def test_a_request_is_quarantined_after_its_second_target(local):
+    assert lose(local, CRASHING, 'a') == [False]
+    assert not is_quarantined(local, CRASHING)
+    assert lose(local, CRASHING, 'b') == [True]
+    assert is_quarantined(local, CRASHING)
+    assert not is_quarantined(local, HARMLESS)
+    assert local.quarantined() == (marks.CrashMark(CRASHING, ('a', 'b'), 15),)
 
 
-def test_the_same_target_twice_is_not_enough(held):
-    assert not any(lose(held, POISON, 'a', 'a', 'a'))
+def test_losses_on_one_target_only_do_not_quarantine(local):
+    assert not any(lose(local, CRASHING, 'a', 'a', 'a'))
 
 
-def test_after_a_loss_it_goes_one_at_a_time(held, clock):
-    lose(held, POISON, 'a')
-    assert [is_held(held, POISON) for _ in range(3)] == [False, True, True]
-    held.released(POISON)
-    assert not is_held(held, POISON)
+def test_after_a_loss_a_request_is_admitted_once_at_a_time(local, clock):
+    lose(local, CRASHING, 'a')
+    assert [is_quarantined(local, CRASHING) for _ in range(3)] == [
+        False,
+        True,
+        True,
+    ]
+    local.released(CRASHING)
+    assert not is_quarantined(local, CRASHING)
     clock.advance(10)
-    assert not is_held(held, POISON)
-
-
-def test_it_is_tried_again_later_and_held_for_longer(held, clock):
-    lose(held, POISON, 'a', 'b')
-    for target, hold_s in (('c', 30), ('d', 60)):
-        clock.advance(hold_s / 2)
-        assert [is_held(held, POISON) for _ in range(2)] == [False, True]
-        assert lose(held, POISON, target) == [True]
-        clock.advance(hold_s - 1)
-        assert is_held(held, POISON)
-        clock.advance(1 - hold_s)
-        clock.advance(hold_s / 2)
-    held.answered(POISON)
-    assert not is_held(held, POISON)
+    assert not is_quarantined(local, CRASHING)
+
+
+def test_each_further_crash_doubles_the_quarantine(local, clock):
+    lose(local, CRASHING, 'a', 'b')
+    for target, quarantine_s in (('c', 30), ('d', 60)):
+        clock.advance(quarantine_s / 2)
+        assert [is_quarantined(local, CRASHING) for _ in range(2)] == [
+            False,
+            True,
+        ]
+        assert lose(local, CRASHING, target) == [True]
+        clock.advance(quarantine_s - 1)
+        assert is_quarantined(local, CRASHING)
+        clock.advance(1 - quarantine_s)
+        clock.advance(quarantine_s / 2)
+    local.answered(CRASHING)
+    assert not is_quarantined(local, CRASHING)
 
 
 @pytest.mark.parametrize('known_good', [True, False])
-def test_an_outage_does_not_catch_innocent_requests(held, known_good):
+def test_an_outage_does_not_quarantine_harmless_requests(local, known_good):
     if known_good:
-        held.answered(POPULAR)
+        local.answered(HARMLESS)
     for number, target in enumerate('abcde'):
-        lose(held, 100 + number, target)
+        lose(local, 100 + number, target)
         if known_good or number > 2:
-            assert lose(held, POPULAR, target) == [False]
-            assert not is_held(held, POPULAR)
-            held.released(POPULAR)
-
-
-def test_several_that_crash_targets_are_no_outage(held, clock):
-    """Targets lost to requests that are held back are accounted for."""
-    for fingerprint, lost in ((21, 'ab'), (22, 'cd'), (23, 'ef'), (24, 'ac')):
-        assert lose(held, fingerprint, *lost) == [False, True]
+            assert lose(local, HARMLESS, target) == [False]
+            assert not is_quarantined(local, HARMLESS)
+            local.released(HARMLESS)
+
+
+def test_targets_crashed_by_quarantined_requests_are_no_outage(local, clock):
+    """Guards against crashing requests that hide each other as an outage."""
+    for fingerprint, targets in (
+        (21, 'ab'),
+        (22, 'cd'),
+        (23, 'ef'),
+        (24, 'ac'),
+    ):
+        assert lose(local, fingerprint, *targets) == [False, True]
         clock.advance(1.0)
 
 
-def test_a_target_that_is_sick_anyway_tells_nothing(held):
-    assert not any(lose(held, POISON, 'a', 'b', 'c', healthy=False))
-    assert not is_held(held, POISON)
+def test_a_loss_on_an_unhealthy_target_sets_no_mark(local):
+    assert not any(lose(local, CRASHING, 'a', 'b', 'c', healthy=False))
+    assert not is_quarantined(local, CRASHING)
 
 
-def test_a_good_answer_counts_for_a_while_only(held, clock):
-    held.answered(POISON)
+def test_a_good_answer_protects_a_request_only_for_a_while(local, clock):
+    local.answered(CRASHING)
     clock.advance(61)
-    held.crashed(1, ids.TargetId('z'), True)
+    local.crashed(1, ids.TargetId('z'), True)
     clock.advance(61)
-    assert lose(held, POISON, 'a', 'b') == [False, True]
+    assert lose(local, CRASHING, 'a', 'b') == [False, True]
 
 
-def test_marks_of_daemons_add_up_and_are_not_passed_on(held, clock):
+def test_marks_of_daemons_add_up_and_are_not_forwarded(local, clock):
     peer = quarantine.Quarantine(clock, OPTIONS)
-    lose(peer, POISON, 'a')
+    lose(peer, CRASHING, 'a')
     for _ in range(3):
-        held.receive_report(PEER, peer.report())
-    assert held.report() == marks.QuarantineReport()
-    assert not is_held(held, POISON)
-    assert lose(held, POISON, 'b') == [True]
-    assert held.report().marks[0].targets == ('b',)
-    peer.receive_report(PEER, held.report())
-    assert is_held(peer, POISON)
+        local.receive_report(PEER, peer.report())
+    assert local.report() == marks.QuarantineReport()
+    assert not is_quarantined(local, CRASHING)
+    assert lose(local, CRASHING, 'b') == [True]
+    assert local.report().marks[0].targets == ('b',)
+    peer.receive_report(PEER, local.report())
+    assert is_quarantined(peer, CRASHING)
     clock.advance(200)
-    assert not is_held(peer, POISON)
+    assert not is_quarantined(peer, CRASHING)
     assert peer.report() == marks.QuarantineReport()
 
 
-def test_what_peers_say_is_bounded(held):
+def test_reports_from_peers_are_bounded(local):
     flood = tuple(
         marks.CrashMark(number, (ids.TargetId('a'),) * 99, 1e9)
         for number in range(500)
     )
-    lose(held, POISON, 'a', 'b')
+    lose(local, CRASHING, 'a', 'b')
     for start in range(0, 500, 3):
-        held.receive_report(
+        local.receive_report(
             PEER, marks.QuarantineReport(flood[start : start + 3])
         )
-    held.receive_report(PEER, marks.QuarantineReport(flood))
-    assert is_held(held, POISON)
+    local.receive_report(PEER, marks.QuarantineReport(flood))
+    assert is_quarantined(local, CRASHING)
     for number in range(50):
-        lose(held, number + 600, f't{number}')
-    assert len(held.report().marks) == OPTIONS.reported_marks
+        lose(local, number + 600, f't{number}')
+    assert len(local.report().marks) == OPTIONS.max_reported_marks
+
 
+def test_a_suspected_request_explains_the_loss_of_its_targets(local, clock):
+    """Guards against a third crash.
 
-def test_a_request_under_suspicion_accounts_for_its_targets(held, clock):
-    """Guards against a third target: the crash before hid the next one."""
-    lose(held, POISON, 'a')
-    assert held.has_suspect_request_on('a')
-    assert not held.has_suspect_request_on('b')
-    clock.advance(OPTIONS.mark_s + 1)
-    assert not held.has_suspect_request_on('a')
+    After its first crash the target counted as unhealthy, so that the next
+    loss set no mark.
+    """
+    lose(local, CRASHING, 'a')
+    assert local.has_suspect_request_on('a')
+    assert not local.has_suspect_request_on('b')
+    clock.advance(OPTIONS.mark_lifetime_s + 1)
+    assert not local.has_suspect_request_on('a')
 
 
-def test_a_request_with_a_good_answer_accounts_for_nothing(held):
-    """The target went down by itself, and keeps doing so."""
-    lose(held, POPULAR, 'a')
-    held.answered(POPULAR)
-    assert not held.has_suspect_request_on('a')
+def test_a_request_with_a_good_answer_explains_no_loss(local):
+    """The target failed by itself and may do so again."""
+    lose(local, HARMLESS, 'a')
+    local.answered(HARMLESS)
+    assert not local.has_suspect_request_on('a')
 
 
-def test_what_peers_suspect_accounts_for_a_loss_here(held, clock):
+def test_a_request_suspected_by_a_peer_explains_a_loss(local, clock):
     peer = quarantine.Quarantine(clock, OPTIONS)
-    lose(peer, POISON, 'a')
-    held.receive_report(PEER, peer.report())
-    assert held.has_suspect_request_on('a')
+    lose(peer, CRASHING, 'a')
+    local.receive_report(PEER, peer.report())
+    assert local.has_suspect_request_on('a')
 
 
-def test_what_one_daemon_holds_back_others_do(held, clock):
-    """Guards against a third target: others took the losses for an outage."""
+def test_a_request_quarantined_by_one_daemon_is_by_its_peers(local, clock):
+    """Guards against a third crash: peers took the losses for an outage."""
     peer = quarantine.Quarantine(clock, OPTIONS)
     for number, target in enumerate('wxyz'):
-        lose(held, 100 + number, target)
-    lose(peer, POISON, 'a', 'b')
-    held.receive_report(PEER, peer.report())
-    assert is_held(held, POISON)
-    clock.advance(OPTIONS.hold_s + 0.1)
-    assert not is_held(held, POISON)
+        lose(local, 100 + number, target)
+    lose(peer, CRASHING, 'a', 'b')
+    local.receive_report(PEER, peer.report())
+    assert is_quarantined(local, CRASHING)
+    clock.advance(OPTIONS.quarantine_s + 0.1)
+    assert not is_quarantined(local, CRASHING)
 
 
-def test_daemons_do_not_hold_back_for_each_other_for_ever(held, clock):
+def test_daemons_do_not_prolong_quarantine_for_each_other(local, clock):
     peer = quarantine.Quarantine(clock, OPTIONS)
-    for one, target in ((held, 'a'), (peer, 'b')):
-        lose(one, POISON, target)
+    for daemon, target in ((local, 'a'), (peer, 'b')):
+        lose(daemon, CRASHING, target)
     for _ in range(200):
-        held.receive_report(PEER, peer.report())
-        peer.receive_report(PEER, held.report())
+        local.receive_report(PEER, peer.report())
+        peer.receive_report(PEER, local.report())
         clock.advance(0.1)
-    assert not is_held(held, POISON)
+    assert not is_quarantined(local, CRASHING)
 
 
-def test_targets_that_answer_again_are_no_outage(held):
-    """Guards against a third target: requests that nobody sends again."""
+def test_targets_that_answer_again_are_no_outage(local):
+    """Guards against a third crash: recovered targets counted as lost."""
     for number, target in enumerate('wxyz'):
-        lose(held, 100 + number, target)
-        held.answered(POPULAR, target)
-    assert lose(held, POISON, 'a', 'b') == [False, True]
+        lose(local, 100 + number, target)
+        local.answered(HARMLESS, target)
+    assert lose(local, CRASHING, 'a', 'b') == [False, True]
--- a/libraries/once/tests/cover/test_once_tickets.py
+++ b/libraries/once/tests/cover/test_once_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets and keys: one text for one meaning, and never a later epoch."""
+"""Text form of tickets and keys, and the epoch of a minted ticket."""
 
 import random
 
@@ -20,7 +20,7 @@
     st.from_regex('[0-9a-f]{16}', fullmatch=True),
     st.from_regex(r'[A-Za-z0-9_.:\-]{1,40}', fullmatch=True),
 )
-def test_a_key_reads_back_as_it_was_written(home, epoch, nonce, part):
+def test_formatted_keys_and_tickets_are_parsed_back(home, epoch, nonce, part):
     ticket = tickets.Ticket(ids.InstanceId(home), epoch, nonce)
     key = tickets.RequestKey(ticket, part)
     assert tickets.parse_ticket(tickets.format_ticket(ticket)) == ticket
@@ -45,13 +45,13 @@
         f'd7.3.{NONCE}.part',
     ],
 )
-def test_other_forms_are_refused(text):
+def test_malformed_keys_are_rejected(text):
     with pytest.raises(errors.BadKeyError):
         tickets.parse_key(text)
 
 
 @hypothesis.given(st.floats(0, 1e6), st.floats(0, 1e6), st.floats(0.1, 1e4))
-def test_a_late_estimate_of_the_start_never_mints_a_later_epoch(
+def test_a_late_estimate_of_the_start_time_never_gives_a_later_epoch(
     age_s,
     late_s,
     epoch_s,
