--- a/libraries/routing/src/sardinepier/routing/admission.py
+++ b/libraries/routing/src/sardinepier/routing/admission.py
@@ -16,24 +16,24 @@
 
 
 class SlotQueue:
-    """Bounded queue for slots, by priority, then deadline.
+    """Bounded queue for slots, ordered by priority, then by deadline.
 
-    ``choose`` *reserves* the slot which it returns, for example
-    ``lambda: slots.reserve(chooser)``, and ``release`` gives one back. The
-    queue calls ``release`` itself only for a slot that was granted to a
-    task which is cancelled in the same moment; else the caller does so when
+    ``choose`` *reserves* the slot of the target that it returns, for example
+    ``lambda: slots.reserve(chooser)``, and ``release`` releases one. The queue
+    itself calls ``release`` only for a slot that was granted to a task that
+    was cancelled at the same time. Otherwise the caller releases the slot when
     its attempt has ended, and then calls :meth:`wake`::
 
-        target_id = await queue.acquire(work, choose)
+        target_id = await queue.acquire(request, choose)
         try:
             ...
         finally:
             slots.release(target_id)
             queue.wake()
 
-    While somebody waits, free slots are also looked for every
-    ``recheck_interval_s``, since some come free by time alone: a target's
-    back-off ends, or an old count of a peer fades.
+    While requests wait, the queue also looks for free slots every
+    ``recheck_interval_s``, since some become free without an event: a target's
+    back-off ends, or the report of a peer becomes stale.
     """
 
     def __init__(
@@ -50,14 +50,14 @@
     ) -> None:
         """Let at most ``length`` requests wait; 0 means that none waits.
 
-        ``capacity_forecast`` tells when the targets want requests.
+        ``capacity_forecast`` returns when the targets accept requests.
 
-        Raises :class:`errors.RoutingOptionError` when ``length`` is negative
-        or the interval isn't positive.
+        Raises :class:`errors.RoutingOptionError` if ``length`` is negative or
+        the interval isn't positive.
         """
         checks.positive('recheck_interval_s', recheck_interval_s)
         self._clock = local_clock
-        self._line = wait_queue.WaitQueue(
+        self._queue = wait_queue.WaitQueue(
             local_clock,
             length,
             random_source,
@@ -68,57 +68,57 @@
         self._recheck: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
-        """Return how many requests wait now."""
-        return len(self._line)
+        """Return the number of waiting requests."""
+        return len(self._queue)
 
     def observe_service_time(self, service_s: float) -> None:
-        """Learn how long a target took for one request, in seconds."""
-        self._line.observe_service_time(service_s)
+        """Record how long a target took for one request, in seconds."""
+        self._queue.observe_service_time(service_s)
 
     async def acquire(
         self,
-        work: wait_queue.QueuedRequest,
+        request: wait_queue.QueuedRequest,
         choose: Callable[[], ids.TargetId | None],
     ) -> ids.TargetId:
         """Wait for a slot and return the target at which it was reserved.
 
-        Raises :class:`errors.QueueFullError` when there is no place, its
-        subclass :class:`errors.DisplacedError` when the place went to work
-        of higher priority, and :class:`errors.QueueDeadlineError` as soon as
-        the deadline can't be met. What ``choose`` raises is passed on.
+        Raises :class:`errors.QueueFullError` if the queue is full, its
+        subclass :class:`errors.DisplacedError` if a request of higher priority
+        took the place, and :class:`errors.QueueDeadlineError` as soon as the
+        deadline can't be met. Errors of ``choose`` are passed on.
         """
-        waiter = _TaskWaiter(work, choose)
+        waiter = _TaskWaiter(request, choose)
         try:
-            self._line.submit(waiter)
+            self._queue.submit(waiter)
             self._watch(waiter)
             return await waiter.outcome
         except BaseException:
-            # Cancelled, or its own choice failed; a refused one is out of
-            # the line already, and taking it out again does no harm.
+            # The task was cancelled, or its ``choose`` failed. A refused
+            # waiter is no longer in the queue; removing it again is harmless.
             self._withdraw(waiter)
             raise
         finally:
-            waiter.stop_alarm()
+            waiter.cancel_timer()
 
     def wake(self) -> None:
-        """Hand out free slots. Call it when a slot or a target came free."""
-        self._line.dispatch()
+        """Hand out free slots; to be called when a slot or target becomes free."""
+        self._queue.dispatch()
 
     def _withdraw(self, waiter: '_TaskWaiter') -> None:
-        self._line.remove(waiter)
+        self._queue.remove(waiter)
         if waiter.granted is not None:
             self._release(waiter.granted)
         self.wake()
 
     def _watch(self, waiter: '_TaskWaiter') -> None:
-        """Serve the queue when the waiter gets too late, and in between."""
+        """Schedule calls of :meth:`wake` until the waiter is too late."""
         if waiter.outcome.done():
             return
         self._keep_rechecking()
-        latest_start_s = self._line.latest_start_s(waiter.request)
+        latest_start_s = self._queue.latest_start_s(waiter.request)
         remaining_s = max(0.0, latest_start_s - self._clock.monotonic_s())
         loop = asyncio.get_running_loop()
-        waiter.alarm = loop.call_later(remaining_s, self.wake)
+        waiter.timer = loop.call_later(remaining_s, self.wake)
 
     def _keep_rechecking(self) -> None:
         if self._recheck is None:
@@ -130,31 +130,31 @@
     def _recheck_now(self) -> None:
         self._recheck = None
         self.wake()
-        if len(self._line):
+        if len(self._queue):
             self._keep_rechecking()
 
 
 class _TaskWaiter:
-    """A task that waits for its slot."""
+    """A task that waits for a slot."""
 
     def __init__(
         self,
-        work: wait_queue.QueuedRequest,
+        request: wait_queue.QueuedRequest,
         choose: Callable[[], ids.TargetId | None],
     ) -> None:
         """Wait in the running event loop."""
-        self.request = work
+        self.request = request
         self._choose = choose
         self.granted: ids.TargetId | None = None
-        self.alarm: asyncio.TimerHandle | None = None
+        self.timer: asyncio.TimerHandle | None = None
         loop = asyncio.get_running_loop()
         self.outcome: asyncio.Future[ids.TargetId] = loop.create_future()
 
     def choose(self) -> ids.TargetId | None:
-        """Reserve a slot; a failure goes to the task that waits.
+        """Reserve a slot; an error is raised in the waiting task.
 
-        The queue is served from other tasks, whose requests must not end by
-        a failure of this one's choice.
+        Other tasks dispatch the queue, and their requests must not fail
+        because of an error in this task's ``choose``.
         """
         try:
             return self._choose()
@@ -163,22 +163,23 @@
                 self.outcome.set_exception(error)
             return None
 
-    def stop_alarm(self) -> None:
-        """Drop the timer of the waiter's deadline."""
-        if self.alarm is not None:
-            self.alarm.cancel()
+    def cancel_timer(self) -> None:
+        """Cancel the timer for the waiter's deadline."""
+        if self.timer is not None:
+            self.timer.cancel()
 
     def grant(self, target_id: ids.TargetId) -> None:
         """Resume the task with its target.
 
-        The future is cancelled already when the task was cancelled before it
-        could leave the line; :attr:`granted` then has the slot given back.
+        If the task was cancelled but is still in the queue, its future is
+        cancelled already; the slot is then released because of
+        :attr:`granted`.
         """
         self.granted = target_id
         with contextlib.suppress(asyncio.InvalidStateError):
             self.outcome.set_result(target_id)
 
     def refuse(self, error: errors.RefusalError) -> None:
-        """Resume the task with the refusal."""
+        """Resume the task with an error."""
         with contextlib.suppress(asyncio.InvalidStateError):
             self.outcome.set_exception(error)
--- a/libraries/routing/src/sardinepier/routing/caller_limits.py
+++ b/libraries/routing/src/sardinepier/routing/caller_limits.py
@@ -1,4 +1,4 @@
-"""Keeps one caller from taking the share of the others."""
+"""Rate limits of the callers, so that one can't use up the others' share."""
 
 import random
 from typing import Final
@@ -9,24 +9,25 @@
 from sardinepier.routing import errors
 from sardinepier.routing.internal import checks, spread
 
-_SWEPT_PER_CALL: Final = 2
+_MAX_DROPPED_PER_CALL: Final = 2
 _SEED_BITS: Final = 64
 _ROUNDING: Final = 1e-6
-"""Part of a token that is given away so that rounding refuses nobody."""
+"""Part of a token that may be missing, so that rounding causes no refusal."""
 
 
 class CallerLimits:
     """A token bucket for each caller, with bounded memory.
 
-    Each caller may send ``burst`` requests at once and ``rate_per_s`` in the
-    long run. A bucket is one number, the time at which it will be full
-    again. A full bucket is worth nothing and is dropped: a caller without a
-    bucket has a full one. Only such buckets are dropped, since dropping any
-    other would hand its caller a second burst.
+    Each caller may send ``burst`` requests at once and ``rate_per_s`` on
+    average. A bucket is stored as one number, the time at which it will be
+    full again. Full buckets are dropped, because a caller without a bucket
+    counts as having a full one. No other bucket is dropped, since that would
+    grant its caller a second burst.
 
-    Callers are remembered by a seeded 64-bit hash instead of their name,
-    which bounds the memory whatever the length of the names. The chance that
-    any two of 150,000 share a bucket is below one in a thousand million.
+    Callers are stored by a seeded 64-bit hash instead of their name, which
+    bounds the memory whatever the length of the names. The probability that
+    any two of 150,000 callers share a bucket is below one in a thousand
+    million.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         capacity: int,
         random_source: random.Random,
     ) -> None:
-        """Remember at most ``capacity`` callers.
+        """Store buckets of at most ``capacity`` callers.
 
         Raises :class:`errors.RoutingOptionError` unless all are positive.
         """
@@ -53,46 +54,46 @@
         self._full_at_s: dict[int, float] = {}
 
     def __len__(self) -> int:
-        """Return how many callers are remembered."""
+        """Return the number of callers with a bucket."""
         return len(self._full_at_s)
 
     def admit(self, caller: ids.CallerId) -> None:
-        """Take a token of the caller's bucket.
+        """Take a token from the caller's bucket.
 
-        Raises :class:`errors.CallerLimitError` when there is none left, and
-        :class:`errors.CallerTableFullError` when the caller is new and no
-        remembered caller's bucket is full.
+        Raises :class:`errors.CallerLimitError` if there is none left, and
+        :class:`errors.CallerTableFullError` if the caller is new, the table is
+        full and no bucket in it can be dropped.
         """
         now_s = self._clock.monotonic_s()
-        self._sweep(now_s)
+        self._drop_full_buckets(now_s)
         key = xxhash.xxh3_64_intdigest(caller.encode(), self._seed)
         full_at_s = self._full_at_s.get(key)
         if full_at_s is None:
-            self._check_room(now_s)
+            self._check_capacity(now_s)
         filled_s = max(now_s, full_at_s or now_s) + self._token_s
         wait_s = filled_s - self._burst_s - now_s
         if wait_s > self._token_s * _ROUNDING:
             raise self._limited(wait_s)
-        # Put in anew, so that the dictionary stays ordered by last use and
-        # the sweep meets idle callers first.
+        # Insert it again, so that the dictionary stays ordered by last use and
+        # the buckets of idle callers are dropped first.
         self._full_at_s.pop(key, None)
         self._full_at_s[key] = filled_s
 
-    def _sweep(self, now_s: float) -> None:
-        for _ in range(_SWEPT_PER_CALL):
+    def _drop_full_buckets(self, now_s: float) -> None:
+        for _ in range(_MAX_DROPPED_PER_CALL):
             oldest = next(iter(self._full_at_s), None)
             if oldest is None or self._full_at_s[oldest] > now_s:
                 return
             self._full_at_s.pop(oldest)
 
-    def _check_room(self, now_s: float) -> None:
+    def _check_capacity(self, now_s: float) -> None:
         if len(self._full_at_s) < self._capacity:
             return
         oldest = next(iter(self._full_at_s))
         wait_s = self._full_at_s[oldest] - now_s
         raise errors.CallerTableFullError(
-            f'All {self._capacity} remembered callers are being limited',
-            'Send it again after retry_after_s, or ask another address',
+            f'The table of {self._capacity} limited callers is full',
+            'Send it again after retry_after_s, or to another address',
             spread.retry_after_s(wait_s, self._random),
         )
 
--- a/libraries/routing/src/sardinepier/routing/choice.py
+++ b/libraries/routing/src/sardinepier/routing/choice.py
@@ -1,8 +1,8 @@
-"""Which of the targets with a free slot gets the next request.
+"""Choosers, which select the target of the next request.
 
-Every chooser gets the same candidates and keeps the same contract: it returns
-the name of one candidate which is :meth:`Candidate.is_free`, or ``None`` when
-there is no such candidate. It never returns a candidate of weight 0.
+All choosers have the same contract: they return the name of a candidate for
+which :meth:`Candidate.is_free` holds, or ``None`` if there is none. They never
+return a candidate of weight 0.
 """
 
 import dataclasses
@@ -13,23 +13,24 @@
 from sardinepier.core import ids
 from sardinepier.routing.internal import checks
 
-_DRAWS: Final = 4
-"""Random draws before all candidates are searched for a usable one."""
+_MAX_DRAWS: Final = 4
+"""Random draws before all candidates are searched for a free one."""
 
-_HALF_A_SLOT: Final = 0.5
-"""Peers' counts fade and are not whole; a slot counts as free from half on."""
+_MIN_FREE_SLOTS: Final = 0.5
+"""Peers' counts are fractions, because they are weighted by age. A slot counts
+as free if more than half of it is."""
 
 
 @dataclasses.dataclass(slots=True)
 class Candidate:
-    """A target as the chooser sees it at this moment.
-
-    ``weight`` is 0 (no work) to 1 (its full share) and comes from health.
-    ``in_flight`` counts this daemon's own requests at the target,
-    ``peers_in_flight`` those which the group's other daemons reported; the
-    latter fade with age and are not whole numbers. ``home_slots`` of the
-    slots are this daemon's own: it may use them whatever the counts say.
-    Beyond them it leaves ``spare_slots`` free for the daemons that own them.
+    """The current state of a target.
+
+    ``weight`` is 0 (no requests) to 1 (its full share) and depends on health.
+    ``in_flight`` counts this daemon's own requests at the target and
+    ``peers_in_flight`` those that the group's other daemons reported, which
+    are weighted by the age of the report and thus fractions. This daemon may
+    always use its ``home_slots``, whatever the counts are. Of the other slots
+    it leaves ``spare_slots`` free for the daemons that own them.
     """
 
     target_id: ids.TargetId
@@ -42,29 +43,29 @@
     spare_slots: int = 0
 
     def is_free(self) -> bool:
-        """Tell whether the target may get one more request now.
+        """Return whether the target may get one more request now.
 
-        A target of reduced weight may use only that part of its slots, but
-        always at least one: otherwise it could never prove itself.
+        A target of reduced weight may use only that part of its slots, but at
+        least one: without requests it could never recover its weight.
         """
         return self.has_home_slot() or self.has_shared_slot()
 
     def has_home_slot(self) -> bool:
-        """Tell whether one of the daemon's home slots is free."""
+        """Return whether one of the daemon's home slots is free."""
         if self.weight <= 0:
             return False
         return self.in_flight < min(self.home_slots, self._usable())
 
     def has_shared_slot(self) -> bool:
-        """Tell whether all counts together leave a slot to borrow."""
+        """Return whether the sum of all counts leaves a slot to borrow."""
         if self.weight <= 0:
             return False
         usable = self._usable()
-        left = usable - self.in_flight - self.peers_in_flight
-        return left > _HALF_A_SLOT + min(self.spare_slots, usable - 1)
+        free = usable - self.in_flight - self.peers_in_flight
+        return free > _MIN_FREE_SLOTS + min(self.spare_slots, usable - 1)
 
     def load(self) -> float:
-        """Return the part of the slots in use once it gets one more."""
+        """Return the used part of the slots, including one more request."""
         return (self.in_flight + self.peers_in_flight + 1) / self.slots
 
     def _usable(self) -> float:
@@ -72,7 +73,7 @@
 
 
 class TargetChooser(Protocol):
-    """Decides which candidate gets the next request."""
+    """Selects the candidate that gets the next request."""
 
     def choose(self, candidates: Sequence[Candidate]) -> ids.TargetId | None:
         """Return the name of a free candidate, or ``None`` if none is free."""
@@ -80,7 +81,7 @@
 
 
 class RandomChoice:
-    """Any free target, each as often as its weight says."""
+    """Chooses a random free target, with probabilities by weight."""
 
     def __init__(self, random_source: random.Random) -> None:
         """Draw from ``random_source``."""
@@ -93,31 +94,38 @@
 
 
 class RoundRobin:
-    """The free target whose last turn is longest ago."""
+    """Chooses the free target that was chosen least recently."""
 
     def __init__(self) -> None:
-        """Start with nobody's turn taken."""
-        self._turn = 0
-        self._last_turns: dict[ids.TargetId, int] = {}
+        """Start without previous choices."""
+        self._choices = 0
+        self._last_chosen: dict[ids.TargetId, int] = {}
 
     def choose(self, candidates: Sequence[Candidate]) -> ids.TargetId | None:
         """Return the name of a free candidate, or ``None`` if none is free."""
-        free = [one.target_id for one in candidates if one.is_free()]
+        free = [
+            candidate.target_id
+            for candidate in candidates
+            if candidate.is_free()
+        ]
         if not free:
             return None
-        chosen = min(free, key=lambda one: self._last_turns.get(one, 0))
-        self._turn += 1
-        self._last_turns[chosen] = self._turn
+        chosen = min(
+            free,
+            key=lambda target_id: self._last_chosen.get(target_id, 0),
+        )
+        self._choices += 1
+        self._last_chosen[chosen] = self._choices
         return chosen
 
 
 class LeastLoadedOfTwo:
-    """The less loaded of two targets drawn at random.
+    """Chooses the less loaded of two targets drawn at random.
 
-    The load counts the requests in flight of this daemon and of its group,
-    relative to the target's slots. Taking the least loaded of *all* targets
-    fails with several daemons: they all see the same old counts and send all
-    new work to the same target.
+    The load is the number of requests in flight of this daemon and its group,
+    relative to the target's slots. Choosing the least loaded of *all* targets
+    fails with several daemons: they have the same outdated counts and would
+    send all new requests to the same target.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -136,15 +144,15 @@
 
 
 class LocalFirst:
-    """Targets of the own zone first, others only past a threshold.
-
-    This is the rule of Xie and Lu, "Priority Algorithm for Near-data
-    Scheduling" (section II.A), carried over: a target in the daemon's zone
-    comes first; another zone's target gets work only when the local queue
-    exceeds ``alpha / gamma``, the ratio of the local to the remote rate.
-    ``local_queue`` returns the number of requests that wait for each local
-    slot. With ``threshold`` 0 and an empty queue, other zones are used as
-    soon as no local slot is free.
+    """Prefers targets of the own zone, up to a threshold.
+
+    This adapts the rule of Xie and Lu, "Priority Algorithm for Near-data
+    Scheduling" (section II.A): a target in the daemon's zone comes first, and
+    a target in another zone gets requests only if the local queue exceeds
+    ``alpha / gamma``, the ratio of the local to the remote rate.
+    ``local_queue`` returns the number of waiting requests per local slot. With
+    ``threshold`` 0 and an empty queue, other zones are used as soon as no
+    local slot is free.
     """
 
     def __init__(
@@ -154,7 +162,7 @@
         threshold: float,
         local_queue: Callable[[], float],
     ) -> None:
-        """Choose with ``inner`` among local, then among other targets.
+        """Choose with ``inner`` among local targets, then among remote ones.
 
         Raises :class:`sardinepier.routing.errors.RoutingOptionError` when
         ``threshold`` is negative.
@@ -167,14 +175,22 @@
 
     def choose(self, candidates: Sequence[Candidate]) -> ids.TargetId | None:
         """Return the name of a free candidate, or ``None`` if none is free."""
-        local = [one for one in candidates if one.zone == self._own_zone]
+        local = [
+            candidate
+            for candidate in candidates
+            if candidate.zone == self._own_zone
+        ]
         chosen = self._inner.choose(local)
         if chosen is not None:
             return chosen
         if self._local_queue() < self._threshold:
             return None
         return self._inner.choose(
-            [one for one in candidates if one.zone != self._own_zone],
+            [
+                candidate
+                for candidate in candidates
+                if candidate.zone != self._own_zone
+            ],
         )
 
 
@@ -184,16 +200,16 @@
 ) -> Candidate | None:
     """Return a free candidate drawn by weight, ``None`` if none is free.
 
-    A few draws nearly always suffice, at a cost that doesn't grow with the
-    number of candidates. Only then all of them are looked at.
+    A few draws nearly always suffice, and their cost does not depend on the
+    number of candidates. If they fail, all candidates are searched.
     """
-    for _ in range(_DRAWS if candidates else 0):
-        place = int(random_source.random() * len(candidates))
-        drawn = candidates[place]
+    for _ in range(_MAX_DRAWS if candidates else 0):
+        position = int(random_source.random() * len(candidates))
+        drawn = candidates[position]
         if drawn.is_free() and random_source.random() < drawn.weight:
             return drawn
-    free = [one for one in candidates if one.is_free()]
+    free = [candidate for candidate in candidates if candidate.is_free()]
     if not free:
         return None
-    weights = [one.weight for one in free]
+    weights = [candidate.weight for candidate in free]
     return random_source.choices(free, weights)[0]
--- a/libraries/routing/src/sardinepier/routing/errors.py
+++ b/libraries/routing/src/sardinepier/routing/errors.py
@@ -1,18 +1,18 @@
-"""What routing refuses, and when the caller may come back.
+"""Errors of the routing library.
 
-The tree under :class:`RoutingError`::
+The hierarchy under :class:`RoutingError`::
 
     RoutingError
-        RefusalError            retry_after_s: a new try makes sense then
+        RefusalError            retry_after_s: when to try again
             QueueFullError      no place in the queue of the service
-                DisplacedError  the place went to work of higher priority
+                DisplacedError  the place went to a request of higher priority
             QueueDeadlineError  the deadline can't be met any more
             CallerLimitError    this caller sends more than its share
                 CallerTableFullError  no memory for one more caller
-    RoutingOptionError          an argument outside its stated range
-    NotReservedError            a slot was given back that nobody held
+    RoutingOptionError          an argument is outside its documented range
+    NotReservedError            a slot was released that was not reserved
 
-A refusal is raised before anything was sent to a target, so the request was
+A refusal is raised before anything is sent to a target, so the request has
 not run.
 """
 
@@ -20,11 +20,11 @@
 
 
 class RoutingError(errors.SardinepierError):
-    """Root of all failures of this library."""
+    """Base class of all errors of this library."""
 
 
 class RoutingOptionError(RoutingError, errors.InvalidArgumentError):
-    """An argument lies outside the range which its description states."""
+    """An argument is outside its documented range."""
 
 
 class NotReservedError(RoutingError):
@@ -32,29 +32,28 @@
 
 
 class RefusalError(RoutingError):
-    """The request was not taken, and nothing of it was sent to a target.
+    """The request was refused, and nothing of it was sent to a target.
 
-    ``retry_after_s`` says how many seconds from now a new try makes sense. It
-    is spread at random, so that callers refused together don't return
-    together.
+    ``retry_after_s`` is the number of seconds after which to try again. It has
+    a random component, so that callers refused together don't return together.
     """
 
     def __init__(self, what: str, remedy: str, retry_after_s: float) -> None:
-        """Keep the sentences and the seconds until a new try makes sense."""
+        """Store the texts and the number of seconds after which to try again."""
         super().__init__(what, remedy)
         self.retry_after_s = retry_after_s
 
 
 class QueueFullError(RefusalError):
-    """All places of the queue hold work of the same or a higher priority."""
+    """The queue is full of requests of the same or a higher priority."""
 
 
 class DisplacedError(QueueFullError):
-    """Work of higher priority came and took this request's place."""
+    """A request of higher priority took the place of this one."""
 
 
 class QueueDeadlineError(RefusalError):
-    """The request can't be finished before its deadline any more."""
+    """The request can no longer finish before its deadline."""
 
 
 class CallerLimitError(RefusalError):
@@ -62,4 +61,4 @@
 
 
 class CallerTableFullError(CallerLimitError):
-    """Every remembered caller is still being limited, so none makes room."""
+    """The table is full of callers that are still limited; none can go."""
--- a/libraries/routing/src/sardinepier/routing/fleet_bucket.py
+++ b/libraries/routing/src/sardinepier/routing/fleet_bucket.py
@@ -1,10 +1,11 @@
-"""A token bucket over a whole fleet, as one daemon sees it.
-
-No daemon sees all requests of a customer. Each keeps a bucket of the whole
-limit and takes its own requests out at once, those of others as they tell of
-them. Until another one tells again it is taken to go on as before. What turns
-out to have been taken beyond the limit is a debt, which later requests of the
-customer pay: the long run keeps to the rate whatever is late.
+"""One daemon's view of a token bucket that limits a customer fleet-wide.
+
+No daemon sees all requests of a customer. Each keeps a bucket for the whole
+limit, from which it takes its own requests at once and those of other daemons
+when they report them. Until a daemon reports again, it is assumed to admit
+requests at its previous rate. If the fleet admits more than the limit, the
+level becomes negative and later requests wait for it to refill, so that the
+average rate is kept however late the reports are.
 """
 
 import dataclasses
@@ -15,20 +16,21 @@
 from sardinepier.core import ids
 
 _RATE_TIME_S: Final = 0.5
-"""Over how long the rate of another daemon is averaged."""
+"""Time constant of the moving average of another daemon's rate."""
 
-_LEAST_RATE_PER_S: Final = 3.0
-"""A rate below which the next request can't be told from the last ones."""
+_MIN_RATE_PER_S: Final = 3.0
+"""Below this rate, no requests are assumed between the reports of a daemon:
+they are too rare to predict the next one."""
 
 _RECENT_S: Final = 0.6
-"""Three rounds of news: whoever is silent for longer may be cut off."""
+"""Three report intervals. A daemon that is silent for longer may be cut off."""
 
 _ROUNDING: Final = 1e-6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limit:
-    """What a customer may send: ``burst`` at once, ``rate_per_s`` on average."""
+    """A customer may send ``burst`` requests at once, ``rate_per_s`` on average."""
 
     rate_per_s: float
     burst: float
@@ -36,10 +38,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What one daemon tells of a customer.
+    """What one daemon reports about a customer.
 
-    ``spent`` are the requests that it let through since its start, less those
-    that did not run. ``level`` is what it takes for the level of the bucket.
+    ``spent`` is the number of requests that it admitted since its start, less
+    those that did not run. ``level`` is its estimate of the bucket level.
     """
 
     spent: int
@@ -47,11 +49,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Other:
-    """What is known of another daemon's requests of the customer."""
+class _PeerUsage:
+    """The usage of the customer that another daemon reported.
+
+    ``assumed`` is the number of requests that it is assumed to have admitted
+    since its last report, and which the level already includes.
+    """
 
     spent: int
-    told_s: float
+    received_s: float
     rate_per_s: float = 0.0
     assumed: float = 0.0
 
@@ -59,9 +65,9 @@
 class FleetBucket:
     """The bucket of one customer.
 
-    ``heard_s`` is when each other daemon told anything at all; it is shared by
-    all buckets. One that told since, without naming this customer, has let
-    nothing more through.
+    ``last_seen_s`` is the time of the latest report of each other daemon, for
+    any customer; all buckets share it. A daemon whose latest report did not
+    name this customer has admitted no more of its requests.
     """
 
     def __init__(
@@ -69,27 +75,27 @@
         limit: Limit,
         level: float,
         now_s: float,
-        heard_s: Mapping[ids.InstanceId, float],
+        last_seen_s: Mapping[ids.InstanceId, float],
     ) -> None:
-        """Start at ``level``, with nobody else known."""
+        """Start at ``level``, without usage of other daemons."""
         self.spent = 0
         self.limit = limit
         self._level = min(level, limit.burst)
         self._updated_s = now_s
-        self._heard_s = heard_s
-        self._others: dict[ids.InstanceId, _Other] = {}
+        self._last_seen_s = last_seen_s
+        self._peers: dict[ids.InstanceId, _PeerUsage] = {}
 
     def set_limit(self, limit: Limit, now_s: float) -> None:
-        """Put another limit in force."""
+        """Replace the limit."""
         self._advance(now_s)
         self.limit = limit
         self._level = min(self._level, limit.burst)
 
     def take(self, now_s: float) -> float:
-        """Let a request through, and return 0.
+        """Take a token for a request and return 0.
 
-        Where the bucket is empty nothing is taken; returned is in how many
-        seconds there will be a token.
+        If the bucket is empty, take nothing and return the number of seconds
+        until there will be a token.
         """
         self._advance(now_s)
         if self._level >= 1 - _ROUNDING:
@@ -101,13 +107,13 @@
         return (1 - self._level) / self.limit.rate_per_s
 
     def refund(self, now_s: float) -> None:
-        """Return the token of a request that did not run."""
+        """Put back the token of a request that did not run."""
         self._advance(now_s)
         self.spent -= 1
         self._change(1)
 
     def usage(self, now_s: float) -> Usage:
-        """Return what to tell others."""
+        """Return the usage to report to other daemons."""
         self._advance(now_s)
         return Usage(self.spent, math.floor(self._level))
 
@@ -119,67 +125,69 @@
         *,
         is_new: bool = False,
     ) -> None:
-        """Take in what another daemon tells.
+        """Apply the usage that another daemon reported.
 
-        ``is_new`` says that it started less than a window ago: all that it let
-        through counts, and it knows no more of others than this one.
+        ``is_new`` means that it started less than a window ago: then all
+        requests that it admitted count, and its level does not, because it
+        knows no more about other daemons than this one.
         """
         self._advance(now_s)
-        other = self._others.get(source)
-        if other is None:
-            self._others[source] = _Other(usage.spent, now_s)
+        peer = self._peers.get(source)
+        if peer is None:
+            self._peers[source] = _PeerUsage(usage.spent, now_s)
             if is_new:
                 self._change(-usage.spent)
             else:
-                # What it let through before is in the level that it tells.
+                # The reported level includes what it admitted earlier.
                 self._level = min(self._level, usage.level)
             return
-        spent = usage.spent - other.spent
-        passed_s = max(_ROUNDING, now_s - other.told_s)
-        weight = 1 - math.exp(-passed_s / _RATE_TIME_S)
-        rate_per_s = max(0, spent) / passed_s
-        other.rate_per_s += weight * (rate_per_s - other.rate_per_s)
-        self._change(other.assumed - spent)
-        other.assumed = 0.0
-        other.spent = usage.spent
-        other.told_s = now_s
+        spent = usage.spent - peer.spent
+        elapsed_s = max(_ROUNDING, now_s - peer.received_s)
+        weight = 1 - math.exp(-elapsed_s / _RATE_TIME_S)
+        rate_per_s = max(0, spent) / elapsed_s
+        peer.rate_per_s += weight * (rate_per_s - peer.rate_per_s)
+        self._change(peer.assumed - spent)
+        peer.assumed = 0.0
+        peer.spent = usage.spent
+        peer.received_s = now_s
 
     def forget(self, source: ids.InstanceId) -> None:
-        """Take a daemon for gone."""
-        self._others.pop(source, None)
+        """Drop the usage of a daemon that is gone."""
+        self._peers.pop(source, None)
 
     def _advance(self, now_s: float) -> None:
-        passed_s = now_s - self._updated_s
-        if passed_s <= 0:
+        elapsed_s = now_s - self._updated_s
+        if elapsed_s <= 0:
             return
         self._updated_s = now_s
         assumed = sum(
-            self._assume(source, other, passed_s)
-            for source, other in self._others.items()
+            self._assume(source, peer, elapsed_s)
+            for source, peer in self._peers.items()
         )
-        self._change(self.limit.rate_per_s * passed_s - assumed)
+        self._change(self.limit.rate_per_s * elapsed_s - assumed)
 
     def _assume(
         self,
         source: ids.InstanceId,
-        other: _Other,
-        passed_s: float,
+        peer: _PeerUsage,
+        elapsed_s: float,
     ) -> float:
-        """Return what another daemon is taken to have let through meanwhile."""
+        """Return how many requests a daemon is assumed to have admitted."""
         now_s = self._updated_s
-        heard_s = self._heard_s.get(source, 0.0)
-        if heard_s > other.told_s and other.assumed:
-            self._change(other.assumed)
-            other.assumed = 0.0
-        rate_per_s = other.rate_per_s
-        if now_s - max(heard_s, other.told_s) > _RECENT_S:
-            # Whoever is cut off keeps to an equal part, as this one does.
-            fair_per_s = self.limit.rate_per_s / (len(self._others) + 1)
+        last_seen_s = self._last_seen_s.get(source, 0.0)
+        if last_seen_s > peer.received_s and peer.assumed:
+            self._change(peer.assumed)
+            peer.assumed = 0.0
+        rate_per_s = peer.rate_per_s
+        if now_s - max(last_seen_s, peer.received_s) > _RECENT_S:
+            # A daemon that is cut off admits up to an equal share of the limit,
+            # as this one does.
+            fair_per_s = self.limit.rate_per_s / (len(self._peers) + 1)
             rate_per_s = max(rate_per_s, fair_per_s)
-        elif heard_s > other.told_s or rate_per_s < _LEAST_RATE_PER_S:
+        elif last_seen_s > peer.received_s or rate_per_s < _MIN_RATE_PER_S:
             return 0.0
-        other.assumed += rate_per_s * passed_s
-        return rate_per_s * passed_s
+        peer.assumed += rate_per_s * elapsed_s
+        return rate_per_s * elapsed_s
 
     def _change(self, tokens: float) -> None:
         self._level = min(self.limit.burst, self._level + tokens)
--- a/libraries/routing/src/sardinepier/routing/in_flight.py
+++ b/libraries/routing/src/sardinepier/routing/in_flight.py
@@ -1,12 +1,12 @@
 """Slots of one service's targets: own requests, peers' counts, back-off.
 
-Several daemons send work to the same few slots, and none may believe that it
-owns them all. Each slot is the home slot of one daemon in the group, which
-uses it without asking. Slots of others are borrowed when the counts which
-the group last reported leave one free. A report is old when it arrives, so a
-target may still get more than it has slots for and sheds. A shed reply keeps
-this daemon away from the target for a moment, and a small budget of shed
-replies bounds the borrowing.
+Several daemons send requests to the same few slots, so none may use them all
+on its own. Each slot is the home slot of one daemon in the group, which uses
+it without coordination. A daemon borrows the slots of others if the counts
+last reported by the group leave one free. Reports are outdated when they
+arrive, so a target may still get more requests than it has slots and shed
+some. After a shed reply the daemon backs off from the target for a short time,
+and a small budget of shed replies limits borrowing.
 """
 
 import dataclasses
@@ -26,15 +26,15 @@
 
 _SHEDS_FLOOR: Final = 2
 _SPARE_SLOTS: Final = 1
-"""Slots of a target that nobody borrows, so that their owners find one."""
+"""Free slots of a target that are not borrowed, so that their owners find one."""
 
 _UNNAMED: Final = ids.InstanceId('')
-_NOBODY: Final[frozenset[ids.TargetId]] = frozenset()
+_NO_TARGETS: Final[frozenset[ids.TargetId]] = frozenset()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetCapacity:
-    """A target and how many requests it runs at a time."""
+    """A target and the number of requests that it runs at a time."""
 
     target_id: ids.TargetId
     zone: ids.ZoneName
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotOptions:
-    """Times that decide how long counts are believed.
-
-    A peer's report counts in full for ``fresh_s``, then fades until
-    ``stale_s``; the peer then counts as using its home slots, so that a
-    daemon which hears nobody keeps to its own. After a shed reply a target
-    gets nothing for about ``back_off_s``, doubled with each further one up
-    to ``back_off_limit_s``. Slots are borrowed while shed replies stay below
-    ``borrowing_sheds_percent`` of the requests of the last
+    """Options for the weight of reports, back-off and borrowing.
+
+    A peer's report has full weight for ``fresh_s``; its weight then falls to 0
+    at ``stale_s``. Without a report the peer counts as using its home slots,
+    so that a daemon that receives no reports uses only its own. After a shed
+    reply a target gets no requests for about ``back_off_s``, doubled with each
+    further one up to ``back_off_limit_s``. Slots are borrowed while shed
+    replies stay below ``borrowing_sheds_percent`` of the requests of the last
     ``borrowing_window_s``.
     """
 
@@ -62,7 +62,7 @@
     borrowing_window_s: float = 5.0
 
     def check(self) -> None:
-        """Raise ``RoutingOptionError`` when the times contradict each other."""
+        """Raise ``RoutingOptionError`` if an option is out of range."""
         checks.positive('fresh_s', self.fresh_s)
         checks.positive('stale_s - fresh_s', self.stale_s - self.fresh_s)
         checks.positive('back_off_s', self.back_off_s)
@@ -77,8 +77,8 @@
 class TargetSlots:
     """The slots of one service as one daemon knows them.
 
-    Reserving costs the same with ten targets or ten thousand: the free ones
-    are kept in a list which changes with each event, not with each request.
+    The cost of a reservation does not depend on the number of targets: the
+    free ones are kept in a list that is updated with each event.
     """
 
     def __init__(
@@ -88,36 +88,38 @@
         options: SlotOptions | None = None,
     ) -> None:
         """Start without targets and without peers."""
-        used = options or SlotOptions()
-        used.check()
+        slot_options = options or SlotOptions()
+        slot_options.check()
         self._clock = local_clock
         self._records = records.Records()
-        self._peers = peer_counts.PeerCounts(used.fresh_s, used.stale_s)
+        self._peers = peer_counts.PeerCounts(
+            slot_options.fresh_s, slot_options.stale_s
+        )
         self._back_off = back_off.BackOff(
             random_source,
-            used.back_off_s,
-            used.back_off_limit_s,
+            slot_options.back_off_s,
+            slot_options.back_off_limit_s,
         )
         self._borrowing = budget.RetryBudget(
             local_clock,
-            used.borrowing_sheds_percent,
+            slot_options.borrowing_sheds_percent,
             floor=_SHEDS_FLOOR,
-            window_s=used.borrowing_window_s,
+            window_s=slot_options.borrowing_window_s,
         )
         self._own: ids.InstanceId | None = None
-        self._is_dealt = False
+        self._are_home_slots_current = False
 
     def set_targets(self, targets: Iterable[TargetCapacity]) -> None:
-        """Take the targets of the service as they are configured now.
+        """Replace the targets of the service.
 
-        New ones start with weight 0 until :meth:`set_weight`; those which
-        are gone get no new work, and their requests in flight still count
-        down by :meth:`release`.
+        New targets have weight 0 until :meth:`set_weight`. Removed targets get
+        no new requests; their requests in flight are still released by
+        :meth:`release`.
         """
-        wanted: list[choice.Candidate] = []
+        candidates: list[choice.Candidate] = []
         for target in targets:
             checks.positive('slots', target.slots)
-            wanted.append(
+            candidates.append(
                 choice.Candidate(
                     target.target_id,
                     target.zone,
@@ -126,48 +128,50 @@
                     peers_in_flight=self._peers.count(target.target_id),
                 ),
             )
-        self._records.replace(wanted)
-        self._is_dealt = False
+        self._records.replace(candidates)
+        self._are_home_slots_current = False
         for record in self._records:
             self._update(record)
 
     def set_weight(self, target_id: ids.TargetId, weight: float) -> None:
-        """Set the part of its work that a target may get, 0 to 1.
+        """Set the part of its full load that a target may get, 0 to 1.
 
-        Unknown targets are ignored: health may already judge by a newer file.
+        Unknown targets are ignored, since the health component may already
+        use a newer configuration.
         """
         record = self._records.find(target_id)
         if record is not None:
             if self._records.set_weight(record, weight):
-                self._is_dealt = False
+                self._are_home_slots_current = False
             self._update(record)
 
     def set_group(
         self,
-        others: Collection[ids.InstanceId],
+        peers: Collection[ids.InstanceId],
         own: ids.InstanceId | None = None,
     ) -> None:
-        """Set which other daemons send work to these targets as well.
+        """Set which other daemons send requests to these targets.
 
-        A daemon which has not reported yet counts as using its home slots.
-        Without the name of the ``own`` daemon it has no home slots itself and
-        uses all slots by the counts alone, which sheds far more.
+        A daemon that has not reported yet counts as using its home slots.
+        Without the name of the ``own`` daemon, this daemon has no home slots
+        and uses all slots by the counts alone, which causes many more shed
+        replies.
         """
         self._own = own
-        self._peers.set_homes(others, {})
-        self._is_dealt = False
+        self._peers.set_homes(peers, {})
+        self._are_home_slots_current = False
 
     def receive_report(
         self,
         observer: ids.InstanceId,
         counts: Mapping[ids.TargetId, int],
     ) -> None:
-        """Take a group member's counts, as of now; from others: ignored."""
+        """Apply the current counts of a group member; ignore other daemons."""
         self._peers.receive_report(observer, counts, self._clock.monotonic_s())
         self._refresh_peers()
 
     def report(self) -> dict[ids.TargetId, int]:
-        """Return this daemon's own counts above 0, for its group."""
+        """Return this daemon's own counts, without zeros, for its group."""
         return {
             record.target_id: record.in_flight
             for record in self._records
@@ -177,12 +181,12 @@
     def reserve(
         self,
         chooser: choice.TargetChooser,
-        refused: Collection[ids.TargetId] = _NOBODY,
+        refused: Collection[ids.TargetId] = _NO_TARGETS,
     ) -> ids.TargetId | None:
-        """Reserve a slot at a target that ``chooser`` takes.
+        """Reserve a slot at a target selected by ``chooser``.
 
-        Targets in ``refused`` are left out, for example those which a
-        request has tried already. Returns ``None`` when no slot is free.
+        Targets in ``refused`` are excluded, for example those that the request
+        has already tried. Returns ``None`` if no slot is free.
         """
         chosen = chooser.choose(self.candidates(refused))
         record = None if chosen is None else self._records.find(chosen)
@@ -194,7 +198,7 @@
         return record.target_id
 
     def release(self, target_id: ids.TargetId) -> None:
-        """Give back a slot that was reserved at ``target_id``."""
+        """Release a slot that was reserved at ``target_id``."""
         record = self._records.find(target_id)
         if record is None or not record.in_flight:
             raise errors.NotReservedError(
@@ -203,52 +207,55 @@
             )
         record.in_flight -= 1
         self._update(record)
-        self._records.drop_if_gone(record)
+        self._records.drop_if_removed(record)
 
     def answered(self, target_id: ids.TargetId) -> None:
-        """Take in that the target took a request, so back-off starts anew."""
+        """Record that the target accepted a request; reset its back-off."""
         self._back_off.clear(target_id)
 
     def shed(self, target_id: ids.TargetId) -> None:
-        """Send nothing to the target for a moment: it shed a request."""
+        """Record that the target shed a request, and back off from it."""
         self._back_off.start(target_id, self._clock.monotonic_s())
         self._borrowing.try_spend()
         self._records.hide(target_id)
 
     def candidates(
         self,
-        refused: Collection[ids.TargetId] = _NOBODY,
+        refused: Collection[ids.TargetId] = _NO_TARGETS,
     ) -> Sequence[choice.Candidate]:
-        """Return the targets with a free slot, less those in ``refused``."""
-        self._catch_up()
+        """Return the targets with a free slot, except those in ``refused``."""
+        self._apply_elapsed_time()
         own = self._records.with_home_slot.members
         if refused:
-            own = [one for one in own if one.target_id not in refused]
+            own = [record for record in own if record.target_id not in refused]
         if own:
             return own
         if self._own is not None and not self._borrowing.can_spend():
             return ()
         shared = self._records.with_shared_slot.members
         if refused:
-            shared = [one for one in shared if one.target_id not in refused]
+            shared = [
+                record for record in shared if record.target_id not in refused
+            ]
         return shared
 
     def find(self, target_id: ids.TargetId) -> choice.Candidate | None:
-        """Return the live record of a target, free or not."""
+        """Return the live record of a target, whether or not it is free."""
         return self._records.find(target_id)
 
     def _update(self, record: choice.Candidate) -> None:
-        if self._back_off.holds(record.target_id):
+        if self._back_off.is_active(record.target_id):
             self._records.hide(record.target_id)
         else:
             self._records.show(record)
 
-    def _deal(self) -> None:
-        """Work out the home slots; only when they are next needed.
+    def _assign_home_slots(self) -> None:
+        """Compute the home slots.
 
-        Each of many changes in a row would else cost the whole work.
+        This is done when they are next needed, so that many changes in a row
+        cost only one computation.
         """
-        self._is_dealt = True
+        self._are_home_slots_current = True
         daemons = (*self._peers.names, self._own or _UNNAMED)
         homes = home_slots.assign(self._records.in_service(), daemons)
         self._peers.set_homes(tuple(self._peers.names), homes)
@@ -261,9 +268,9 @@
             record.peers_in_flight = self._peers.count(record.target_id)
             self._update(record)
 
-    def _catch_up(self) -> None:
-        if not self._is_dealt:
-            self._deal()
+    def _apply_elapsed_time(self) -> None:
+        if not self._are_home_slots_current:
+            self._assign_home_slots()
         now_s = self._clock.monotonic_s()
         for target_id in self._back_off.ended(now_s):
             record = self._records.find(target_id)
--- a/libraries/routing/src/sardinepier/routing/internal/back_off.py
+++ b/libraries/routing/src/sardinepier/routing/internal/back_off.py
@@ -1,4 +1,4 @@
-"""Keeps a daemon away from targets that shed, for a moment."""
+"""Back-off of a daemon from targets that shed its requests."""
 
 import heapq
 import random
@@ -10,7 +10,7 @@
 
 
 class BackOff:
-    """Targets that get nothing until a stored local time."""
+    """Targets that get no requests until a stored local time."""
 
     def __init__(
         self,
@@ -18,7 +18,7 @@
         first_s: float,
         limit_s: float,
     ) -> None:
-        """Hold a target for about ``first_s``, growing up to ``limit_s``."""
+        """Back off for about ``first_s``, doubled each time up to ``limit_s``."""
         self._random = random_source
         self._first_s = first_s
         self._limit_s = limit_s
@@ -27,10 +27,10 @@
         self._ends: list[tuple[float, ids.TargetId]] = []
 
     def start(self, target_id: ids.TargetId, now_s: float) -> None:
-        """Hold the target from now on, longer with each time in a row.
+        """Start a back-off, longer with each consecutive shed reply.
 
-        The length is drawn between half and one and a half of its mean, so
-        that daemons which were shed together don't try again together.
+        Its length is drawn between half and one and a half times the mean, so
+        that daemons whose requests were shed together don't retry together.
         """
         mean_s = self._next_s.get(target_id, self._first_s)
         until_s = now_s + mean_s * (0.5 + self._random.random())
@@ -39,19 +39,19 @@
         heapq.heappush(self._ends, (until_s, target_id))
 
     def clear(self, target_id: ids.TargetId) -> None:
-        """Forget the row of shed replies; a running hold still ends."""
+        """Reset the length of the next back-off; a running one continues."""
         self._next_s.pop(target_id, None)
 
-    def holds(self, target_id: ids.TargetId) -> bool:
-        """Tell whether the target is held, as of the last :meth:`ended`."""
+    def is_active(self, target_id: ids.TargetId) -> bool:
+        """Return whether a back-off was running at the last :meth:`ended`."""
         return target_id in self._until_s
 
     def ended(self, now_s: float) -> list[ids.TargetId]:
-        """Return the targets whose hold has ended since the last call."""
-        over: list[ids.TargetId] = []
+        """Return the targets whose back-off has ended since the last call."""
+        ended: list[ids.TargetId] = []
         while self._ends and self._ends[0][0] <= now_s:
             _, target_id = heapq.heappop(self._ends)
             if self._until_s.get(target_id, now_s) <= now_s:
                 self._until_s.pop(target_id, None)
-                over.append(target_id)
-        return over
+                ended.append(target_id)
+        return ended
--- a/libraries/routing/src/sardinepier/routing/internal/checks.py
+++ b/libraries/routing/src/sardinepier/routing/internal/checks.py
@@ -1,10 +1,10 @@
-"""Named checks of arguments, so that a wrong option fails at the start."""
+"""Checks of arguments, so that an invalid option fails at the start."""
 
 from sardinepier.routing import errors
 
 
 def positive(name: str, number: float) -> None:
-    """Raise :class:`errors.RoutingOptionError` unless ``number`` is over 0."""
+    """Raise :class:`errors.RoutingOptionError` unless ``number`` > 0."""
     if number <= 0:
         raise errors.RoutingOptionError(
             f'{name} is {number}',
@@ -13,7 +13,7 @@
 
 
 def not_negative(name: str, number: float) -> None:
-    """Raise :class:`errors.RoutingOptionError` when ``number`` is below 0."""
+    """Raise :class:`errors.RoutingOptionError` if ``number`` < 0."""
     if number < 0:
         raise errors.RoutingOptionError(
             f'{name} is {number}',
--- a/libraries/routing/src/sardinepier/routing/internal/home_slots.py
+++ b/libraries/routing/src/sardinepier/routing/internal/home_slots.py
@@ -1,8 +1,9 @@
-"""Which daemon of a group has which slots of the targets as its own.
+"""Assignment of the targets' slots to the daemons of a group.
 
-Every slot is one daemon's home slot. All daemons work that out alike from
-the same names, without asking each other. Where their views of the group
-differ, two may use one slot: the target then sheds, and nothing worse.
+Every slot is the home slot of one daemon. All daemons compute the same
+assignment from the same names, without communication. If their views of the
+group differ, two of them may use the same slot; the target then sheds one
+request, which does no further harm.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -19,29 +20,30 @@
 ) -> Homes:
     """Return how many slots of each target are home slots of each daemon.
 
-    It is rendezvous hashing with a bound: each slot goes to the daemon of the
-    highest score that has less than its equal share yet. The bound keeps the
-    shares equal, the hashing keeps most slots where they are when a daemon
-    comes or goes; dealing them out in turn would move nearly all. With more
-    daemons than slots, those left over get a slot as well, which is then home
-    to two: a daemon without any could serve nobody while others are silent.
+    This is rendezvous hashing with a bound: each slot is assigned to the
+    daemon with the highest score among those below their equal share. The
+    bound keeps the shares equal, and the hashing moves few slots when a daemon
+    joins or leaves; round-robin assignment would move nearly all. If there are
+    more daemons than slots, each remaining daemon shares a slot with another:
+    a daemon without a home slot could send no requests while the others don't
+    report.
     """
     homes: dict[ids.InstanceId, dict[ids.TargetId, int]] = {
         daemon: {} for daemon in daemons
     }
     if not homes:
         return homes
-    in_order = sorted(targets, key=lambda one: one.target_id)
-    share = sum(one.slots for one in in_order) // len(homes)
-    room = dict.fromkeys(homes, share)
-    for round_number in range(max((one.slots for one in in_order), default=0)):
-        for target in in_order:
-            if round_number < target.slots:
-                owner = _owner(f'{target.target_id}/{round_number}', room)
-                room[owner] -= 1
-                dealt = homes[owner].get(target.target_id, 0)
-                homes[owner][target.target_id] = dealt + 1
-    names = [one.target_id for one in in_order]
+    by_id = sorted(targets, key=lambda target: target.target_id)
+    share = sum(target.slots for target in by_id) // len(homes)
+    remaining = dict.fromkeys(homes, share)
+    for slot in range(max((target.slots for target in by_id), default=0)):
+        for target in by_id:
+            if slot < target.slots:
+                owner = _owner(f'{target.target_id}/{slot}', remaining)
+                remaining[owner] -= 1
+                assigned = homes[owner].get(target.target_id, 0)
+                homes[owner][target.target_id] = assigned + 1
+    names = [candidate.target_id for candidate in by_id]
     for daemon, own in homes.items():
         if names and not own:
             own[
@@ -52,11 +54,11 @@
 
 def _owner(
     slot: str,
-    room: dict[ids.InstanceId, int],
+    remaining: dict[ids.InstanceId, int],
 ) -> ids.InstanceId:
-    with_room = [daemon for daemon, left in room.items() if left > 0]
-    if not with_room:
-        # The equal shares are dealt out; the rest is one more for some.
-        with_room = list(room)
-        room.update(dict.fromkeys(room, 1))
-    return ids.InstanceId(rendezvous.top_candidates(slot, with_room, 1)[0])
+    eligible = [daemon for daemon, left in remaining.items() if left > 0]
+    if not eligible:
+        # The equal shares are used up; some daemons get one more slot.
+        eligible = list(remaining)
+        remaining.update(dict.fromkeys(remaining, 1))
+    return ids.InstanceId(rendezvous.top_candidates(slot, eligible, 1)[0])
--- a/libraries/routing/src/sardinepier/routing/internal/peer_counts.py
+++ b/libraries/routing/src/sardinepier/routing/internal/peer_counts.py
@@ -1,4 +1,4 @@
-"""What the group's other daemons have in flight, as far as it is known."""
+"""The requests that the other daemons of the group have in flight."""
 
 import dataclasses
 from collections.abc import Collection, Mapping
@@ -8,9 +8,9 @@
 from sardinepier.routing.internal import home_slots
 
 _FADE_STEP_S: Final = 0.05
-"""Fading is worked out anew at most this often."""
+"""Minimum interval between updates of the weights of reports."""
 
-_NOTHING: Final = 1e-6
+_ROUNDING: Final = 1e-6
 _NEVER_S: Final = float('-inf')
 
 _Counts = Mapping[ids.TargetId, int]
@@ -18,20 +18,20 @@
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
-    """A peer's last counts, its home slots, and how far it is believed."""
+    """A peer's last counts, their weight, and its home slots."""
 
     homes: _Counts
     counts: _Counts
     received_s: float
-    belief: float
+    weight: float
 
 
 class PeerCounts:
-    """Sums of the peers' reports, each fading with its age.
+    """Sums of the peers' reports, each weighted by its age.
 
-    A report's belief is 1 while it is fresh and falls to 0 until it is
-    stale. As far as a peer is not believed, it counts as using its home
-    slots.
+    The weight of a report is 1 while it is fresh and falls linearly to 0 until
+    it is stale. The peer's home slots count with the remaining weight, as if
+    it used all of them.
     """
 
     def __init__(self, fresh_s: float, stale_s: float) -> None:
@@ -40,26 +40,26 @@
         self._stale_s = stale_s
         self._peers: dict[ids.InstanceId, _Peer] = {}
         self._sums: dict[ids.TargetId, float] = {}
-        # A dictionary keeps its order, unlike a set, whose order changes with
-        # each process: the same seed has to give the same choices.
+        # A dictionary instead of a set, whose order differs between processes:
+        # the same seed has to give the same choices.
         self._changed: dict[ids.TargetId, None] = {}
         self._next_fade_s = 0.0
 
     @property
     def names(self) -> Collection[ids.InstanceId]:
-        """Return the daemons whose reports count."""
+        """Return the names of the peers."""
         return self._peers.keys()
 
     def set_homes(
         self,
-        others: Collection[ids.InstanceId],
+        names: Collection[ids.InstanceId],
         homes: home_slots.Homes,
     ) -> None:
-        """Keep the reports of ``others`` only, and take their home slots."""
+        """Replace the peers and their home slots; known ones keep reports."""
         for known in tuple(self._peers):
-            if known not in others:
+            if known not in names:
                 self._count(self._peers.pop(known), -1)
-        for name in sorted(others):
+        for name in sorted(names):
             peer = self._peers.setdefault(name, _Peer({}, {}, _NEVER_S, 0))
             self._count(peer, -1)
             peer.homes = homes.get(name, {})
@@ -71,18 +71,18 @@
         counts: _Counts,
         now_s: float,
     ) -> None:
-        """Replace the peer's report; one from outside the group is ignored."""
+        """Replace the peer's report; ignore daemons outside the group."""
         peer = self._peers.get(observer)
         if peer is None:
             return
         self._count(peer, -1)
         peer.counts = dict(counts)
         peer.received_s = now_s
-        peer.belief = 1
+        peer.weight = 1
         self._count(peer, 1)
 
     def count(self, target_id: ids.TargetId) -> float:
-        """Return what all peers have in flight at the target."""
+        """Return the requests that all peers have in flight at the target."""
         return self._sums.get(target_id, 0)
 
     def changed(self) -> list[ids.TargetId]:
@@ -92,27 +92,27 @@
         return changed
 
     def fade(self, now_s: float) -> bool:
-        """Believe old reports less. Tell whether that changed anything."""
+        """Reduce the weights of aging reports; return whether a count changed."""
         if now_s < self._next_fade_s:
             return False
         self._next_fade_s = now_s + _FADE_STEP_S
         for peer in self._peers.values():
-            belief = self._belief(now_s - peer.received_s)
-            if belief < peer.belief:
+            weight = self._weight(now_s - peer.received_s)
+            if weight < peer.weight:
                 self._count(peer, -1)
-                peer.belief = belief
+                peer.weight = weight
                 self._count(peer, 1)
         return bool(self._changed)
 
-    def _belief(self, age_s: float) -> float:
+    def _weight(self, age_s: float) -> float:
         if age_s <= self._fresh_s:
             return 1
         left_s = self._stale_s - age_s
         return max(0, left_s / (self._stale_s - self._fresh_s))
 
     def _count(self, peer: _Peer, sign: int) -> None:
-        self._add_all(peer.counts, sign * peer.belief)
-        self._add_all(peer.homes, sign * (1 - peer.belief))
+        self._add_all(peer.counts, sign * peer.weight)
+        self._add_all(peer.homes, sign * (1 - peer.weight))
 
     def _add_all(self, counts: _Counts, factor: float) -> None:
         if not factor:
@@ -121,5 +121,5 @@
             total = self._sums.get(target_id, 0) + factor * count
             self._changed[target_id] = None
             self._sums[target_id] = total
-            if abs(total) < _NOTHING:
+            if abs(total) < _ROUNDING:
                 self._sums.pop(target_id)
--- a/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
+++ b/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
@@ -1,4 +1,4 @@
-"""When the other daemons of a fleet told what they let through."""
+"""When the other daemons of a fleet last reported their usage."""
 
 import math
 from collections.abc import Mapping
@@ -6,31 +6,32 @@
 
 from sardinepier.core import ids
 
-_FORGET_S: Final = 30.0
-"""How long a daemon that fell silent is taken to go on as before, unless
-another one is heard in its place: it may be cut off with its callers."""
+_EXPIRY_S: Final = 30.0
+"""A silent daemon counts as gone after this time, unless a successor reports
+earlier. Until then it may be cut off together with callers that it serves."""
 
 _REPLACED_S: Final = 2.0
-"""How long after the last news of a daemon another one of its zone has to be
-heard to be taken for its successor."""
+"""A silent daemon counts as replaced if another daemon of its zone reports
+later than this after its last report."""
 
 
 class PeerLiveness:
-    """Knows who told when, and who is gone."""
+    """Records the reports of other daemons and returns which are gone."""
 
     def __init__(self) -> None:
-        """Start without any."""
-        # Those that tell only now and then are never silent: infinity.
-        self._heard_s: dict[ids.InstanceId, float] = {}
-        self._told_s: dict[ids.InstanceId, float] = {}
+        """Start without daemons."""
+        # Infinity for a daemon that does not report regularly, so that its
+        # silence has no meaning.
+        self._last_seen_s: dict[ids.InstanceId, float] = {}
+        self._reported_s: dict[ids.InstanceId, float] = {}
         self._zones: dict[ids.InstanceId, ids.ZoneName] = {}
 
     @property
     def last_seen_s(self) -> Mapping[ids.InstanceId, float]:
-        """When each told last; infinity for those that need not go on."""
-        return self._heard_s
+        """The last report of each; infinity if it does not report regularly."""
+        return self._last_seen_s
 
-    def note(
+    def record(
         self,
         source: ids.InstanceId,
         zone: ids.ZoneName,
@@ -38,18 +39,20 @@
         *,
         sends_regularly: bool,
     ) -> tuple[ids.InstanceId, ...]:
-        """Note that ``source`` told now, and return those that are gone."""
-        self._told_s[source] = now_s
-        self._heard_s[source] = now_s if sends_regularly else math.inf
+        """Record a report of ``source``; return the daemons that are gone."""
+        self._reported_s[source] = now_s
+        self._last_seen_s[source] = now_s if sends_regularly else math.inf
         self._zones[source] = zone
         gone = tuple(
-            other
-            for other, told_s in self._told_s.items()
-            if now_s - told_s > _FORGET_S
-            or (self._zones[other] == zone and now_s - told_s > _REPLACED_S)
+            daemon
+            for daemon, reported_s in self._reported_s.items()
+            if now_s - reported_s > _EXPIRY_S
+            or (
+                self._zones[daemon] == zone and now_s - reported_s > _REPLACED_S
+            )
         )
-        for other in gone:
-            del self._told_s[other]
-            del self._heard_s[other]
-            del self._zones[other]
+        for daemon in gone:
+            del self._reported_s[daemon]
+            del self._last_seen_s[daemon]
+            del self._zones[daemon]
         return gone
--- a/libraries/routing/src/sardinepier/routing/internal/refusals.py
+++ b/libraries/routing/src/sardinepier/routing/internal/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals of the queue, each with a spread time to come back."""
+"""The errors with which the queue refuses requests."""
 
 import random
 from typing import Final
@@ -10,14 +10,14 @@
 
 
 class Refusals:
-    """Makes the errors which the queue hands to those it gives up on."""
+    """Creates the errors for refused requests, with random retry times."""
 
     def __init__(self, random_source: random.Random) -> None:
-        """Spread the times by ``random_source``."""
+        """Draw the retry times from ``random_source``."""
         self._random = random_source
 
     def late(self, wait_s: float) -> errors.QueueDeadlineError:
-        """Return the refusal of a request that can't be done in time."""
+        """Return the error for a request that can't finish in time."""
         return errors.QueueDeadlineError(
             'The request can not be finished before its deadline',
             _RETRY_LATER,
@@ -25,7 +25,7 @@
         )
 
     def full(self, wait_s: float, length: int) -> errors.QueueFullError:
-        """Return the refusal of a request that finds no place."""
+        """Return the error for a request that arrives at a full queue."""
         return errors.QueueFullError(
             f'All {length} places of the queue are taken',
             _RETRY_LATER,
@@ -33,7 +33,7 @@
         )
 
     def displaced(self, wait_s: float) -> errors.DisplacedError:
-        """Return the refusal of a request that lost its place."""
+        """Return the error for a request that another one displaced."""
         return errors.DisplacedError(
             'A request of higher priority took the place in the queue',
             _RETRY_LATER,
--- a/libraries/routing/src/sardinepier/routing/limit_parts.py
+++ b/libraries/routing/src/sardinepier/routing/limit_parts.py
@@ -1,8 +1,8 @@
-"""Which part each daemon has of a limit on the sum of what all send.
+"""The part that each daemon has of a target's limit on requests per second.
 
-Each of those that send to a target has an equal part, or one of them all of it where
-parts would be too small to be kept. No message is needed, and the sum holds for any
-number of daemons.
+All daemons that send to the target have equal parts. If these would be too small, one
+daemon has the whole limit. The daemons exchange no messages for this, and the sum of
+the parts is the limit for any number of daemons.
 """
 
 from collections.abc import Sequence
@@ -12,13 +12,13 @@
 
 _KEY: Final = 'limit/{0}'
 
-_LEAST_PART_PER_S: Final = 1.0
-"""A smaller part is none: whatever its part, a daemon may send a request or two at
-once, which add up over many."""
+_MIN_PART_PER_S: Final = 1.0
+"""Smaller parts are not assigned: each daemon may send one or two requests at once
+whatever its part, and over many daemons these would exceed the limit."""
 
 
 def ranking_key(target_id: ids.TargetId) -> str:
-    """Return what daemons are ranked by for the limit of a target."""
+    """Return the key by which daemons are ranked for the limit of a target."""
     return _KEY.format(target_id)
 
 
@@ -28,11 +28,11 @@
     target_id: ids.TargetId,
     limit_per_s: float,
 ) -> float:
-    """Return the part, 0 to 1, that ``own`` has among the ``senders``.
+    """Return the part of the limit, 0 to 1, that ``own`` has among ``senders``.
 
-    For example each of three daemons has a third of 30 requests a second, and one
-    of them all of 2 a second.
+    For example, of a limit of 30 requests per second each of three daemons has a
+    third, and of a limit of 2 per second one of them has everything.
     """
-    if limit_per_s < _LEAST_PART_PER_S * len(senders):
+    if limit_per_s < _MIN_PART_PER_S * len(senders):
         senders = rendezvous.top_candidates(ranking_key(target_id), senders, 1)
     return 1 / len(senders) if own in senders else 0.0
--- a/libraries/routing/src/sardinepier/routing/wait_queue.py
+++ b/libraries/routing/src/sardinepier/routing/wait_queue.py
@@ -1,9 +1,9 @@
-"""Requests that wait for a slot, in the order in which they get one.
+"""The queue of requests that wait for a slot, without I/O.
 
-The line is bounded and ordered by priority, then deadline. A request which
-it gives up on is refused in that same call, never held back. It does no I/O
-and knows no tasks; :mod:`sardinepier.routing.admission` puts it under
-``asyncio``, and experiments drive it with simulated time.
+The queue is bounded and ordered by priority, then by deadline. A request that
+can't be served in time is refused as soon as that is known. The queue does not
+depend on ``asyncio``: :mod:`sardinepier.routing.admission` adapts it to tasks,
+and experiments run it with simulated time.
 """
 
 import bisect
@@ -19,24 +19,26 @@
 
 _Rank = tuple[bool, int, float, int]
 
-_CAUTION: Final = 1.5
-"""The wait that is allowed for is so many times the likely one.
+_WAIT_SAFETY_FACTOR: Final = 1.5
+"""Factor between the estimated wait and the one that must fit the deadline.
 
-Without it, half of those queued to their deadline are sent so late that they
-are cut off while a target runs them, and nobody knows whether they ran.
+Without it, half of the requests that wait until their deadline would be sent
+so late that they are cut off while a target runs them, and it would be unknown
+whether they ran.
 """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """What the line must know of a request.
-
-    The lower ``priority``, the sooner its turn. ``deadline_s`` is a reading
-    of the local monotonic clock by which the answer must be there. If it
-    begins after ``preferred_start_by_s`` its answer comes late and is worth less.
-    ``accepts_any_target`` is true when the request would take any free target: when
-    it gets none, nobody behind it gets one, and the search ends. Leave it
-    false for a request which refuses some targets, such as a second attempt.
+    """The properties of a request that determine its place in the queue.
+
+    Requests with a lower ``priority`` come first. ``deadline_s`` is the time
+    on the local monotonic clock by which the answer must be complete. The
+    answer of a request that starts after ``preferred_start_by_s`` is late and
+    has less value. ``accepts_any_target`` is true if the request can use any
+    free target: if it gets none, no request behind it gets one, and the search
+    ends. It must be false for a request that excludes some targets, such as a
+    second attempt.
     """
 
     priority: int
@@ -47,10 +49,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CapacityForecast:
-    """When targets that want no request now want one again.
+    """When targets that accept no request now will accept requests again.
 
-    The first is wanted in ``first_s`` seconds, and each further one after
-    ``interval_s`` more; in ``any_s`` seconds any number is.
+    They accept the first in ``first_s`` seconds, each further one after
+    another ``interval_s``, and any number in ``any_s`` seconds.
     """
 
     first_s: float
@@ -58,7 +60,7 @@
     any_s: float = math.inf
 
     def min_wait_s(self, ahead: int) -> float:
-        """Return how long a request waits at least behind ``ahead`` others."""
+        """Return the minimum wait of a request behind ``ahead`` requests."""
         return min(self.any_s, self.first_s + ahead * self.interval_s)
 
 
@@ -66,16 +68,16 @@
 
 
 def always_available() -> CapacityForecast:
-    """Return that targets want requests at any time."""
+    """Return the forecast that targets accept requests now."""
     return AVAILABLE_NOW
 
 
 class Waiter(Protocol):
-    """A request in the line. It ends by exactly one grant or refusal."""
+    """A request in the queue; it ends with exactly one grant or refusal."""
 
     @property
     def request(self) -> QueuedRequest:
-        """Return its priority and deadline."""
+        """The properties of the request, such as its priority and deadline."""
         ...
 
     def choose(self) -> ids.TargetId | None:
@@ -83,11 +85,11 @@
         ...
 
     def grant(self, target_id: ids.TargetId) -> None:
-        """Take the reserved slot of ``target_id``."""
+        """Use the slot that was reserved at ``target_id``."""
         ...
 
     def refuse(self, error: errors.RefusalError) -> None:
-        """Give up with ``error``."""
+        """End the request with ``error``."""
         ...
 
 
@@ -100,7 +102,7 @@
 
 
 class WaitQueue:
-    """The bounded, ordered line of one service in one daemon."""
+    """The bounded, ordered queue of one service in one daemon."""
 
     def __init__(
         self,
@@ -109,10 +111,11 @@
         random_source: random.Random,
         capacity_forecast: Callable[[], CapacityForecast] = always_available,
     ) -> None:
-        """Allow at most ``length`` waiters; 0 means that nobody waits.
+        """Allow at most ``length`` waiters; 0 means that none waits.
 
-        ``capacity_forecast`` tells when the targets want requests, whatever free slots
-        they have. Raises :class:`errors.RoutingOptionError` when ``length`` is negative.
+        ``capacity_forecast`` returns when the targets accept requests,
+        independent of their free slots. Raises
+        :class:`errors.RoutingOptionError` if ``length`` is negative.
         """
         checks.not_negative('length', length)
         self._clock = local_clock
@@ -122,30 +125,30 @@
         self._arrivals = 0
         self._estimate = wait_estimate.WaitEstimate()
         self._next_late_s = math.inf
-        self._opening = capacity_forecast
+        self._capacity_forecast = capacity_forecast
 
     def __len__(self) -> int:
-        """Return how many wait now."""
+        """Return the number of waiting requests."""
         return len(self._places)
 
     def observe_service_time(self, service_s: float) -> None:
-        """Learn how long a target took for one request, in seconds."""
+        """Record how long a target took for one request, in seconds."""
         self._estimate.observe_service_time(service_s)
 
-    def latest_start_s(self, work: QueuedRequest) -> float:
-        """Return the local time from which ``work`` can't be finished."""
-        return work.deadline_s - self._estimate.service_s
+    def latest_start_s(self, request: QueuedRequest) -> float:
+        """Return the local time from which ``request`` can't finish in time."""
+        return request.deadline_s - self._estimate.service_s
 
     def submit(self, waiter: Waiter) -> None:
-        """Serve, queue or refuse a new waiter, at once.
+        """Grant, queue or refuse a new waiter immediately.
 
-        A waiter of lower priority may lose its place to it and is then
-        refused in this call.
+        If it displaces a waiter of lower priority, that one is refused in the
+        same call.
         """
         self.dispatch()
         if self._clock.monotonic_s() < waiter.request.deadline_s:
-            # A free slot is used even when the estimate says that it is too
-            # late: were nothing sent, the estimate would never be corrected.
+            # Use a free slot even if the estimate says that it is too late:
+            # without requests the estimate would never be corrected.
             target_id = waiter.choose()
             if target_id is not None:
                 waiter.grant(target_id)
@@ -157,22 +160,22 @@
         ahead = bisect.bisect(self._places, place.rank, key=_rank_of)
         if self._is_too_late(waiter.request, ahead):
             waiter.refuse(self._refusals.late(self._likely_wait_s()))
-        elif self._make_room(waiter):
+        elif self._ensure_place(waiter):
             self._places.insert(ahead, place)
-            self._expect_late(place)
+            self._update_next_late(place)
 
     def remove(self, waiter: Waiter) -> None:
-        """Take out a waiter that was cancelled. Unknown ones are ignored."""
+        """Remove a waiter that was cancelled; ignore unknown ones."""
         for position, place in enumerate(self._places):
             if place.waiter is waiter:
                 self._places.pop(position)
                 return
 
     def dispatch(self) -> None:
-        """Refuse whom the deadline beats, then hand out the free slots."""
-        self._refuse_hopeless()
-        self._refuse_without_opening()
-        self._put_late_ones_behind()
+        """Refuse waiters that are too late, then hand out the free slots."""
+        self._refuse_too_late()
+        self._refuse_without_capacity()
+        self._demote_late_waiters()
         position = 0
         while position < len(self._places):
             waiter = self._places[position].waiter
@@ -188,20 +191,20 @@
         if not self._places:
             self._estimate.emptied()
 
-    def _rank(self, work: QueuedRequest, *, is_late: bool) -> _Rank:
+    def _rank(self, request: QueuedRequest, *, is_late: bool) -> _Rank:
         self._arrivals += 1
-        return (is_late, work.priority, work.deadline_s, self._arrivals)
+        return (is_late, request.priority, request.deadline_s, self._arrivals)
 
-    def _expect_late(self, place: _Place) -> None:
+    def _update_next_late(self, place: _Place) -> None:
         if not place.rank[0]:
             late_s = place.waiter.request.preferred_start_by_s
             self._next_late_s = min(self._next_late_s, late_s)
 
-    def _put_late_ones_behind(self) -> None:
-        """Let those whose best time is over wait behind all others.
+    def _demote_late_waiters(self) -> None:
+        """Move waiters past their preferred start behind all others.
 
-        Under overload whoever waits longest would else get each slot, and all
-        answers would come late: those that still come in time earn more.
+        Otherwise, under overload, each slot would go to the longest waiter and
+        all answers would be late. Answers in time have more value.
         """
         now_s = self._clock.monotonic_s()
         if now_s < self._next_late_s:
@@ -210,20 +213,23 @@
         for place in self._places:
             if now_s >= place.waiter.request.preferred_start_by_s:
                 place.rank = (True, *place.rank[1:])
-            self._expect_late(place)
+            self._update_next_late(place)
         self._places.sort(key=_rank_of)
 
-    def _is_too_late(self, work: QueuedRequest, ahead: int) -> bool:
+    def _is_too_late(self, request: QueuedRequest, ahead: int) -> bool:
         now_s = self._clock.monotonic_s()
-        likely_s = _CAUTION * self._estimate.wait_s(ahead)
-        least_s = self._opening().min_wait_s(ahead)
-        return now_s + max(likely_s, least_s) >= self.latest_start_s(work)
-
-    def _make_room(self, waiter: Waiter) -> bool:
+        likely_wait_s = _WAIT_SAFETY_FACTOR * self._estimate.wait_s(ahead)
+        min_wait_s = self._capacity_forecast().min_wait_s(ahead)
+        return now_s + max(
+            likely_wait_s,
+            min_wait_s,
+        ) >= self.latest_start_s(request)
+
+    def _ensure_place(self, waiter: Waiter) -> bool:
         if len(self._places) < self._length:
             return True
-        # An earlier deadline alone displaces nobody: equal callers would
-        # push each other out in turn, and none would be served.
+        # An earlier deadline alone displaces no waiter: requests of equal
+        # priority would displace each other, and none would be served.
         last = self._places[-1].rank[:2] if self._places else None
         if last is None or (False, waiter.request.priority) >= last:
             error = self._refusals.full(self._likely_wait_s(), self._length)
@@ -235,39 +241,41 @@
         )
         return True
 
-    def _refuse_hopeless(self) -> None:
-        """Refuse whom the deadline beats.
+    def _refuse_too_late(self) -> None:
+        """Refuse waiters that can't finish before their deadline.
 
-        Within a rank the earliest deadline comes first, so only the first of
-        each needs a look.
+        Within a priority, waiters are ordered by deadline, so it suffices to
+        check the first ones of each priority.
         """
         now_s = self._clock.monotonic_s()
         position = 0
         while position < len(self._places):
             place = self._places[position]
             if now_s < self.latest_start_s(place.waiter.request):
-                position = self._first_after(place.rank)
+                position = self._next_priority(place.rank)
             else:
-                late = self._places.pop(position)
-                late.waiter.refuse(self._refusals.late(self._likely_wait_s()))
-
-    def _refuse_without_opening(self) -> None:
-        """Refuse those who come too late, however soon a slot is free."""
-        capacity_forecast = self._opening()
-        if capacity_forecast is AVAILABLE_NOW:
+                refused = self._places.pop(position)
+                refused.waiter.refuse(
+                    self._refusals.late(self._likely_wait_s())
+                )
+
+    def _refuse_without_capacity(self) -> None:
+        """Refuse waiters to which the targets will not have capacity in time."""
+        forecast = self._capacity_forecast()
+        if forecast is AVAILABLE_NOW:
             return
         now_s = self._clock.monotonic_s()
         position = 0
         while position < len(self._places):
             waiter = self._places[position].waiter
-            start_s = now_s + capacity_forecast.min_wait_s(position)
+            start_s = now_s + forecast.min_wait_s(position)
             if start_s < self.latest_start_s(waiter.request):
                 position += 1
             else:
                 self._places.pop(position)
                 waiter.refuse(self._refusals.late(self._likely_wait_s()))
 
-    def _first_after(self, rank: _Rank) -> int:
+    def _next_priority(self, rank: _Rank) -> int:
         return bisect.bisect(
             self._places,
             (rank[0], rank[1], math.inf, 0),
@@ -275,11 +283,11 @@
         )
 
     def _likely_wait_s(self) -> float:
-        behind_all_s = self._estimate.wait_s(len(self._places) + 1)
-        least_s = self._opening().min_wait_s(len(self._places))
-        if math.isinf(least_s):
-            least_s = 0.0
-        return max(behind_all_s, least_s, self._estimate.service_s)
+        wait_s = self._estimate.wait_s(len(self._places) + 1)
+        min_wait_s = self._capacity_forecast().min_wait_s(len(self._places))
+        if math.isinf(min_wait_s):
+            min_wait_s = 0.0
+        return max(wait_s, min_wait_s, self._estimate.service_s)
 
 
 def _rank_of(place: _Place) -> _Rank:
