--- a/libraries/routing/src/sardinepier/routing/wait_queue.py
+++ b/libraries/routing/src/sardinepier/routing/wait_queue.py
@@ -218,12 +218,9 @@
 
     def _is_too_late(self, request: QueuedRequest, ahead: int) -> bool:
         now_s = self._clock.monotonic_s()
-        likely_wait_s = _WAIT_SAFETY_FACTOR * self._estimate.wait_s(ahead)
+        likely_s = _WAIT_SAFETY_FACTOR * self._estimate.wait_s(ahead)
         min_wait_s = self._capacity_forecast().min_wait_s(ahead)
-        return now_s + max(
-            likely_wait_s,
-            min_wait_s,
-        ) >= self.latest_start_s(request)
+        return now_s + max(likely_s, min_wait_s) >= self.latest_start_s(request)
 
     def _ensure_place(self, waiter: Waiter) -> bool:
         if len(self._places) < self._length:
@@ -260,7 +257,7 @@
                 )
 
     def _refuse_without_capacity(self) -> None:
-        """Refuse waiters to which the targets will not have capacity in time."""
+        """Refuse waiters for which the targets have no capacity in time."""
         forecast = self._capacity_forecast()
         if forecast is AVAILABLE_NOW:
             return
--- a/libraries/routing/tests/conformance/test_routing_choosers.py
+++ b/libraries/routing/tests/conformance/test_routing_choosers.py
@@ -1,4 +1,4 @@
-"""The contract of every chooser."""
+"""The contract of all choosers."""
 
 import random
 
@@ -31,7 +31,7 @@
         in_flight=st.integers(0, 3),
         peers_in_flight=st.floats(0, 3),
     ),
-    unique_by=lambda one: one.target_id,
+    unique_by=lambda candidate: candidate.target_id,
     max_size=20,
 )
 
@@ -40,36 +40,40 @@
 @given(candidates=_CANDIDATES, seed=st.integers(0, 99))
 def test_a_free_candidate_is_chosen_or_none_is_free(name, candidates, seed):
     chooser = _CHOOSERS[name](random.Random(seed))
-    free = {one.target_id for one in candidates if one.is_free()}
+    free = {
+        candidate.target_id for candidate in candidates if candidate.is_free()
+    }
     for _ in range(5):
         chosen = chooser.choose(candidates)
         assert chosen in (free or {None})
 
 
 @given(_CANDIDATES)
-def test_a_free_candidate_has_weight_and_a_slot_to_spare(candidates):
-    for one in candidates:
-        if one.is_free():
-            assert one.weight > 0
-            assert one.in_flight < one.slots
-        elif one.weight == 1:
-            assert one.in_flight + one.peers_in_flight > one.slots - 1
+def test_a_free_candidate_has_weight_and_a_free_slot(candidates):
+    for target in candidates:
+        if target.is_free():
+            assert target.weight > 0
+            assert target.in_flight < target.slots
+        elif target.weight == 1:
+            assert target.in_flight + target.peers_in_flight > target.slots - 1
 
 
 @pytest.mark.parametrize('name', _CHOOSERS)
-def test_every_free_candidate_gets_its_turn(name):
+def test_every_free_candidate_is_chosen_at_some_time(name):
     chooser = _CHOOSERS[name](random.Random(1))
-    candidates = [choice.Candidate(f't{one}', 'z1', 1, 2) for one in range(9)]
+    candidates = [
+        choice.Candidate(f't{number}', 'z1', 1, 2) for number in range(9)
+    ]
     chosen = {chooser.choose(candidates) for _ in range(200)}
     assert len(chosen) == 9
 
 
 @pytest.mark.parametrize('name', ['least loaded of two', 'random'])
-def test_a_target_of_low_weight_gets_little_work(name):
+def test_a_target_of_low_weight_gets_few_requests(name):
     chooser = _CHOOSERS[name](random.Random(1))
     candidates = [
         choice.Candidate('weak', 'z1', 0.1, 2),
-        *(choice.Candidate(f't{one}', 'z1', 1, 2) for one in range(5)),
+        *(choice.Candidate(f't{number}', 'z1', 1, 2) for number in range(5)),
     ]
     chosen = [chooser.choose(candidates) for _ in range(2000)]
     assert 10 < chosen.count('weak') < 100
@@ -89,7 +93,7 @@
     ('waiting', 'local_in_flight', 'expected'),
     [(0, 0, 'near'), (9, 0, 'near'), (1.0, 2, None), (1.1, 2, 'far')],
 )
-def test_another_zone_gets_work_only_past_the_threshold(
+def test_another_zone_gets_requests_only_past_the_threshold(
     waiting, local_in_flight, expected
 ):
     chooser = choice.LocalFirst(
@@ -102,6 +106,6 @@
     assert chooser.choose(candidates) == expected
 
 
-def test_a_negative_threshold_is_refused():
+def test_a_negative_threshold_is_rejected():
     with pytest.raises(errors.RoutingOptionError):
         choice.LocalFirst('z1', choice.RoundRobin(), -1, int)
--- a/libraries/routing/tests/cover/test_routing_budgets.py
+++ b/libraries/routing/tests/cover/test_routing_budgets.py
@@ -1,4 +1,4 @@
-"""Further attempts stay a fraction of the requests, whatever arrives."""
+"""Further attempts stay within their percentage of the requests."""
 
 import random
 
@@ -45,7 +45,9 @@
     st.tuples(
         st.sampled_from([0.0, 0.0, 0.2, 0.9, 4.0]),
         st.integers(0, _FLEET - 1),
-        st.sampled_from(['requests', 'tries', 'restart', 'carry', 'rest']),
+        st.sampled_from(
+            ['requests', 'tries', 'restart', 'set_burst', 'clear_burst']
+        ),
         st.integers(1, 20),
     ),
     max_size=80,
@@ -53,44 +55,44 @@
 
 
 class _Fleet:
-    """Daemons that each hold a budget of their own, and what they did when."""
+    """Daemons with a budget each, and the times of their events."""
 
     def __init__(self, floor=1, rounding=0.0):
         self.floor = floor
         self.rounding = rounding
         self.clock = clock.ManualClock()
-        self.daemons = [self._fresh() for _ in range(_FLEET)]
-        self.requested = []
-        self.spent = []
-        self.started = []
-        self.carried = []
+        self.budgets = [self._new_budget() for _ in range(_FLEET)]
+        self.requested_s = []
+        self.spent_s = []
+        self.started_s = []
+        self.burst_set_s = []
 
-    def requests(self, place, count):
+    def requests(self, position, count):
         for _ in range(count):
-            self.daemons[place].record_request()
-            self.requested.append(self.clock.monotonic_s())
+            self.budgets[position].record_request()
+            self.requested_s.append(self.clock.monotonic_s())
 
-    def tries(self, place, count):
+    def tries(self, position, count):
         for _ in range(count):
-            if self.daemons[place].try_spend():
-                self.spent.append(self.clock.monotonic_s())
+            if self.budgets[position].try_spend():
+                self.spent_s.append(self.clock.monotonic_s())
 
-    def restart(self, place, count):
-        self.daemons[place] = self._fresh()
-        self.started.append(self.clock.monotonic_s())
+    def restart(self, position, count):
+        self.budgets[position] = self._new_budget()
+        self.started_s.append(self.clock.monotonic_s())
 
-    def carry(self, place, count):
-        self.daemons[place].set_burst(_BURST)
-        self.carried.append(self.clock.monotonic_s())
+    def set_burst(self, position, count):
+        self.budgets[position].set_burst(_BURST)
+        self.burst_set_s.append(self.clock.monotonic_s())
 
-    def rest(self, place, count):
-        self.daemons[place].set_burst(0)
+    def clear_burst(self, position, count):
+        self.budgets[position].set_burst(0)
 
-    def within(self, moments, span_s):
-        since_s = self.clock.monotonic_s() - span_s
-        return sum(one > since_s for one in moments)
+    def within(self, times_s, period_s):
+        since_s = self.clock.monotonic_s() - period_s
+        return sum(time_s > since_s for time_s in times_s)
 
-    def _fresh(self):
+    def _new_budget(self):
         return budget.RetryBudget(
             self.clock,
             18,
@@ -100,29 +102,29 @@
 
 
 def _check_sum(fleet, steps):
-    """Check that each start of a daemon adds one attempt at most."""
-    for gap_s, place, what, count in steps:
+    """Check that each start of a daemon adds at most one attempt."""
+    for gap_s, position, event, count in steps:
         fleet.clock.advance(gap_s)
-        getattr(fleet, what)(place, count)
-        # What was requested up to a window earlier may still count.
-        bound = 0.18 * fleet.within(fleet.requested, 2 * _WINDOW_S)
-        bound += _FLEET + fleet.within(fleet.started, 2 * _WINDOW_S)
-        bound += _BURST * len(fleet.carried)
-        assert fleet.within(fleet.spent, _WINDOW_S) <= bound
+        getattr(fleet, event)(position, count)
+        # Attempts of a window may depend on requests of the window before.
+        bound = 0.18 * fleet.within(fleet.requested_s, 2 * _WINDOW_S)
+        bound += _FLEET + fleet.within(fleet.started_s, 2 * _WINDOW_S)
+        bound += _BURST * len(fleet.burst_set_s)
+        assert fleet.within(fleet.spent_s, _WINDOW_S) <= bound
 
 
 @given(_FLEET_STEPS)
-def test_the_sum_over_a_fleet_holds_without_anybody_asking(steps):
-    """Whatever is restarted, cut off, or takes itself for a carrier.
+def test_the_sum_over_a_fleet_is_bounded_without_communication(steps):
+    """Guards the sum over daemons that restart or act as carriers.
 
-    In any window each start of a daemon adds one attempt at most, and each
-    that carries its part of the burst, to the percentage of all requests.
+    In any window, each start of a daemon adds at most one attempt to the
+    percentage of all requests, and each carrier its part of the burst.
     """
     _check_sum(_Fleet(), steps)
 
 
-def test_what_was_spent_is_forgotten_only_after_a_whole_window():
-    """It was after 9.05 s: twice the burst was spent within ten seconds."""
+def test_spent_attempts_count_for_a_whole_window():
+    """Guards against dropping them after 9.05 s: twice the burst within 10 s."""
     manual = clock.ManualClock(0.95)
     retries = budget.RetryBudget(manual, 0, floor=0)
     retries.set_burst(5)
@@ -133,21 +135,21 @@
     assert retries.try_spend()
 
 
-_BESIDE = 280
+_DAEMONS = 280
 _SEEDS = 20
 
 
-def _spent_beside(requests, seed):
-    """Return what daemons with a few requests each repeat, all of which fail."""
-    drawn = random.Random(seed)
+def _spent_by_all(requests, seed):
+    """Return the retries of daemons with a few requests each, all failing."""
+    random_source = random.Random(seed)
     manual = clock.ManualClock()
     spent = 0
-    for _ in range(_BESIDE):
+    for _ in range(_DAEMONS):
         retries = budget.RetryBudget(
             manual,
             18,
             floor=0,
-            rounding=drawn.random(),
+            rounding=random_source.random(),
         )
         for _ in range(requests):
             retries.record_request()
@@ -156,16 +158,15 @@
 
 
 @pytest.mark.parametrize('requests', [1, 2, 4, 7])
-def test_those_with_a_request_now_and_then_use_their_share_together(requests):
-    """Seen: 280 daemons with four requests each in a window repeated none.
+def test_daemons_with_few_requests_use_their_share_together(requests):
+    """Guards against 280 daemons with four requests each that retry none.
 
-    Eighteen of a hundred of theirs may be repeated by those who need it, and
-    nobody asks anybody: the sum stays at the percentage, give or take what
-    chance does.
+    18 percent of their requests may be retried, and the daemons don't
+    communicate: the sum stays near the percentage, with random deviations.
     """
-    share = 0.18 * _BESIDE * requests
+    share = 0.18 * _DAEMONS * requests
     for seed in range(_SEEDS):
-        spent = _spent_beside(requests, seed)
+        spent = _spent_by_all(requests, seed)
         assert 0.7 * share <= spent <= 1.3 * share
 
 
@@ -176,17 +177,17 @@
 
 @given(_FLEET_STEPS)
 def test_without_a_floor_the_sum_does_not_grow_with_the_fleet(steps):
-    """Only those that carry their part of the burst add to the percentage."""
+    """Only carriers add attempts, their part of the burst, to the percentage."""
     fleet = _Fleet(floor=0)
-    for gap_s, place, what, count in steps:
+    for gap_s, position, event, count in steps:
         fleet.clock.advance(gap_s)
-        getattr(fleet, what)(place, count)
-        bound = 0.18 * fleet.within(fleet.requested, 2 * _WINDOW_S)
-        bound += _BURST * len(fleet.carried)
-        assert fleet.within(fleet.spent, _WINDOW_S) <= bound
+        getattr(fleet, event)(position, count)
+        bound = 0.18 * fleet.within(fleet.requested_s, 2 * _WINDOW_S)
+        bound += _BURST * len(fleet.burst_set_s)
+        assert fleet.within(fleet.spent_s, _WINDOW_S) <= bound
 
 
-def test_a_burst_comes_on_top_of_the_percentage():
+def test_a_burst_is_granted_in_addition_to_the_percentage():
     retries = budget.RetryBudget(clock.ManualClock(), 10)
     retries.set_burst(3)
     for _ in range(100):
@@ -194,12 +195,12 @@
     assert sum(retries.try_spend() for _ in range(50)) == 13
 
 
-def test_a_burst_below_zero_is_refused():
+def test_a_negative_burst_is_rejected():
     with pytest.raises(errors.RoutingOptionError):
         budget.RetryBudget(clock.ManualClock(), 10).set_burst(-1)
 
 
-def test_a_storm_is_amplified_by_a_tenth_at_most():
+def test_retries_amplify_the_load_by_at_most_a_tenth():
     manual = clock.ManualClock()
     retries = budget.RetryBudget(manual, 10)
     attempts = 0
@@ -212,7 +213,7 @@
     assert 1.09 < attempts / 20_000 <= 1.1
 
 
-def test_old_requests_earn_nothing_and_a_quiet_service_has_the_floor():
+def test_old_requests_grant_nothing_and_the_floor_stays():
     manual = clock.ManualClock()
     retries = budget.RetryBudget(manual, 10, floor=1)
     for _ in range(100):
@@ -235,7 +236,7 @@
         (10, {'rounding': 1.1}),
     ],
 )
-def test_wrong_options_are_refused_at_the_start(percent, options):
+def test_invalid_options_are_rejected(percent, options):
     with pytest.raises(errors.RoutingOptionError):
         budget.RetryBudget(clock.ManualClock(), percent, **options)
 
@@ -255,7 +256,7 @@
     assert exact_ms * 0.999 <= delay.delay_ms() <= exact_ms * 1.2 * 1.001
 
 
-def test_the_delay_follows_a_route_that_became_slower():
+def test_the_delay_adapts_to_a_route_that_becomes_slower():
     delay = hedging.HedgeDelay()
     source = random.Random(1)
     assert delay.delay_ms() is None
@@ -280,6 +281,6 @@
     idempotent = _policy(idempotent=True)
     assert 10 <= idempotent.delay_ms() <= 12
     assert [idempotent.try_hedge(), idempotent.try_hedge()] == [True, False]
-    other = _policy(idempotent=False)
-    assert other.delay_ms() is None
-    assert not other.try_hedge()
+    non_idempotent = _policy(idempotent=False)
+    assert non_idempotent.delay_ms() is None
+    assert not non_idempotent.try_hedge()
--- a/libraries/routing/tests/cover/test_routing_caller_limits.py
+++ b/libraries/routing/tests/cover/test_routing_caller_limits.py
@@ -1,4 +1,4 @@
-"""One caller never gets more than its rate and never costs the others."""
+"""A caller never exceeds its rate and never affects other callers."""
 
 import random
 
@@ -32,7 +32,7 @@
 
 
 @given(_GAPS_S, st.sampled_from([0.5, 4.0, 100.0]), st.integers(1, 7))
-def test_no_stretch_of_time_exceeds_rate_and_burst(gaps_s, rate_per_s, burst):
+def test_no_period_exceeds_rate_and_burst(gaps_s, rate_per_s, burst):
     manual, limits = _limits(rate_per_s, burst)
     admitted_at_s = []
     for gap_s in gaps_s:
@@ -45,20 +45,20 @@
 
 
 @given(st.lists(st.integers(0, 5), max_size=60), st.integers(1, 7))
-def test_a_flood_by_one_caller_changes_nothing_for_others(others, burst):
+def test_a_flood_by_one_caller_does_not_affect_others(callers, burst):
     manual, limits = _limits(burst=burst)
     flooded_manual, flooded = _limits(burst=burst)
-    for other in others:
+    for caller in callers:
         manual.advance(0.05)
         flooded_manual.advance(0.05)
         for _ in range(20):
             _admits(flooded, 'flooder')
-        name = f'c{other}'
+        name = f'c{caller}'
         assert _admits(limits, name) == _admits(flooded, name)
 
 
 @given(_GAPS_S)
-def test_a_caller_that_waits_as_told_is_admitted(gaps_s):
+def test_a_caller_is_admitted_after_the_stated_wait(gaps_s):
     manual, limits = _limits()
     for gap_s in gaps_s:
         manual.advance(gap_s)
@@ -70,7 +70,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), _GAPS_S.map(len)), max_size=80))
-def test_the_table_is_bounded_and_forgetting_gives_no_second_burst(arrivals):
+def test_the_table_is_bounded_and_dropping_gives_no_second_burst(arrivals):
     manual, limits = _limits(rate_per_s=2.0, burst=2, capacity=5)
     admitted = {}
     for name, elapsed in arrivals:
@@ -84,7 +84,7 @@
             assert count <= 2.0 * (times_s[-1] - start_s) + 2 + 1e-3
 
 
-def test_a_full_table_refuses_newcomers_until_a_bucket_is_full_again():
+def test_a_full_table_refuses_new_callers_until_a_bucket_is_full():
     manual, limits = _limits(rate_per_s=1.0, burst=1, capacity=2)
     limits.admit('c1')
     limits.admit('c2')
@@ -96,7 +96,7 @@
     limits.admit('c3')
 
 
-def test_idle_callers_are_forgotten_without_being_asked_for():
+def test_idle_callers_are_dropped_by_requests_of_others():
     manual, limits = _limits(burst=1)
     for number in range(1000):
         limits.admit(f'c{number}')
@@ -110,6 +110,6 @@
 @pytest.mark.parametrize(
     'options', [{'rate_per_s': 0}, {'burst': 0}, {'capacity': 0}]
 )
-def test_wrong_options_are_refused_at_the_start(options):
+def test_invalid_options_are_rejected(options):
     with pytest.raises(errors.RoutingOptionError):
         _limits(**options)
--- a/libraries/routing/tests/cover/test_routing_in_flight.py
+++ b/libraries/routing/tests/cover/test_routing_in_flight.py
@@ -1,4 +1,4 @@
-"""No daemon believes that it owns all slots."""
+"""Slots of targets that several daemons share."""
 
 import random
 
@@ -30,8 +30,8 @@
     return list(iter(lambda: targets.reserve(chooser), None))
 
 
-# With three daemons, t2 has two home slots of 'me' and t3 one. Of a target
-# without enough of them, a slot is borrowed while another one stays free.
+# With three daemons, 'me' has two home slots at t2 and one at t3. Slots of other
+# daemons are borrowed as long as another slot of the target stays free.
 @pytest.mark.parametrize(
     ('peers', 'reports', 'age_s', 'expected'),
     [
@@ -43,11 +43,11 @@
         (('p1', 'p2'), {'p1': {}, 'p2': {}}, 60, (0, 2, 1)),
         (('p1', 'p2'), {'p1': {'t1': 3}, 'p2': {}}, 60, (0, 2, 1)),
         (('p1', 'p2'), {'p1': {'t1': 2}}, 0, (0, 2, 1)),
-        (tuple(f'p{one}' for one in range(48)), {}, 0, (0, 0, 1)),
+        (tuple(f'p{number}' for number in range(48)), {}, 0, (0, 0, 1)),
         (('p1',), {'stranger': {'t1': 3}, 'p1': {}}, 0, (2, 2, 2)),
     ],
 )
-def test_slots_left_to_one_daemon(peers, reports, age_s, expected):
+def test_slots_available_to_one_daemon(peers, reports, age_s, expected):
     manual, targets, chooser = _slots(peers)
     for observer, counts in reports.items():
         targets.receive_report(observer, counts)
@@ -56,23 +56,23 @@
     assert tuple(reserved.count(name) for name in _TARGETS) == expected
 
 
-def test_belief_in_a_report_fades_towards_the_home_slots():
+def test_the_count_of_an_aging_report_tends_to_the_home_slots():
     manual, targets, chooser = _slots(('p1',), slots=9)
     targets.receive_report('p1', {})
-    left = []
+    available = []
     for _ in range(20):
         reserved = _reserve_all(targets, chooser)
-        left.append(len(reserved))
+        available.append(len(reserved))
         for name in reserved:
             targets.release(name)
         manual.advance(0.1)
-    assert left == sorted(left, reverse=True)
-    assert left[0] == 24
-    assert 13 <= left[-1] <= 14
-    assert len(set(left)) > 3
+    assert available == sorted(available, reverse=True)
+    assert available[0] == 24
+    assert 13 <= available[-1] <= 14
+    assert len(set(available)) > 3
 
 
-def test_shed_replies_end_borrowing_until_requests_outweigh_them():
+def test_shed_replies_stop_borrowing_until_the_window_has_passed():
     manual, targets, chooser = _slots(('p1', 'p2'))
     targets.receive_report('p1', {})
     targets.receive_report('p2', {})
@@ -92,7 +92,7 @@
     st.lists(st.integers(1, 4), min_size=1, max_size=20),
     st.integers(1, 60),
 )
-def test_every_slot_is_at_home_once_and_shares_are_equal(slots, daemons):
+def test_every_slot_is_a_home_slot_once_and_shares_are_equal(slots, daemons):
     targets = [
         choice.Candidate(f't{number}', 'z1', 1, count)
         for number, count in enumerate(slots)
@@ -106,36 +106,38 @@
     assert min(shares) >= 1
     if sum(slots) >= daemons:
         for target in targets:
-            dealt = [own.get(target.target_id, 0) for own in homes.values()]
-            assert sum(dealt) == target.slots
+            assigned = [own.get(target.target_id, 0) for own in homes.values()]
+            assert sum(assigned) == target.slots
 
 
-def test_a_target_that_shed_gets_nothing_for_a_moment_then_work_again():
+def test_a_target_that_shed_gets_requests_again_after_a_back_off():
     manual, targets, _ = _slots()
     chooser = choice.RoundRobin()
-    holds_s = []
+    back_offs_s = []
     for _ in range(4):
         targets.shed('t1')
         started_s = manual.monotonic_s()
-        while 't1' not in {one.target_id for one in targets.candidates()}:
+        while 't1' not in {
+            candidate.target_id for candidate in targets.candidates()
+        }:
             assert targets.reserve(chooser, ('t2', 't3')) is None
             manual.advance(0.001)
-        holds_s.append(manual.monotonic_s() - started_s)
-    assert 0.01 <= holds_s[0] <= 0.032
-    assert 0.08 <= holds_s[-1] <= 0.25
+        back_offs_s.append(manual.monotonic_s() - started_s)
+    assert 0.01 <= back_offs_s[0] <= 0.032
+    assert 0.08 <= back_offs_s[-1] <= 0.25
     targets.answered('t1')
     targets.shed('t1')
     manual.advance(0.032)
     assert targets.reserve(chooser, ('t2', 't3')) == 't1'
 
 
-def test_a_target_that_is_gone_gets_nothing_and_counts_down():
+def test_a_removed_target_gets_no_requests_and_can_be_released():
     _, targets, chooser = _slots()
-    held = _reserve_all(targets, chooser)
+    reserved = _reserve_all(targets, chooser)
     targets.set_targets([in_flight.TargetCapacity('t4', 'z1', 1)])
     targets.set_weight('t1', 1)
     assert targets.report() == {'t1': 3, 't2': 3, 't3': 3}
-    for name in held:
+    for name in reserved:
         targets.release(name)
         assert targets.reserve(chooser) is None
     assert targets.find('t1') is None
@@ -148,32 +150,34 @@
 
     def __init__(self):
         super().__init__()
-        made = _slots(('p1',))
-        self.clock = made[0]
-        self.targets = made[1]
-        self.chooser = made[2]
-        self.held = []
+        parts = _slots(('p1',))
+        self.clock = parts[0]
+        self.targets = parts[1]
+        self.chooser = parts[2]
+        self.reserved = []
         self.listed = set(_TARGETS)
 
     def teardown(self):
-        for held in self.held:
-            self.targets.release(held)
+        for target_id in self.reserved:
+            self.targets.release(target_id)
         self.clock.advance(60)
         self.targets.receive_report('p1', {})
         records = [self.targets.find(name) for name in self.listed]
-        free = {one.target_id for one in records if one.weight}
-        assert {one.target_id for one in self.targets.candidates()} == free
+        free = {record.target_id for record in records if record.weight}
+        assert {
+            candidate.target_id for candidate in self.targets.candidates()
+        } == free
 
     @stateful.rule()
     def reserve(self):
         chosen = self.targets.reserve(self.chooser)
         assert chosen is None or chosen in self.listed
-        self.held += [chosen] if chosen else []
+        self.reserved += [chosen] if chosen else []
 
-    @stateful.precondition(lambda machine: machine.held)
-    @stateful.rule(place=st.integers(0, 99))
-    def release(self, place):
-        self.targets.release(self.held.pop(place % len(self.held)))
+    @stateful.precondition(lambda machine: machine.reserved)
+    @stateful.rule(position=st.integers(0, 99))
+    def release(self, position):
+        self.targets.release(self.reserved.pop(position % len(self.reserved)))
 
     @stateful.rule(target_id=st.sampled_from(_TARGETS))
     def shed(self, target_id):
@@ -190,25 +194,25 @@
     @stateful.rule(
         counts=st.dictionaries(st.sampled_from(_TARGETS), st.integers(0, 3))
     )
-    def heard(self, counts):
+    def receive_report(self, counts):
         self.targets.receive_report('p1', counts)
 
     @stateful.rule(names=st.sets(st.sampled_from(_TARGETS)))
     def set_targets(self, names):
         self.listed = names
         self.targets.set_targets(
-            in_flight.TargetCapacity(one, 'z1', 3) for one in names
+            in_flight.TargetCapacity(name, 'z1', 3) for name in names
         )
         self.set_weight(1)
         self.targets.set_weight('t2', 1)
         self.targets.set_weight('t3', 1)
 
     @stateful.invariant()
-    def free_list_and_counts_agree_with_the_records(self):
+    def free_lists_and_counts_match_the_records(self):
         candidates = self.targets.candidates()
-        assert all(one.is_free() for one in candidates)
-        assert {one.target_id for one in candidates} <= self.listed
-        counts = {one: self.held.count(one) for one in self.held}
+        assert all(candidate.is_free() for candidate in candidates)
+        assert {candidate.target_id for candidate in candidates} <= self.listed
+        counts = {name: self.reserved.count(name) for name in self.reserved}
         assert self.targets.report() == counts
 
 
--- a/libraries/routing/tests/cover/test_routing_late_waiters.py
+++ b/libraries/routing/tests/cover/test_routing_late_waiters.py
@@ -1,7 +1,7 @@
-"""Who waits beyond its best time lets those go first that still have theirs.
+"""Requests past their preferred start wait behind those that can be in time.
 
-The load this answers: more requests than free slots for some seconds. Served
-in the order of their deadlines, each waits until its best time is over.
+If there are more requests than free slots for some seconds and they are served
+in the order of their deadlines, each waits until its preferred start is over.
 """
 
 import random
@@ -14,29 +14,29 @@
 
 
 class Waiter:
-    def __init__(self, line, work):
-        self.request = work
-        self.line = line
-        self.ended = ''
+    def __init__(self, harness, request):
+        self.request = request
+        self.harness = harness
+        self.outcome = ''
 
     def choose(self):
-        if not self.line.free:
+        if not self.harness.free:
             return None
-        self.line.free -= 1
+        self.harness.free -= 1
         return 't1'
 
     def grant(self, target_id):
-        self.ended = 'granted'
-        self.line.granted.append(self)
+        self.outcome = 'granted'
+        self.harness.granted.append(self)
 
     def refuse(self, error):
-        self.ended = type(error).__name__
+        self.outcome = type(error).__name__
 
 
-class Line:
+class Harness:
     def __init__(self, length=100):
         self.clock = clocks.ManualClock(100.0)
-        self.line = wait_queue.WaitQueue(
+        self.queue = wait_queue.WaitQueue(
             self.clock,
             length,
             random.Random(1),
@@ -44,59 +44,59 @@
         self.free = 0
         self.granted = []
 
-    def enter(self, priority=1, best_in_s=1.0, deadline_in_s=5.0):
+    def submit(self, priority=1, preferred_in_s=1.0, deadline_in_s=5.0):
         now_s = self.clock.monotonic_s()
-        work = wait_queue.QueuedRequest(
+        request = wait_queue.QueuedRequest(
             priority,
             now_s + deadline_in_s,
             accepts_any_target=True,
-            preferred_start_by_s=now_s + best_in_s,
+            preferred_start_by_s=now_s + preferred_in_s,
         )
-        waiter = Waiter(self, work)
-        self.line.submit(waiter)
+        waiter = Waiter(self, request)
+        self.queue.submit(waiter)
         return waiter
 
-    def serve(self, slots):
+    def dispatch(self, slots):
         self.free = slots
-        self.line.dispatch()
+        self.queue.dispatch()
         return self.granted
 
 
-def test_one_that_is_late_waits_behind_one_that_is_not():
-    line = Line()
-    late = line.enter()
-    line.clock.advance(1.5)
-    fresh = line.enter()
-    assert line.serve(1) == [fresh]
-    assert line.serve(1) == [fresh, late]
+def test_a_late_request_waits_behind_one_in_time():
+    harness = Harness()
+    late = harness.submit()
+    harness.clock.advance(1.5)
+    in_time = harness.submit()
+    assert harness.dispatch(1) == [in_time]
+    assert harness.dispatch(1) == [in_time, late]
 
 
-def test_late_ones_keep_their_order_among_themselves():
-    line = Line()
-    low = line.enter(priority=2)
-    high = line.enter(priority=1)
-    line.clock.advance(1.5)
-    assert line.serve(2) == [high, low]
+def test_late_requests_keep_their_order():
+    harness = Harness()
+    low = harness.submit(priority=2)
+    high = harness.submit(priority=1)
+    harness.clock.advance(1.5)
+    assert harness.dispatch(2) == [high, low]
 
 
-def test_a_late_one_is_refused_when_its_deadline_comes():
-    line = Line()
-    late = line.enter(deadline_in_s=2.0)
-    line.clock.advance(1.5)
-    fresh = line.enter()
-    line.clock.advance(0.6)
-    line.line.dispatch()
-    assert (late.ended, fresh.ended) == ('QueueDeadlineError', '')
+def test_a_late_request_is_refused_at_its_deadline():
+    harness = Harness()
+    late = harness.submit(deadline_in_s=2.0)
+    harness.clock.advance(1.5)
+    in_time = harness.submit()
+    harness.clock.advance(0.6)
+    harness.queue.dispatch()
+    assert (late.outcome, in_time.outcome) == ('QueueDeadlineError', '')
 
 
-def test_a_full_line_gives_the_place_of_a_late_one_to_one_in_time():
-    line = Line(length=1)
-    late = line.enter()
-    line.clock.advance(1.5)
-    line.line.dispatch()
-    fresh = line.enter()
-    assert late.ended == 'DisplacedError'
-    assert line.serve(1) == [fresh]
+def test_a_request_in_time_displaces_a_late_one_from_a_full_queue():
+    harness = Harness(length=1)
+    late = harness.submit()
+    harness.clock.advance(1.5)
+    harness.queue.dispatch()
+    in_time = harness.submit()
+    assert late.outcome == 'DisplacedError'
+    assert harness.dispatch(1) == [in_time]
 
 
 ARRIVALS = st.lists(
@@ -111,28 +111,29 @@
 
 
 @given(ARRIVALS)
-def test_each_ends_once_and_nobody_late_goes_before_one_in_time(arrivals):
-    line = Line(length=8)
-    known = []
-    for gap_s, priority, best_in_s, slots in arrivals:
-        line.clock.advance(gap_s)
-        known.append(line.enter(priority, best_in_s))
-        now_s = line.clock.monotonic_s()
-        waiting = [one for one in known if not one.ended]
-        before = len(line.granted)
-        line.serve(slots)
-        served = line.granted[before:]
-        line.free = 0
+def test_each_request_ends_once_and_late_ones_come_last(arrivals):
+    harness = Harness(length=8)
+    waiters = []
+    for gap_s, priority, preferred_in_s, slots in arrivals:
+        harness.clock.advance(gap_s)
+        waiters.append(harness.submit(priority, preferred_in_s))
+        now_s = harness.clock.monotonic_s()
+        waiting = [waiter for waiter in waiters if not waiter.outcome]
+        granted_before = len(harness.granted)
+        harness.dispatch(slots)
+        granted = harness.granted[granted_before:]
+        harness.free = 0
         in_time_left = any(
-            now_s < one.request.preferred_start_by_s
-            for one in waiting
-            if not one.ended
+            now_s < waiter.request.preferred_start_by_s
+            for waiter in waiting
+            if not waiter.outcome
         )
         if in_time_left:
             assert all(
-                now_s < one.request.preferred_start_by_s for one in served
+                now_s < waiter.request.preferred_start_by_s
+                for waiter in granted
             )
-    line.clock.advance(10.0)
-    line.line.dispatch()
-    assert all(one.ended for one in known)
-    assert len(line.granted) == len(set(map(id, line.granted)))
+    harness.clock.advance(10.0)
+    harness.queue.dispatch()
+    assert all(waiter.outcome for waiter in waiters)
+    assert len(harness.granted) == len(set(map(id, harness.granted)))
--- a/libraries/routing/tests/cover/test_routing_slot_queue.py
+++ b/libraries/routing/tests/cover/test_routing_slot_queue.py
@@ -1,4 +1,4 @@
-"""The queue for slots leaks none, loses no wake-up and keeps its order."""
+"""The slot queue leaks no slots, misses no wake-ups and keeps its order."""
 
 import asyncio
 import random
@@ -23,34 +23,34 @@
     return isinstance(error, errors.QueueFullError)
 
 
-def _some_run(machine):
+def _has_running(machine):
     return bool(machine.running)
 
 
-def _some_wait(machine):
+def _has_waiting(machine):
     return bool(machine.waiting)
 
 
-def _some_run_and_wait(machine):
-    return _some_run(machine) and _some_wait(machine)
+def _has_running_and_waiting(machine):
+    return _has_running(machine) and _has_waiting(machine)
 
 
 class _Caller:
     """A task that acquires a slot, and how it ended."""
 
-    def __init__(self, machine, number, work):
-        self.work = work
-        self.rank = (work.priority, work.deadline_s, number)
+    def __init__(self, machine, number, request):
+        self.request = request
+        self.rank = (request.priority, request.deadline_s, number)
         self.task = machine.runner.get_loop().create_task(
             machine.queue.acquire(
-                work,
+                request,
                 lambda: machine.slots.reserve(machine.chooser),
             ),
         )
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-    """Arrivals, ends, cancellations and time in any order."""
+    """Arrivals, completions, cancellations and elapsed time in any order."""
 
     def __init__(self):
         super().__init__()
@@ -97,59 +97,61 @@
         self._settle()
         self.arrived += 1
         deadline_s = self.clock.monotonic_s() + remaining_s
-        work = admission.QueuedRequest(priority, deadline_s, accepts_any_target)
-        before = sorted(self.waiting, key=lambda one: one.rank)
-        caller = _Caller(self, self.arrived, work)
+        request = admission.QueuedRequest(
+            priority, deadline_s, accepts_any_target
+        )
+        before = sorted(self.waiting, key=lambda waiter: waiter.rank)
+        caller = _Caller(self, self.arrived, request)
         self.waiting.append(caller)
         self._settle()
-        ends = [_error(one) for one in (*before, caller)]
+        outcomes = [_error(waiter) for waiter in (*before, caller)]
         if len(before) < _LENGTH or caller.task.cancelled():
-            assert not any(_is_full(end) for end in ends)
-        elif isinstance(ends[-1], errors.QueueDeadlineError):
-            assert not any(ends[:-1])
-        elif before[-1].work.priority > priority:
-            # The newcomer takes the place of the last one, and no other's.
-            assert isinstance(ends[-2], errors.DisplacedError)
-            assert not any(ends[:-2]) and ends[-1] is None
+            assert not any(_is_full(error) for error in outcomes)
+        elif isinstance(outcomes[-1], errors.QueueDeadlineError):
+            assert not any(outcomes[:-1])
+        elif before[-1].request.priority > priority:
+            # The new request displaces only the last one.
+            assert isinstance(outcomes[-2], errors.DisplacedError)
+            assert not any(outcomes[:-2]) and outcomes[-1] is None
         else:
-            assert _is_full(ends[-1])
-            assert not any(ends[:-1])
-
-    @stateful.precondition(_some_run)
-    @stateful.rule(place=st.integers(0, _SLOTS))
-    def finish(self, place):
-        caller = self.running.pop(place % len(self.running))
-        before = sorted(self.waiting, key=lambda one: one.rank)
+            assert _is_full(outcomes[-1])
+            assert not any(outcomes[:-1])
+
+    @stateful.precondition(_has_running)
+    @stateful.rule(position=st.integers(0, _SLOTS))
+    def finish(self, position):
+        caller = self.running.pop(position % len(self.running))
+        before = sorted(self.waiting, key=lambda waiter: waiter.rank)
         self.slots.release(caller.task.result())
         self.queue.wake()
         granted = self._settle()
         self.ended += 1
-        alive = [
-            one
-            for one in before
-            if not one.task.cancelled() and _error(one) is None
+        still_waiting = [
+            waiter
+            for waiter in before
+            if not waiter.task.cancelled() and _error(waiter) is None
         ]
-        assert granted == alive[: len(granted)]
+        assert granted == still_waiting[: len(granted)]
 
-    @stateful.precondition(_some_wait)
-    @stateful.rule(place=st.integers(0, _LENGTH), also_finish=st.booleans())
-    def cancel(self, place, also_finish):
-        self.waiting[place % len(self.waiting)].task.cancel()
+    @stateful.precondition(_has_waiting)
+    @stateful.rule(position=st.integers(0, _LENGTH), also_finish=st.booleans())
+    def cancel(self, position, also_finish):
+        self.waiting[position % len(self.waiting)].task.cancel()
         if also_finish and self.running:
-            # A slot comes free between the cancellation and its effect.
+            # A slot becomes free before the cancellation takes effect.
             self.finish(0)
         else:
             self._settle()
 
-    @stateful.precondition(_some_run_and_wait)
+    @stateful.precondition(_has_running_and_waiting)
     @stateful.rule()
     def cancel_just_after_the_grant(self):
         caller = self.running.pop(0)
         self.ended += 1
-        best = min(self.waiting, key=lambda one: one.rank)
+        first = min(self.waiting, key=lambda waiter: waiter.rank)
         self.slots.release(caller.task.result())
         self.queue.wake()
-        best.task.cancel()
+        first.task.cancel()
         self._settle()
 
     @stateful.rule(elapsed_s=st.sampled_from([0.1, 0.6, 6.0]))
@@ -158,29 +160,29 @@
         self.queue.wake()
         self._settle()
         now_s = self.clock.monotonic_s()
-        assert all(one.work.deadline_s > now_s for one in self.waiting)
+        assert all(waiter.request.deadline_s > now_s for waiter in self.waiting)
 
     @stateful.rule(service_s=st.sampled_from([0.01, 0.4, 10.0]))
     def observe_service_time(self, service_s):
         self.queue.observe_service_time(service_s)
 
     @stateful.invariant()
-    def nothing_is_leaked_or_idle(self):
-        held = sum(self.slots.report().values())
-        assert held == len(self.running)
-        assert held <= _SLOTS
+    def no_slot_is_leaked_or_needlessly_idle(self):
+        reserved = sum(self.slots.report().values())
+        assert reserved == len(self.running)
+        assert reserved <= _SLOTS
         assert len(self.queue) == len(self.waiting)
         assert len(self.waiting) <= _LENGTH
-        if held < _SLOTS:
+        if reserved < _SLOTS:
             assert not self.waiting
 
     def _settle(self):
-        async def _turns():
+        async def _run_pending_tasks():
             for _ in range(4):
                 await asyncio.sleep(0)
 
-        self.runner.run(_turns())
-        granted, still = [], []
+        self.runner.run(_run_pending_tasks())
+        granted, still_waiting = [], []
         for caller in self.waiting:
             if caller.task.cancelled():
                 self.ended += 1
@@ -189,8 +191,8 @@
             elif caller.task.done():
                 granted.append(caller)
             else:
-                still.append(caller)
-        self.waiting = still
+                still_waiting.append(caller)
+        self.waiting = still_waiting
         self.running.extend(granted)
         return granted
 
@@ -217,22 +219,22 @@
     return manual, queue, choose
 
 
-async def test_refusals_tell_different_callers_different_times():
+async def test_refused_callers_get_different_retry_times():
     _, queue, choose = _queue(0, [])
     queue.observe_service_time(2.0)
-    ends = await asyncio.gather(
+    refusals = await asyncio.gather(
         *(
             queue.acquire(admission.QueuedRequest(0, 9.0), choose)
             for _ in range(50)
         ),
         return_exceptions=True,
     )
-    assert all(_is_full(end) for end in ends)
-    assert len({end.retry_after_s for end in ends}) == 50
-    assert min(end.retry_after_s for end in ends) >= 2.0
+    assert all(_is_full(error) for error in refusals)
+    assert len({error.retry_after_s for error in refusals}) == 50
+    assert min(error.retry_after_s for error in refusals) >= 2.0
 
 
-async def test_work_that_can_not_be_done_in_time_is_refused_while_waiting():
+async def test_a_waiting_request_is_refused_once_it_is_too_late():
     manual, queue, choose = _queue(3, [])
     queue.observe_service_time(1.0)
     waiting = asyncio.create_task(
@@ -257,7 +259,7 @@
         await queue.acquire(admission.QueuedRequest(0, 2.5), choose)
 
 
-async def test_a_slot_that_comes_free_by_time_alone_is_found():
+async def test_a_slot_that_becomes_free_without_an_event_is_found():
     free = []
     _, queue, choose = _queue(3, free, recheck_interval_s=0.001)
     waiting = asyncio.create_task(
@@ -268,25 +270,25 @@
     assert await asyncio.wait_for(waiting, timeout=20) == 't1'
 
 
-async def test_a_request_that_refuses_targets_does_not_block_the_others():
+async def test_a_request_without_a_suitable_target_does_not_block_others():
     free = []
     _, queue, choose = _queue(3, free)
-    picky = asyncio.create_task(
+    unsatisfied = asyncio.create_task(
         queue.acquire(admission.QueuedRequest(0, 60.0), lambda: None)
     )
-    other = asyncio.create_task(
+    satisfied = asyncio.create_task(
         queue.acquire(admission.QueuedRequest(1, 60.0), choose)
     )
     await asyncio.sleep(0)
     free.append('t1')
     queue.wake()
     await asyncio.sleep(0)
-    assert other.done()
-    assert other.result() == 't1'
-    picky.cancel()
+    assert satisfied.done()
+    assert satisfied.result() == 't1'
+    unsatisfied.cancel()
 
 
-async def test_a_choice_that_fails_ends_its_own_request_and_no_other():
+async def test_an_error_in_choose_ends_only_its_own_request():
     free = []
     _, queue, choose = _queue(3, free)
 
@@ -297,7 +299,7 @@
     faulty = asyncio.create_task(
         queue.acquire(admission.QueuedRequest(0, 60.0), fail)
     )
-    other = asyncio.create_task(
+    satisfied = asyncio.create_task(
         queue.acquire(admission.QueuedRequest(1, 60.0), choose)
     )
     await asyncio.sleep(0)
@@ -305,8 +307,8 @@
     queue.wake()
     for _ in range(3):
         await asyncio.sleep(0)
-    assert other.done()
-    assert other.result() == 't1'
+    assert satisfied.done()
+    assert satisfied.result() == 't1'
     with pytest.raises(LookupError):
         await faulty
     free.append('t1')
@@ -318,6 +320,6 @@
 @pytest.mark.parametrize(
     ('length', 'interval_s'), [(-1, 0.05), (3, 0.0), (3, -1.0)]
 )
-def test_wrong_options_are_refused_at_the_start(length, interval_s):
+def test_invalid_options_are_rejected(length, interval_s):
     with pytest.raises(core_errors.InvalidArgumentError):
         _queue(length, [], recheck_interval_s=interval_s)
