--- a/libraries/zones/src/sardinepier/zones/ranking.py
+++ b/libraries/zones/src/sardinepier/zones/ranking.py
@@ -49,7 +49,9 @@
     zone: ids.ZoneName, zone_members: list[members.Member]
 ) -> Members:
     by_name = {str(member.instance_id): member for member in zone_members}
-    order = rendezvous.top_candidates(_KEY.format(zone), by_name, len(zone_members))
+    order = rendezvous.top_candidates(
+        _KEY.format(zone), by_name, len(zone_members)
+    )
     ranked = [by_name[name] for name in order]
     # The sort is stable: it keeps the order of equally strong members.
     ranked.sort(key=_strength, reverse=True)
