--- a/libraries/entry/src/sardinepier/entry/attempt_requirements.py
+++ b/libraries/entry/src/sardinepier/entry/attempt_requirements.py
@@ -1,4 +1,4 @@
-"""What a request wants of its target, and how much less it takes in time."""
+"""What a request requires of its target, and how this is relaxed over time."""
 
 import dataclasses
 from collections.abc import Collection
@@ -7,20 +7,20 @@
 from sardinepier.core import ids
 
 _TOLERANCE: Final = 0.06
-"""Additional chance of failure that is accepted without any wait: a slot of
+"""Additional failure probability that is accepted without any wait: a slot of
 the best target comes free within a tenth of a second."""
 
-_LEAST_PATIENCE_S: Final = 0.01
+_MIN_TIMEOUT_S: Final = 0.01
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptRequirements:
-    """What a request wants of its target.
+    """What one attempt of a request requires of its target.
 
-    ``tried`` had it already. It is worth a wait until ``prefer_best_until_s``,
-    counted from ``since_s``, to get a target that is surer than those with a
-    free slot. ``is_final_attempt`` says that a failure would be final: this attempt
-    can't be followed by another one elsewhere.
+    Targets in ``tried`` had the request already. From ``since_s`` until
+    ``prefer_best_until_s`` the request waits for a better target than those
+    with a free slot. ``is_final_attempt`` says that no retry may follow, so
+    that a failure would be final.
     """
 
     tried: Collection[ids.TargetId]
@@ -30,9 +30,7 @@
     is_final_attempt: bool = False
 
     def tolerance(self, now_s: float) -> float:
-        """Return by how much the target may be worse than the best one."""
-        patience_s = max(
-            _LEAST_PATIENCE_S, self.prefer_best_until_s - self.since_s
-        )
-        waited = (now_s - self.since_s) / patience_s
+        """Return by how much the target may cost more than the best one."""
+        timeout_s = max(_MIN_TIMEOUT_S, self.prefer_best_until_s - self.since_s)
+        waited = (now_s - self.since_s) / timeout_s
         return _TOLERANCE + max(0.0, waited)
--- a/libraries/entry/src/sardinepier/entry/capacity_forecast.py
+++ b/libraries/entry/src/sardinepier/entry/capacity_forecast.py
@@ -1,4 +1,4 @@
-"""When the targets of a service want requests, by what they asked for."""
+"""When the targets of a service accept requests, by their statements."""
 
 import math
 import random
@@ -11,7 +11,7 @@
 from sardinepier.routing import wait_queue
 
 _RETRY_AFTER_S: Final = 0.2
-"""After which slots came free, or a list of targets may have changed."""
+"""By then slots have come free, or the list of targets may have changed."""
 
 
 def next_accepting_s(
@@ -19,7 +19,7 @@
     tried: Collection[ids.TargetId],
     now_s: float,
 ) -> float:
-    """Return from when on a target beside ``tried`` wants a request.
+    """Return when the first target that is not in ``tried`` accepts a request.
 
     It is infinite when none ever will, as far as this daemon knows.
     """
@@ -28,7 +28,7 @@
         if record.listed.target_id not in tried:
             opens_at_s = min(opens_at_s, record.statements.opens_at_s(now_s))
             if opens_at_s <= now_s:
-                # Mostly the first one: few targets ask for anything.
+                # Usually the first target: few targets state anything.
                 return now_s
     return opens_at_s
 
@@ -37,10 +37,10 @@
     table: target_table.TargetTable,
     now_s: float,
 ) -> wait_queue.CapacityForecast:
-    """Return when the targets want requests again, and how many."""
+    """Return when the targets accept requests again, and how many."""
     if next_accepting_s(table, (), now_s) <= now_s or not table.records():
         return wait_queue.AVAILABLE_NOW
-    # Whoever is closed asked for something.
+    # None accepts a request, so that each has stated something.
     return target_statements.forecast(
         (record.statements for record in table.with_statements()),
         now_s,
@@ -52,7 +52,7 @@
     now_s: float,
     random_source: random.Random,
 ) -> float:
-    """Return when a new try makes sense, at this daemon or another one."""
+    """Return after how many seconds a caller should try any daemon again."""
     return target_statements.retry_after_s(
         (record.statements.wait_s(now_s) for record in records),
         _RETRY_AFTER_S,
--- a/libraries/entry/src/sardinepier/entry/confirmation.py
+++ b/libraries/entry/src/sardinepier/entry/confirmation.py
@@ -1,12 +1,12 @@
-"""Until when the configuration in force is known to be the newest.
+"""How long the configuration in force is known to be the newest.
 
-A key that was withdrawn must stop working within a bound at every daemon, also
-at one that is cut off. Each daemon therefore holds the moment at which somebody
-asked the platform the question whose answer confirmed its configuration: all
-that was acknowledged before that question is in force here. The moment is
-told on as an age, and becomes a deadline on arrival.
+A withdrawn key must stop working within a bound at every daemon, also at one
+that is partitioned. Each daemon therefore keeps the time of the request to the
+platform whose reply confirmed its configuration. All changes that were
+acknowledged before that request are in force here. Daemons send the time to
+each other as an age, from which the receiver computes a deadline.
 
-The clock includes the time in which the machine was suspended.
+The clock includes the time for which the machine was suspended.
 """
 
 import asyncio
@@ -17,18 +17,17 @@
 
 from sardinepier.core import clock as clocks
 
-
-_HOPELESS_S: Final = 1.0
-"""How long no further request waits after one that did so in vain."""
+_FAIL_FAST_S: Final = 1.0
+"""How long requests are refused at once after a wait that timed out."""
 
 
 class Confirmation:
-    """Knows how long ago the configuration was certainly the newest.
+    """Keeps when the configuration was last confirmed to be the newest.
 
     For example::
 
         confirmation = Confirmation(clock, bound_s=5.0)
-        confirmation.confirm(asked_s)
+        confirmation.confirm(requested_s)
         if not await confirmation.wait(0.3):
             refuse()
     """
@@ -40,54 +39,55 @@
     ) -> None:
         """Start unconfirmed. Without ``bound_s`` no confirmation is needed.
 
-        ``on_wait`` is set by whoever can ask for a confirmation.
+        ``on_wait`` is called when the first request begins to wait, and is set
+        by the code that can request a confirmation.
         """
-        self.on_wait: Callable[[], None] = _nobody_asks
+        self.on_wait: Callable[[], None] = _ignore_wait
         self._clock = clock
         self._bound_s = bound_s
-        self._asked_s: float | None = None
+        self._requested_s: float | None = None
         self._valid_until_s = 0.0
         self._waiting = 0
         self._waiting_since_s = 0.0
-        self._hopeless_until_s = -math.inf
-        self._noted = asyncio.Event()
+        self._fail_fast_until_s = -math.inf
+        self._confirmed = asyncio.Event()
 
     @property
     def is_needed(self) -> bool:
-        """Tell whether requests need a confirmation at all."""
+        """Return whether requests need a confirmation at all."""
         return self._bound_s is not None
 
     def now_s(self) -> float:
-        """Return the moment to remember when asking the platform."""
+        """Return the time to keep when sending a request to the platform."""
         return self._clock.boot_s()
 
     def age_s(self) -> float | None:
-        """Return how long ago the confirming question was asked."""
-        if self._asked_s is None:
+        """Return the age of the confirming request, None without any."""
+        if self._requested_s is None:
             return None
-        return self._clock.boot_s() - self._asked_s
+        return self._clock.boot_s() - self._requested_s
 
     def confirm(self, requested_s: float) -> None:
-        """Take in that a question of ``requested_s`` confirmed the configuration."""
+        """Record that a request sent at ``requested_s`` confirmed it."""
         if self._bound_s is None:
             return
-        if self._asked_s is not None and requested_s <= self._asked_s:
+        if self._requested_s is not None and requested_s <= self._requested_s:
             return
-        self._asked_s = requested_s
+        self._requested_s = requested_s
         self._valid_until_s = requested_s + self._bound_s
-        self._hopeless_until_s = -math.inf
-        self._noted.set()
+        self._fail_fast_until_s = -math.inf
+        self._confirmed.set()
 
     def is_valid(self) -> bool:
-        """Tell whether a key can be checked now."""
+        """Return whether a key can be checked now."""
         if self._bound_s is None:
             return True
-        if self._asked_s is None:
+        if self._requested_s is None:
             return False
         return self._clock.boot_s() < self._valid_until_s
 
     def longest_wait_s(self) -> float | None:
-        """Return how long requests have waited, None while none waits."""
+        """Return how long requests have been waiting, None if none waits."""
         if not self._waiting:
             return None
         return self._clock.boot_s() - self._waiting_since_s
@@ -95,34 +95,34 @@
     async def wait(self, within_s: float) -> bool:
         """Wait until a key can be checked; return whether it can.
 
-        After a wait in vain others end at once for a while: they are refused
-        all the same.
+        For a while after a wait that timed out, further calls return False at
+        once, as they would probably time out, too.
         """
         if self.is_valid():
             return True
-        if self._clock.boot_s() < self._hopeless_until_s:
+        if self._clock.boot_s() < self._fail_fast_until_s:
             return False
         if not self._waiting:
             self._waiting_since_s = self._clock.boot_s()
             self.on_wait()
         self._waiting += 1
         with contextlib.ExitStack() as stack:
-            stack.callback(self._ends_wait)
+            stack.callback(self._end_wait)
             stack.enter_context(contextlib.suppress(TimeoutError))
             async with asyncio.timeout(within_s):
                 await self._until_valid()
         if not self.is_valid():
-            self._hopeless_until_s = self._clock.boot_s() + _HOPELESS_S
+            self._fail_fast_until_s = self._clock.boot_s() + _FAIL_FAST_S
         return self.is_valid()
 
-    def _ends_wait(self) -> None:
+    def _end_wait(self) -> None:
         self._waiting -= 1
 
     async def _until_valid(self) -> None:
         while not self.is_valid():
-            self._noted.clear()
-            await self._noted.wait()
+            self._confirmed.clear()
+            await self._confirmed.wait()
 
 
-def _nobody_asks() -> None:
-    """Stand in for ``on_wait`` while nobody can ask."""
+def _ignore_wait() -> None:
+    """Act as ``on_wait`` until a callback is set."""
--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -1,27 +1,32 @@
-"""Log lines about what was decided for a request, and on what grounds.
+"""Log lines about the decisions on a request, and what they are based on.
 
-Attempts are told when they begin, failures and refusals when they come.
-Requests that are answered at the first attempt are only counted.
+Attempts are logged when they begin, failures and refusals when they occur. The
+end of a request that is answered at the first attempt is not logged.
 """
 
 import dataclasses
 from typing import Final
 
 from sardinepier.core import clock as clocks
-from sardinepier.entry import events, service_registry, target_record
-from sardinepier.entry import caller_request
+from sardinepier.entry import (
+    caller_request,
+    events,
+    service_registry,
+    target_record,
+)
 from sardinepier.gateway import statements
 from sardinepier.telemetry import line_budget, logs
 
 _MS_PER_S: Final = 1000
 _NO_LIMIT: Final = -1.0
-_SENT_PER_S: Final = 60.0
-"""Lines about attempts: a carrier's usual traffic and half as much again. At
-forty microseconds each that is a quarter of a hundredth of a processor."""
+_ATTEMPT_LINES_PER_S: Final = 60.0
+"""Lines about attempts per second: one and a half times the typical traffic of
+a carrier. At forty microseconds each they use a quarter of a percent of a
+processor."""
 
-_FAILED_PER_S: Final = 120.0
+_FAILURE_LINES_PER_S: Final = 120.0
 _BURST_S: Final = 2.0
-"""How long twice as many lines may come as on average."""
+"""Seconds of the average rate that may be written at once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,30 +40,30 @@
 
 
 class DecisionLog:
-    """Writes the lines of one daemon, within bounds."""
+    """Writes the log lines of one daemon's decisions, at a bounded rate."""
 
     def __init__(
         self,
-        held: service_registry.ServiceRegistry,
+        services: service_registry.ServiceRegistry,
         clock: clocks.Clock,
     ) -> None:
-        """Tell versions and targets from ``held``."""
-        self._held = held
+        """Log the versions and targets of ``services`` with each line."""
+        self._services = services
         self._clock = clock
-        self._sent = _budget(clock, _SENT_PER_S)
-        self._failed = _budget(clock, _FAILED_PER_S)
+        self._sent = _budget(clock, _ATTEMPT_LINES_PER_S)
+        self._failed = _budget(clock, _FAILURE_LINES_PER_S)
 
     def log_attempt(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         record: target_record.TargetRecord,
         reason: events.Reason,
         typical_latency_s: float,
     ) -> events.Choice:
-        """Tell that an attempt begins, and return what it rests on."""
+        """Log that an attempt begins, and return what it is based on."""
         now_s = self._clock.monotonic_s()
         choice = events.Choice(
-            attempt=item.attempts,
+            attempt=request.attempts,
             reason=reason,
             target=record.listed.target_id,
             target_zone=record.listed.zone,
@@ -70,23 +75,25 @@
             in_flight=record.in_flight(now_s),
         )
         if self._sent.allows():
-            logs.write(self._sent_line(item, choice, now_s), is_routine=True)
+            logs.write(
+                self._attempt_line(request, choice, now_s), is_routine=True
+            )
         return choice
 
     def log_statement(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         record: target_record.TargetRecord,
         statement: statements.Statement,
     ) -> None:
-        """Tell what a target said of itself."""
+        """Log what a target stated of itself."""
         if not self._failed.allows():
             return
-        rest_s = statement.backoff_until_s - self._clock.monotonic_s()
+        backoff_s = statement.backoff_until_s - self._clock.monotonic_s()
         logs.write(
             events.TargetStated(
-                request_id=item.request_id,
-                service=item.service,
+                request_id=request.request_id,
+                service=request.service,
                 target=record.listed.target_id,
                 is_leaving=statement.is_leaving,
                 limit_per_s=(
@@ -94,26 +101,26 @@
                     if statement.limit_per_s is None
                     else statement.limit_per_s
                 ),
-                rest_ms=_ms(max(0.0, rest_s)),
+                rest_ms=_ms(max(0.0, backoff_s)),
             ),
         )
 
     def log_attempt_failed(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         choice: events.Choice,
         what: str,
         taken_s: float,
     ) -> None:
-        """Tell that an attempt failed."""
+        """Log that an attempt failed."""
         if not self._failed.allows():
             return
         logs.write(
             events.AttemptFailed(
-                request_id=item.request_id,
-                route=item.route.name,
-                service=item.service,
-                repeatable=item.route.is_idempotent,
+                request_id=request.request_id,
+                route=request.route.name,
+                service=request.service,
+                repeatable=request.route.is_idempotent,
                 choice=choice,
                 what=what,
                 taken_ms=_ms(taken_s),
@@ -123,80 +130,82 @@
     def log_ended(
         self,
         request_id: str,
-        item: caller_request.CallerRequest | None,
+        request: caller_request.CallerRequest | None,
         end: End,
     ) -> None:
-        """Tell how a request ended, unless it was simply answered."""
+        """Log how a request ended, unless its first attempt was answered."""
         is_plain = end.outcome is events.Outcome.ANSWERED
-        if item is not None and is_plain and item.attempts == 1:
+        if request is not None and is_plain and request.attempts == 1:
             return
         if self._failed.allows():
-            logs.write(self._ended_line(request_id, item, end))
+            logs.write(self._ended_line(request_id, request, end))
 
     def log_dropped(self) -> None:
-        """Tell how many lines were left out since the last call, if any."""
+        """Log how many lines were dropped since the last call, if any."""
         sent = self._sent.pop_dropped_count()
         failed = self._failed.pop_dropped_count()
         if sent or failed:
             logs.write(events.LinesDropped(sent=sent, failed=failed))
 
-    def _sent_line(
+    def _attempt_line(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         choice: events.Choice,
         now_s: float,
     ) -> events.RequestSent:
-        version, revision = self._held.versions()
+        version, revision = self._services.versions()
         return events.RequestSent(
-            request_id=item.request_id,
-            route=item.route.name,
-            service=item.service,
-            repeatable=item.route.is_idempotent,
+            request_id=request.request_id,
+            route=request.route.name,
+            service=request.service,
+            repeatable=request.route.is_idempotent,
             choice=choice,
-            waited_ms=_ms(now_s - item.arrived_s),
-            left_ms=_ms(item.left_s(self._clock)),
+            waited_ms=_ms(now_s - request.arrived_s),
+            left_ms=_ms(request.left_s(self._clock)),
             configuration_version=version,
             targets_revision=revision,
-            targets_age_ms=self._held.targets_age_ms(),
+            targets_age_ms=self._services.targets_age_ms(),
         )
 
     def _ended_line(
         self,
         request_id: str,
-        item: caller_request.CallerRequest | None,
+        request: caller_request.CallerRequest | None,
         end: End,
     ) -> events.RequestEnded:
         now_s = self._clock.monotonic_s()
-        version, revision = self._held.versions()
-        targets, with_room = self._room(item, now_s)
+        version, revision = self._services.versions()
+        targets, with_room = self._target_counts(request, now_s)
         return events.RequestEnded(
             request_id=request_id,
-            customer=_customer_name(item),
-            route=item.route.name if item else '',
-            service=item.service if item else '',
+            customer=_customer_name(request),
+            route=request.route.name if request else '',
+            service=request.service if request else '',
             outcome=end.outcome,
             status=end.status,
             error=end.error,
             what=end.what,
-            attempts=item.attempts if item else 0,
-            taken_ms=_ms(now_s - item.arrived_s) if item else 0,
+            attempts=request.attempts if request else 0,
+            taken_ms=_ms(now_s - request.arrived_s) if request else 0,
             targets=targets,
             with_room=with_room,
             configuration_version=version,
             targets_revision=revision,
         )
 
-    def _room(
-        self, item: caller_request.CallerRequest | None, now_s: float
+    def _target_counts(
+        self, request: caller_request.CallerRequest | None, now_s: float
     ) -> tuple[int, int]:
-        if item is None:
+        if request is None:
             return 0, 0
-        records = self._held.pool(item.service).targets.records()
-        return len(records), sum(one.has_free_slot(now_s) for one in records)
+        records = self._services.pool(request.service).targets.records()
+        return len(records), sum(
+            record.has_free_slot(now_s) for record in records
+        )
 
 
-def _customer_name(item: caller_request.CallerRequest | None) -> str:
-    return item.customer.name if item and item.customer else ''
+def _customer_name(request: caller_request.CallerRequest | None) -> str:
+    return request.customer.name if request and request.customer else ''
 
 
 def _budget(clock: clocks.Clock, per_s: float) -> line_budget.LineBudget:
--- a/libraries/entry/src/sardinepier/entry/exploration.py
+++ b/libraries/entry/src/sardinepier/entry/exploration.py
@@ -1,12 +1,13 @@
-"""Targets that deserve a request although others look surer.
+"""Explores targets: sends a request to one that is not the best, to learn of
+it.
 
-Requests gather on the surest targets. A target that joined later would never
-be tried, and one that failed and has recovered would stay idle while requests
-fail elsewhere for want of sound targets.
+Requests concentrate on the best targets. Without exploration a target that
+joined later would never be used, and one that failed and has recovered would
+stay idle while requests fail elsewhere for want of sound targets.
 
-The users allow some sound targets to be idle, but not many of them for two
-seconds while a tenth of the requests fail. All that is in flight may fail at
-once, when power is lost, too late to spread requests then.
+Some sound targets may be idle, but not many of them for two seconds while a
+tenth of the requests fail. All requests in flight may fail at once in a power
+failure, when it is too late to spread them.
 """
 
 import dataclasses
@@ -16,39 +17,40 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.entry import (
+    attempt_requirements,
     idle_threshold,
-    target_cost,
     recent_failures,
+    target_cost,
     target_record,
-    attempt_requirements,
 )
 
 _UNUSED_AFTER_S: Final = 2.0
-"""A target that got nothing for so long after it came is tried next."""
+"""Time after its warm-up when a target that got no request yet is explored."""
 
-_IDLE_TRIAL_S: Final = 0.4
-"""An attempt that another one may follow costs little when it fails, so that
-it goes to a target that was idle for so long at any time."""
+_RETRYABLE_IDLE_S: Final = 0.4
+"""Idle time after which a target is explored by an attempt that may be retried,
+whose failure costs little."""
 
-_LONGEST_IDLE_S: Final = 1.7
-"""Where no such attempt came by, others go there just in time."""
+_MAX_IDLE_S: Final = 1.7
+"""Idle time after which a target is explored by any attempt, just before it has
+been idle for two seconds."""
 
-_DOUBTED_S: Final = 1.0
-"""Pace of trials of a target that failed. While it fails each costs a hundredth
-of a second and a repeat; the sooner it is known to be sound, the more there is
-for others."""
+_SUSPECTED_IDLE_S: Final = 1.0
+"""Idle time after which a suspected target is explored. A failed exploration
+costs a hundredth of a second and a retry. The sooner the target is known to be
+sound, the more slots there are for other requests."""
 
-_MOST_CHANCE: Final = 0.5
-"""A target that fails more likely than not is no help."""
+_MAX_PROBABILITY: Final = 0.5
+"""Targets that fail more likely than this are not explored."""
 
 
 def find_unused(
     free: Iterable[target_record.TargetRecord],
     context: target_cost.SelectionContext,
 ) -> target_record.TargetRecord | None:
-    """Return a target that waits for its first request.
+    """Return a target that never got a request.
 
-    Like all that have a turn, it is of the own zone or of one that is lost.
+    Only targets of the own zone and of unreachable zones are explored.
     """
     for record in free:
         if record.was_ever_used() or not context.covers_zone(
@@ -62,32 +64,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExplorationRule:
-    """When an idle target has its turn.
+    """When an idle target is explored.
 
-    It was idle for ``idle_s`` and fails with a chance below ``most_chance``.
+    It was idle for more than ``idle_s``, and its failure probability is below
+    ``max_probability``.
     """
 
     idle_s: float
-    most_chance: float
+    max_probability: float
 
 
-SUSPECTED_RULE: Final = ExplorationRule(_DOUBTED_S, math.inf)
-"""Whatever is believed of a target: for attempts that another may follow."""
+SUSPECTED_RULE: Final = ExplorationRule(_SUSPECTED_IDLE_S, math.inf)
+"""For attempts that may be retried: any failure probability."""
 
-ANY_TARGET_RULE: Final = ExplorationRule(_LONGEST_IDLE_S, math.inf)
-"""Whatever is believed of a target, for attempts whose failure is final, while
-many fail: it counts as sound two seconds after it failed."""
+ANY_TARGET_RULE: Final = ExplorationRule(_MAX_IDLE_S, math.inf)
+"""For attempts that can't be retried, while many requests fail: any failure
+probability, as a target counts as sound two seconds after it failed."""
 
 
 def find_longest_idle(
     free: Iterable[target_record.TargetRecord],
     context: target_cost.SelectionContext,
-    due: ExplorationRule,
+    rule: ExplorationRule,
 ) -> target_record.TargetRecord | None:
-    """Return the target of the own zone that has been idle for longest.
+    """Return the target that ``rule`` allows and that was idle for longest.
 
-    Whoever of the zone used it counts. One to which the way was lost has no
-    turn: a try would cost a third of a second, and it is no sound target.
+    A request of any daemon of the zone ends the idle time. A target that was
+    unreachable a moment ago is not explored: a connection attempt would cost a
+    third of a second, and the target does not count as sound.
     """
     now_s = context.now_s
     idle = [
@@ -95,9 +99,9 @@
         for record in free
         if context.covers_zone(record.listed.zone)
         and not record.is_avoided(now_s)
-        and now_s - record.last_known_use_s() > due.idle_s
+        and now_s - record.last_known_use_s() > rule.idle_s
         and record.failure_probability(now_s, context.typical_latency_s)
-        < due.most_chance
+        < rule.max_probability
     ]
     return min(
         idle,
@@ -107,47 +111,48 @@
 
 
 class Explorer:
-    """Finds the target of one service that has its turn, whoever is surest.
+    """Selects the target of one service that is to be explored, if any.
 
-    ``recent`` has to be told of what becomes of requests.
+    The owner records the outcome of each request in ``recent``.
     """
 
     def __init__(self, clock: clocks.Clock, least_used_share: float) -> None:
         """Keep ``least_used_share``, 0 to 1, of the sound targets in use."""
         self.recent = recent_failures.RecentFailures(clock)
-        self._bound = idle_threshold.IdleThreshold(least_used_share)
+        self._threshold = idle_threshold.IdleThreshold(least_used_share)
 
     def find(
         self,
         free: Sequence[target_record.TargetRecord],
-        known: Iterable[target_record.TargetRecord],
+        accepting: Iterable[target_record.TargetRecord],
         requirements: attempt_requirements.AttemptRequirements,
         context: target_cost.SelectionContext,
     ) -> target_record.TargetRecord | None:
-        """Return one of the ``free`` targets of those ``known``, or None.
+        """Return the one of the ``free`` targets to explore, or None.
 
-        A second attempt of a request goes to the surest.
+        ``accepting`` are all targets of the service that accept requests. Only
+        the first attempt of a request explores.
         """
         if requirements.tried:
             return None
         found = find_unused(free, context)
-        for due in self._turns(known, requirements, context):
-            found = found or find_longest_idle(free, context, due)
+        for rule in self._rules(accepting, requirements, context):
+            found = found or find_longest_idle(free, context, rule)
         return found
 
-    def _turns(
+    def _rules(
         self,
-        known: Iterable[target_record.TargetRecord],
+        accepting: Iterable[target_record.TargetRecord],
         requirements: attempt_requirements.AttemptRequirements,
         context: target_cost.SelectionContext,
     ) -> tuple[ExplorationRule, ...]:
-        """Return when targets have their turn, the first to go by first."""
+        """Return the rules in force, in the order in which they apply."""
         if not requirements.is_final_attempt:
             return (
                 SUSPECTED_RULE,
-                ExplorationRule(_IDLE_TRIAL_S, _MOST_CHANCE),
+                ExplorationRule(_RETRYABLE_IDLE_S, _MAX_PROBABILITY),
             )
         if self.recent.exceed_limit():
             return (ANY_TARGET_RULE,)
-        most_chance = self._bound.chance(known, context)
-        return (ExplorationRule(_LONGEST_IDLE_S, most_chance),)
+        max_probability = self._threshold.probability(accepting, context)
+        return (ExplorationRule(_MAX_IDLE_S, max_probability),)
--- a/libraries/entry/src/sardinepier/entry/final_failure.py
+++ b/libraries/entry/src/sardinepier/entry/final_failure.py
@@ -1,4 +1,4 @@
-"""What a caller is told when no attempt brought a good answer."""
+"""The answer or error for a caller when no attempt had a good answer."""
 
 from sardinepier.core import errors as core_errors
 from sardinepier.entry import answers, refusals
@@ -13,10 +13,10 @@
     error: core_errors.SardinepierError,
     retry_after_s: float,
 ) -> answers.Answer:
-    """Return the failure that a target answered, or raise what is known.
+    """Return the failing answer of a target, or raise what is known.
 
-    ``failure`` is what an earlier attempt ended by, ``error`` what ended the
-    last one. ``retry_after_s`` is when targets want requests again.
+    ``failure`` is the error of an earlier attempt that may have run, ``error``
+    that of the last one. ``retry_after_s`` is when a new try makes sense.
     """
     if answer is not None:
         return answer
--- a/libraries/entry/src/sardinepier/entry/forwarding.py
+++ b/libraries/entry/src/sardinepier/entry/forwarding.py
@@ -1,8 +1,9 @@
-"""How often, and where, one request is attempted.
+"""Forwards one request to targets, with retries and a hedge.
 
-An idempotent request may go to another target after a failure, within the
-retry budget and the route's number of attempts. A non-idempotent one may only
-when it is proved that nothing ran. No target gets the same request twice.
+An idempotent request may be retried at another target after a failure, within
+the retry budget and the route's number of attempts. A non-idempotent one may be
+retried only if it is proved that nothing ran. No target gets the same request
+twice.
 """
 
 from typing import Final
@@ -11,46 +12,47 @@
 from sardinepier.entry import (
     answers,
     attempt,
+    attempt_requirements,
     context,
     racing,
     retries,
     service_pool,
     target_record,
-    attempt_requirements,
 )
-from sardinepier.entry import caller_request
+from sardinepier.entry import caller_request as caller_requests
 from sardinepier.gateway import errors
 from sardinepier.routing import admission
 
-_PATIENCE: Final = 0.3
-"""Part of the latency that a route aims at, after which any target will do:
-the rest still holds the work itself."""
+_TIMEOUT_SHARE: Final = 0.3
+"""Share of a route's target latency for which a request waits for the best
+target. The remainder is enough for the processing itself."""
 
-_DOUBTFUL: Final = 0.5
-"""Above this chance that the target fails by itself, a lost connection says
-nothing about the request, unless another request accounts for the doubt."""
+_SUSPECTED_PROBABILITY: Final = 0.5
+"""Probability that the target is failing above which a lost connection is not
+attributed to the request, unless a suspect request explains that
+probability."""
 
 
 class Forwarding:
     """Sends the requests of one daemon to targets."""
 
     def __init__(self, shared: context.EntryContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the daemon's shared objects."""
         self._shared = shared
 
     async def forward(
-        self, item: caller_request.CallerRequest
+        self, request: caller_requests.CallerRequest
     ) -> answers.Answer:
-        """Return a target's answer.
+        """Return the answer of a target.
 
-        Raises ``NotRunError`` only when it is proved that nothing ran, else
+        Raises ``NotRunError`` only if it is proved that nothing ran, else
         ``UnknownFateError`` of :mod:`sardinepier.entry.refusals`.
         """
-        pool = self._shared.services.pool(item.service)
+        pool = self._shared.services.pool(request.service)
         pool.retry_budget.record_request()
         history = retries.AttemptHistory()
         try:
-            return await self._attempts(item, pool, history)
+            return await self._attempts(request, pool, history)
         except core_errors.SardinepierError as error:
             if history.nothing_ran():
                 pool.refused()
@@ -58,36 +60,36 @@
 
     async def _attempts(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_requests.CallerRequest,
         pool: service_pool.ServicePool,
         history: retries.AttemptHistory,
     ) -> answers.Answer:
         while True:
-            record = await self._admit(item, pool, history)
+            record = await self._admit(request, pool, history)
             history.tried.add(record.listed.target_id)
             try:
-                answer = await self._run(item, pool, record, history)
+                answer = await self._run(request, pool, record, history)
             except errors.GatewayError as error:
                 history.record_failure(error)
-                if not retries.may_retry_after(item, pool, history, error):
+                if not retries.may_retry_after(request, pool, history, error):
                     raise
                 continue
             history.ran += 1
-            if answer.is_good or not retries.may_retry(item, pool, history):
+            if answer.is_good or not retries.may_retry(request, pool, history):
                 return answer
             history.answer = answer
 
     async def _admit(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_requests.CallerRequest,
         pool: service_pool.ServicePool,
         history: retries.AttemptHistory,
     ) -> target_record.TargetRecord:
-        item.require_time_left(self._shared.clock)
-        self._shared.quarantine.admit(item.fingerprint)
-        # Crashing a target twice takes it down twice and tells nothing new.
+        request.require_time_left(self._shared.clock)
+        self._shared.quarantine.admit(request.fingerprint)
+        # A second crash of the same target would give no new information.
         crashed_targets = self._shared.quarantine.crashed_targets(
-            item.fingerprint
+            request.fingerprint
         )
         if crashed_targets and pool.has_other_target(
             history.tried | crashed_targets
@@ -96,47 +98,47 @@
         try:
             return await pool.acquire(
                 admission.QueuedRequest(
-                    item.priority,
-                    item.deadline_s,
+                    request.priority,
+                    request.deadline_s,
                     accepts_any_target=not history.tried,
-                    preferred_start_by_s=_best_begun_by_s(item, pool),
+                    preferred_start_by_s=_preferred_start_by_s(request, pool),
                 ),
-                _wish(item, pool, history),
+                _requirements(request, pool, history),
             )
         except BaseException:
-            self._shared.quarantine.released(item.fingerprint)
+            self._shared.quarantine.released(request.fingerprint)
             raise
 
     async def _run(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_requests.CallerRequest,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         history: retries.AttemptHistory,
     ) -> answers.Answer:
-        """Run one attempt, and a second beside it when it is slow."""
-        first = self._attempt(item, pool, record)
+        """Run one attempt, and a hedge if it is slow."""
+        first = self._attempt(request, pool, record)
         delay_s = pool.hedge_delay_s()
-        if delay_s is None or not item.route.is_idempotent:
+        if delay_s is None or not request.route.is_idempotent:
             return await first
         return await racing.first_good(
             first,
             delay_s,
-            lambda: self._hedge(item, pool, history),
+            lambda: self._hedge(request, pool, history),
         )
 
     def _hedge(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_requests.CallerRequest,
         pool: service_pool.ServicePool,
         history: retries.AttemptHistory,
     ) -> racing.Run | None:
-        """Return a second attempt, None where it may not or can't begin."""
-        if not retries.has_attempts_left(item, history.ran + 1):
+        """Return a second attempt, None where it must not or can't begin."""
+        if not retries.has_attempts_left(request, history.ran + 1):
             return None
-        if item.left_s(self._shared.clock) <= pool.typical_latency_s:
+        if request.left_s(self._shared.clock) <= pool.typical_latency_s:
             return None
-        record = pool.try_acquire(_wish(item, pool, history))
+        record = pool.try_acquire(_requirements(request, pool, history))
         if record is None:
             return None
         if not pool.retry_budget.try_spend():
@@ -144,11 +146,11 @@
             return None
         history.tried.add(record.listed.target_id)
         history.ran += 1
-        return self._attempt(item, pool, record, is_hedge=True)
+        return self._attempt(request, pool, record, is_hedge=True)
 
     async def _attempt(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_requests.CallerRequest,
         pool: service_pool.ServicePool,
         record: target_record.TargetRecord,
         *,
@@ -156,11 +158,13 @@
     ) -> answers.Answer:
         quarantine = self._shared.quarantine
         now_s = self._shared.clock.monotonic_s()
-        is_fine = record.estimate.failing_probability(now_s) < _DOUBTFUL
+        is_target_sound = (
+            record.estimate.failing_probability(now_s) < _SUSPECTED_PROBABILITY
+        )
         try:
             answer = await attempt.Attempt(
                 self._shared,
-                item,
+                request,
                 pool,
                 record,
                 is_hedge=is_hedge,
@@ -168,41 +172,41 @@
         except errors.ConnectionLostError:
             target_id = record.listed.target_id
             quarantine.crashed(
-                item.fingerprint,
+                request.fingerprint,
                 target_id,
-                is_fine or quarantine.has_suspect_request_on(target_id),
+                is_target_sound or quarantine.has_suspect_request_on(target_id),
             )
             raise
         except BaseException:
-            quarantine.released(item.fingerprint)
+            quarantine.released(request.fingerprint)
             raise
-        quarantine.answered(item.fingerprint, record.listed.target_id)
+        quarantine.answered(request.fingerprint, record.listed.target_id)
         return answer
 
 
-def _wish(
-    item: caller_request.CallerRequest,
+def _requirements(
+    request: caller_requests.CallerRequest,
     pool: service_pool.ServicePool,
     history: retries.AttemptHistory,
 ) -> attempt_requirements.AttemptRequirements:
-    patience_s = _PATIENCE * item.route.target_latency_s
+    timeout_s = _TIMEOUT_SHARE * request.route.target_latency_s
     return attempt_requirements.AttemptRequirements(
         history.tried,
-        len(item.body),
-        item.arrived_s,
-        item.arrived_s + patience_s,
-        is_final_attempt=not retries.could_retry(item, pool, history),
+        len(request.body),
+        request.arrived_s,
+        request.arrived_s + timeout_s,
+        is_final_attempt=not retries.could_retry(request, pool, history),
     )
 
 
-def _best_begun_by_s(
-    item: caller_request.CallerRequest,
+def _preferred_start_by_s(
+    request: caller_requests.CallerRequest,
     pool: service_pool.ServicePool,
 ) -> float:
-    """Return until when an attempt may begin and still be in time.
+    """Return until when an attempt should begin to meet the target latency.
 
-    The usual work of the service is that of all its routes: one that aims at
-    less is taken to need half of what it aims at.
+    The typical latency is that of all routes of the service. A route whose
+    target latency is shorter is assumed to need half of it.
     """
-    aim_s = item.route.target_latency_s
-    return item.arrived_s + aim_s - min(pool.typical_latency_s, aim_s / 2)
+    goal_s = request.route.target_latency_s
+    return request.arrived_s + goal_s - min(pool.typical_latency_s, goal_s / 2)
--- a/libraries/entry/src/sardinepier/entry/idle_threshold.py
+++ b/libraries/entry/src/sardinepier/entry/idle_threshold.py
@@ -1,4 +1,4 @@
-"""Which doubtful targets may be left idle, and how many."""
+"""Which suspected targets may be left idle, and how many."""
 
 import math
 from collections.abc import Iterable
@@ -7,76 +7,79 @@
 from sardinepier.entry import target_cost, target_record
 
 LEAST_USED_SHARE: Final = 0.7
-"""Share of the sound targets of a service that has to get requests within two
-seconds while others fail, where an installation sets no other."""
+"""Default of the share of the sound targets of a service that has to get
+requests within two seconds while other targets fail."""
 
 _MARGIN: Final = 0.1
-"""Part of the targets that look sound and don't count as such for the users: slow
-ones, and those that came back a moment ago. With 0.05 too few were in use for 7 %
-of the emulated time, with 0.1 for 2 %, at no measurable price."""
+"""Additional share of the targets to use, as some that look sound to this
+daemon don't count as sound: slow ones, and those that have just recovered. In
+the emulator too few targets were in use for 7 % of the time with 0.05, and for
+2 % with 0.1, at no measurable cost."""
 
 _SOUND_AFTER_S: Final = 1.5
-"""How long after a failure a target is taken for sound: the users do after two
-seconds, by when its turn has to have come."""
+"""How long after a failure a target counts as sound here. The rule on idle
+targets counts it after two seconds, by when it has to have been explored."""
 
-_LEAST_CHANCE: Final = 0.3
-"""Below this no target may be left idle: just above the chance of one of which
-nothing is known."""
+_MIN_PROBABILITY: Final = 0.3
+"""No target with a lower failure probability may be left idle: just above that
+of a target of which nothing is known."""
 
-_IDLE_FROM_KEPT_S: Final = 0.2
-"""How long the bound of chances is kept: a chance fades by a fiftieth within
-that time, and to look at a hundred targets takes a tenth of a millisecond."""
+_RECOMPUTE_INTERVAL_S: Final = 0.2
+"""How long a computed threshold is kept: an estimate drifts by a fiftieth
+within that time, and a computation for a hundred targets takes a tenth of a
+millisecond."""
 
 
 class IdleThreshold:
-    """The chance of failure from which targets may be left idle.
+    """The failure probability from which targets may be left idle.
 
-    A failure is final for requests that may run only once, so that they keep
-    away from targets that failed. As many may be left idle as the users allow,
-    and these are the ones that fail most likely. In the emulator, with requests
-    that run only once before targets of which three tenths fail at any time,
-    too few were in use for 69 % of the time, and for 1 % with this bound and a
-    turn for all while many fail; 3.8 of 100 requests failed, 2.9 before.
+    Requests that may run only once avoid targets that failed, since a failure
+    would be final. As many targets may be left idle as ``least_used_share``
+    permits: those with the highest failure probability. In the emulator, with
+    requests that run only once and three tenths of the targets failing at any
+    time, too few targets were in use for 69 % of the time; with this threshold,
+    and all targets explored while many requests fail, for 1 %. Of 100 requests
+    3.8 failed with it, and 2.9 without.
     """
 
     def __init__(self, least_used_share: float) -> None:
-        """Use ``least_used_share``, 0 to 1, of the sound targets at least."""
-        self._spare_share = max(0.0, 1 - least_used_share - _MARGIN)
-        self._chance = _LEAST_CHANCE
-        self._due_s = -math.inf
+        """Use at least ``least_used_share``, 0 to 1, of the sound targets."""
+        self._idle_share = max(0.0, 1 - least_used_share - _MARGIN)
+        self._probability = _MIN_PROBABILITY
+        self._recompute_at_s = -math.inf
 
-    def chance(
+    def probability(
         self,
         records: Iterable[target_record.TargetRecord],
         context: target_cost.SelectionContext,
     ) -> float:
-        """Return the bound for the targets of the whole service."""
-        if context.now_s >= self._due_s:
-            self._due_s = context.now_s + _IDLE_FROM_KEPT_S
-            self._chance = self._found(records, context)
-        return self._chance
+        """Return the threshold for the targets of the service."""
+        if context.now_s >= self._recompute_at_s:
+            self._recompute_at_s = context.now_s + _RECOMPUTE_INTERVAL_S
+            self._probability = self._computed(records, context)
+        return self._probability
 
-    def _found(
+    def _computed(
         self,
         records: Iterable[target_record.TargetRecord],
         context: target_cost.SelectionContext,
     ) -> float:
         now_s = context.now_s
         sound = 0
-        doubted: list[float] = []
+        suspected: list[float] = []
         for record in records:
             if record.is_avoided(now_s):
                 continue
-            chance = record.failure_probability(
+            probability = record.failure_probability(
                 now_s, context.typical_latency_s
             )
-            if chance < _LEAST_CHANCE:
+            if probability < _MIN_PROBABILITY:
                 sound += 1
             elif now_s - record.estimate.updated_s >= _SOUND_AFTER_S:
                 sound += 1
-                doubted.append(chance)
-        spared = int(self._spare_share * sound)
-        if len(doubted) <= spared:
-            return _LEAST_CHANCE
-        doubted.sort(reverse=True)
-        return math.nextafter(doubted[spared], math.inf)
+                suspected.append(probability)
+        max_idle = int(self._idle_share * sound)
+        if len(suspected) <= max_idle:
+            return _MIN_PROBABILITY
+        suspected.sort(reverse=True)
+        return math.nextafter(suspected[max_idle], math.inf)
--- a/libraries/entry/src/sardinepier/entry/model.py
+++ b/libraries/entry/src/sardinepier/entry/model.py
@@ -1,7 +1,7 @@
-"""What an entry instance serves: one whole configuration across services.
+"""The configuration that an entry instance serves, and the list of targets.
 
-A configuration is a value. It is taken whole or not at all, and a request
-keeps the one it started with.
+A configuration is an immutable value. It is applied whole or not at all, and a
+request keeps the one it started with.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Whether the requests of a route may be retried."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -21,15 +21,15 @@
     """Idempotent, with long answers."""
 
     UNKNOWN = 'unknown'
-    """A kind that this version does not know: its requests run at most once,
-    which is right whatever the kind allows."""
+    """A kind that this version does not know. Its requests run at most once,
+    which is safe for any kind."""
 
 
-_REPEATABLE: Final = frozenset((RouteKind.IDEMPOTENT, RouteKind.DOWNLOAD))
+_IDEMPOTENT_KINDS: Final = frozenset((RouteKind.IDEMPOTENT, RouteKind.DOWNLOAD))
 
 
 class ServiceShare(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a route's requests that one service gets.
+    """The share of a route's requests that one service gets.
 
     ``weight`` is relative to the sum of the weights of the route.
     """
@@ -39,13 +39,13 @@
 
 
 class Route(msgspec.Struct, frozen=True, array_like=True):
-    """One prefix of one host.
+    """A route: one path prefix of one host.
 
     ``prefix`` begins and ends with a slash. ``shares`` has one entry for a
-    plain route and several for a split one. ``timeout_s`` bounds how long a
-    request is kept waiting, ``target_latency_s`` is within which an answer
-    is worth most. The lower ``priority``, the more urgent. ``max_attempts``
-    bounds the targets that run one request. ``is_public`` routes take requests
+    plain route and several for a split one. ``timeout_s`` bounds the time
+    until an answer, ``target_latency_s`` is the time within which an answer
+    is worth most. A lower ``priority`` is more urgent. ``max_attempts`` bounds
+    the targets that run one request. ``is_public`` routes accept requests
     without a key.
     """
 
@@ -62,15 +62,15 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
-        return self.kind in _REPEATABLE
+        """Return whether a request may run more than once."""
+        return self.kind in _IDEMPOTENT_KINDS
 
 
 class Service(msgspec.Struct, frozen=True, array_like=True):
-    """A service, and what its targets take.
+    """A service, and what its targets accept.
 
-    ``health_path`` is asked by health checks. ``max_connections`` bounds the
-    connections of all callers together to one target.
+    ``health_path`` is the path that health checks request. ``max_connections``
+    bounds the connections of all callers together to one target.
     """
 
     name: ids.ServiceName
@@ -79,12 +79,12 @@
 
 
 class Customer(msgspec.Struct, frozen=True, array_like=True):
-    """A customer, by whose keys its requests are known.
+    """A customer, whose requests are identified by its keys.
 
     ``key_digests`` are made by :func:`sardinepier.entry.credentials.digest_of`.
-    ``priority`` goes before the one of a route, unless it is None.
-    ``rate_per_s`` and ``burst`` bound its requests over the whole fleet; a
-    rate of 0 bounds nothing.
+    ``priority`` overrides that of the route, unless it is None.
+    ``rate_per_s`` and ``burst`` limit its requests over the whole fleet; a
+    rate of 0 means no limit.
     """
 
     name: ids.CustomerName
@@ -95,7 +95,7 @@
 
 
 class CallerBounds(msgspec.Struct, frozen=True, array_like=True):
-    """What one caller may send, and how long it may take."""
+    """Limits on the size of a caller's requests and the time to send them."""
 
     header_bytes: int = 16384
     body_bytes: int = 1048576
@@ -106,8 +106,8 @@
 class ServedConfiguration(msgspec.Struct, frozen=True, array_like=True):
     """All routes and services at one version. Versions only grow.
 
-    ``customers`` is None where requests need no key, and else all who may
-    send any.
+    ``customers`` are all who may send requests, or None where requests need
+    no key.
     """
 
     version: int
@@ -117,24 +117,25 @@
     customers: tuple[Customer, ...] | None = None
 
     def unknown_kinds(self) -> int:
-        """Return how many routes have a kind that this version lacks."""
+        """Return how many routes have a kind unknown to this version."""
         return sum(route.kind is RouteKind.UNKNOWN for route in self.routes)
 
 
 class TargetState(enum.Enum):
-    """What a target says of itself where targets are listed."""
+    """The state that a target announces in the list of targets."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class ListedTarget(msgspec.Struct, frozen=True, array_like=True):
-    """One start of one target, as the platform lists it.
+    """One incarnation of a target, as the platform lists it.
 
-    ``target_id`` names this start only. A target may start again under the
-    ``name`` that it had, empty where that is ``target_id``; ``born_ms`` then
-    tells its starts apart, 0 for unknown. ``warm_in_s`` is how much longer the
-    target is slow after its start, counted from the reading of the list.
+    ``target_id`` identifies this incarnation only. A target may restart under
+    the same ``name``, which is empty where it equals ``target_id``. ``born_ms``
+    is when this incarnation started, 0 for unknown; the greatest one of a name
+    is the newest. ``warm_in_s`` is how much longer the target is slow after its
+    start, counted from when the list was read.
     """
 
     target_id: ids.TargetId
@@ -150,14 +151,15 @@
 
     @property
     def stable_name(self) -> str:
-        """Return what the target calls itself, whichever start it is."""
+        """Return the name that all incarnations of the target have."""
         return self.name or self.target_id
 
 
 REVISIONS_PER_EPOCH: Final = 1_000_000_000_000
-"""More than a platform makes before it is restored from a copy, after which it
-gives revisions out again. A revision here is the era times this, and the
-platform's own: it only grows."""
+"""More revisions than a platform issues within one epoch. A platform that was
+restored from a backup begins a new epoch and issues the same revisions again. A
+revision in this program is the epoch times this number, plus the platform's own
+revision, so that it only grows."""
 
 
 class TargetList(msgspec.Struct, frozen=True, array_like=True):
@@ -168,5 +170,5 @@
 
     @property
     def epoch(self) -> int:
-        """Return how often the platform was restored from a copy before."""
+        """Return how often the platform had been restored from a backup."""
         return self.revision // REVISIONS_PER_EPOCH
--- a/libraries/entry/src/sardinepier/entry/platform_state.py
+++ b/libraries/entry/src/sardinepier/entry/platform_state.py
@@ -1,6 +1,6 @@
-"""What an entry instance reads of the platform, and how it may fail.
+"""Snapshots of the platform that an entry instance reads.
 
-The platform can only be read. A reading is a value with the platform's
+The platform is read-only. A snapshot is an immutable value with the platform's
 revision at that moment, which only grows.
 """
 
@@ -23,10 +23,10 @@
 
 
 class PlatformSnapshot(msgspec.Struct, frozen=True):
-    """The newest configuration, None for none that is usable, and targets.
+    """The newest usable configuration, None without any, and the targets.
 
-    ``unusable`` are the entries that are passed over. An unusable one costs
-    no other.
+    ``unusable`` are the entries that were skipped. The other entries of the
+    snapshot are valid nevertheless.
     """
 
     configuration: model.ServedConfiguration | None
@@ -35,18 +35,18 @@
 
 
 class PublishedState(Protocol):
-    """The configuration and the target list, read together.
+    """Reads the configuration and the target list together.
 
-    One call for both costs the platform half as much as one for each, and a
-    reading at a steady pace notices at once when the platform falls silent,
-    which a watch that waits does not.
+    One request for both costs the platform half as much as one for each.
+    Requests at a fixed interval show at once that the platform does not answer
+    any more, which a long-running watch does not.
     """
 
     async def read(self, *, allow_stale: bool) -> PlatformSnapshot:
         """Return what is published now.
 
-        A reading that ``allow_stale`` permits costs the platform less and
-        may be seconds old. Raises ``PlatformUnavailableError`` of
+        With ``allow_stale`` the snapshot may be seconds old and costs the
+        platform less. Raises ``PlatformUnavailableError`` of
         :mod:`sardinepier.platform.errors` when no answer came in time, and
         ``PlatformReplyError`` when the answer can't be used.
         """
--- a/libraries/entry/src/sardinepier/entry/racing.py
+++ b/libraries/entry/src/sardinepier/entry/racing.py
@@ -1,4 +1,4 @@
-"""A second attempt beside a slow first one, for idempotent requests."""
+"""Hedging: a second attempt in parallel with a slow first one."""
 
 import asyncio
 import dataclasses
@@ -17,13 +17,12 @@
     delay_s: float,
     start_second: Callable[[], Run | None],
 ) -> answers.Answer:
-    """Return the first good answer of two attempts side by side.
+    """Return the first good answer of two concurrent attempts.
 
     The second begins after ``delay_s`` seconds, unless ``start_second``
-    returns None. The loser is cancelled, which closes its connection. When
-    neither is good, a target's answer that tells of a failure is returned
-    before an error is raised, and an unknown fate outweighs a proof that
-    nothing ran.
+    returns None. The slower attempt is cancelled, which closes its connection.
+    If neither answer is good, a failing answer of a target is preferred to an
+    error, and an error with an unknown fate to a proof that nothing ran.
     """
     running: set[_Task] = {asyncio.ensure_future(first)}
     try:
@@ -55,8 +54,8 @@
             return_when=asyncio.FIRST_COMPLETED,
         )
         running.difference_update(done)
-        for one in done:
-            best.take(one)
+        for task in done:
+            best.add(task)
         if best.is_good:
             break
     if best.answer is not None:
@@ -67,28 +66,28 @@
 
 @dataclasses.dataclass(slots=True)
 class _Best:
-    """The best that came of the attempts so far."""
+    """The best outcome of the attempts so far."""
 
     answer: answers.Answer | None = None
     failure: BaseException | None = None
 
     @property
     def is_good(self) -> bool:
-        """Tell whether there is a good answer."""
+        """Return whether there is a good answer."""
         return self.answer is not None and self.answer.is_good
 
-    def take(self, one: _Task) -> None:
-        """Take in how an attempt ended; a second good answer is given up."""
-        error = one.exception()
+    def add(self, task: _Task) -> None:
+        """Record how an attempt ended; a second good answer is discarded."""
+        error = task.exception()
         if error:
-            self.failure = _worse(self.failure, error)
+            self.failure = _more_severe(self.failure, error)
         elif self.is_good:
-            one.result().close()
+            task.result().close()
         else:
-            self.answer = one.result()
+            self.answer = task.result()
 
 
-def _worse(
+def _more_severe(
     failure: BaseException | None,
     error: BaseException,
 ) -> BaseException:
@@ -96,11 +95,11 @@
 
 
 async def _cancel(running: set[_Task]) -> None:
-    for one in running:
-        one.cancel()
+    for task in running:
+        task.cancel()
     if not running:
         return
-    # Whatever the losers came to, it is taken in here.
-    for ended in await asyncio.gather(*running, return_exceptions=True):
-        if isinstance(ended, answers.Answer):
-            ended.close()
+    # Collect the outcomes, so that no exception of a task goes unretrieved.
+    for outcome in await asyncio.gather(*running, return_exceptions=True):
+        if isinstance(outcome, answers.Answer):
+            outcome.close()
--- a/libraries/entry/src/sardinepier/entry/recent_failures.py
+++ b/libraries/entry/src/sardinepier/entry/recent_failures.py
@@ -1,49 +1,49 @@
-"""The share of the requests of a service that were not served of late."""
+"""The share of the requests of a service that recently failed."""
 
 import math
 from typing import Final
 
 from sardinepier.core import clock as clocks
 
-_FAILING_SHARE: Final = 0.07
-"""Share of failed attempts and refused requests from which targets are not left
-idle: the users allow a tenth of the requests to fail while some are. On calm days
-two to four in a hundred fail."""
+_MAX_FAILED_SHARE: Final = 0.07
+"""Share of failed attempts and refused requests above which no target is left
+idle. Idle targets are allowed while less than a tenth of the requests fail. In
+normal operation two to four in a hundred fail."""
 
 _MEMORY_S: Final = 2.0
-_ENOUGH: Final = 4.0
-"""Attempts within the memory below which their share says little."""
+_MIN_ATTEMPTS: Final = 4.0
+"""Attempts within the memory below which the share is not significant."""
 
 
 class RecentFailures:
     """The share of attempts that failed within the last seconds.
 
-    A request that was refused counts like one that failed: it was not served.
+    A refused request counts as a failed one.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        """Start without any attempt."""
+        """Create it without any attempt."""
         self._clock = clock
         self._attempts = 0.0
         self._failures = 0.0
         self._updated_s = clock.monotonic_s()
 
     def record(self, *, is_failure: bool) -> None:
-        """Take in how one attempt ended."""
-        self._fade()
+        """Record how one attempt ended."""
+        self._decay()
         self._attempts += 1
         self._failures += is_failure
 
     def exceed_limit(self) -> bool:
-        """Tell whether enough fail to use every target that may do."""
-        self._fade()
-        if self._attempts < _ENOUGH:
+        """Return whether so many fail that no target may be left idle."""
+        self._decay()
+        if self._attempts < _MIN_ATTEMPTS:
             return False
-        return self._failures > _FAILING_SHARE * self._attempts
+        return self._failures > _MAX_FAILED_SHARE * self._attempts
 
-    def _fade(self) -> None:
+    def _decay(self) -> None:
         now_s = self._clock.monotonic_s()
-        kept = math.exp((self._updated_s - now_s) / _MEMORY_S)
-        self._attempts *= kept
-        self._failures *= kept
+        decay = math.exp((self._updated_s - now_s) / _MEMORY_S)
+        self._attempts *= decay
+        self._failures *= decay
         self._updated_s = now_s
--- a/libraries/entry/src/sardinepier/entry/refusals.py
+++ b/libraries/entry/src/sardinepier/entry/refusals.py
@@ -1,8 +1,8 @@
-"""What the daemon answers itself, each reason with its status.
+"""Errors that the daemon itself answers to a caller, each with its status.
 
-A status among 408, 421, 429 and 503 tells the caller that nothing ran and
-nothing will. The types under :class:`NotRunError` are therefore raised only
-while that is proved.
+The statuses 408, 421, 429 and 503 tell the caller that the request did not run
+and will not run. Subclasses of :class:`NotRunError` are therefore raised only
+if that is proved.
 """
 
 import http
@@ -12,13 +12,13 @@
 
 
 class EntryError(errors.SardinepierError):
-    """Root of what a caller can be told; ``status`` is what it gets."""
+    """Base of the errors that a caller gets, with the HTTP ``status``."""
 
     status: ClassVar[http.HTTPStatus] = http.HTTPStatus.BAD_GATEWAY
 
 
 class NotRunError(EntryError):
-    """Nothing ran. ``retry_after_s`` says when a new try makes sense."""
+    """Nothing ran. The caller may try again after ``retry_after_s`` seconds."""
 
     status = http.HTTPStatus.SERVICE_UNAVAILABLE
 
@@ -28,13 +28,13 @@
         remedy: str,
         retry_after_s: float,
     ) -> None:
-        """Keep in how many seconds a new try makes sense."""
+        """Keep the seconds after which the caller may try again."""
         super().__init__(what, remedy)
         self.retry_after_s = retry_after_s
 
 
 class NotConfiguredError(NotRunError):
-    """This daemon knows no configuration yet."""
+    """The daemon has no configuration yet."""
 
 
 class NoTargetError(NotRunError):
@@ -42,7 +42,7 @@
 
 
 class HeldBackError(NotRunError):
-    """The request crashed the targets that ran it."""
+    """The request is quarantined: it crashed the targets that ran it."""
 
 
 class TimeUpError(NotRunError):
@@ -50,7 +50,7 @@
 
 
 class NotConfirmedError(NotRunError):
-    """Whether the key is still valid can't be told: the platform is away."""
+    """The key can't be checked, as the platform is unavailable."""
 
 
 class RateLimitError(NotRunError):
@@ -60,18 +60,18 @@
 
 
 class UnknownKeyError(EntryError):
-    """The request has no key that a customer holds."""
+    """The request has no key of any customer."""
 
     status = http.HTTPStatus.UNAUTHORIZED
 
     def __init__(self, what: str, remedy: str, scheme: str) -> None:
-        """Keep the scheme by which a key has to be sent."""
+        """Keep the authentication scheme in which a key has to be sent."""
         super().__init__(what, remedy)
         self.scheme = scheme
 
 
 class UnknownRouteError(EntryError):
-    """No route of the host begins the path."""
+    """The host has no route whose prefix the path begins with."""
 
     status = http.HTTPStatus.NOT_FOUND
 
@@ -89,21 +89,21 @@
 
 
 class UnknownFateError(EntryError):
-    """The request may have run, and there is no answer of a target."""
+    """The request may have run, but no target answered."""
 
 
 class OverdueError(UnknownFateError):
-    """The time ran out while a target had the request."""
+    """The time ran out while a target processed the request."""
 
     status = http.HTTPStatus.GATEWAY_TIMEOUT
 
 
 class InternalError(UnknownFateError):
-    """A fault of this program."""
+    """An internal error of this program."""
 
 
 def status_of(error: errors.SardinepierError) -> http.HTTPStatus:
-    """Return the status that tells a caller of ``error``."""
+    """Return the HTTP status for ``error``."""
     if isinstance(error, EntryError):
         return error.status
     return InternalError.status
--- a/libraries/entry/src/sardinepier/entry/retries.py
+++ b/libraries/entry/src/sardinepier/entry/retries.py
@@ -1,8 +1,8 @@
-"""What the attempts of one request came to, and whether another may follow.
+"""The outcomes of the attempts of one request, and whether it may be retried.
 
-A second attempt after one that may have run is for idempotent requests only,
-within the route's number of attempts and the retry budget. One that is proved
-not to have run may be followed for any request.
+After an attempt that may have run only an idempotent request is retried, within
+the route's number of attempts and the retry budget. After one that is proved
+not to have run any request may be retried.
 """
 
 import dataclasses
@@ -10,41 +10,52 @@
 
 from sardinepier.core import errors as core_errors
 from sardinepier.core import ids
-from sardinepier.entry import answers, final_failure, service_pool
-from sardinepier.entry import caller_request
+from sardinepier.entry import (
+    answers,
+    caller_request,
+    final_failure,
+    service_pool,
+)
 from sardinepier.gateway import errors
 
-_MOST_NOT_RUN: Final = 4
-"""Targets that may turn a request away or be out of reach before it is
-refused: with a tenth of a service gone, all four are by bad luck in one case
-of ten thousand."""
+_MAX_NOT_RUN: Final = 4
+"""Targets that may refuse a request or be unreachable before the request is
+refused: with a tenth of the targets gone, four random ones are all gone in one
+case of ten thousand."""
 
-_MOST_LOST: Final = 2
-"""Lost connections after which a request is taken for the cause."""
+_MAX_LOST_CONNECTIONS: Final = 2
+"""Lost connections after which the request is assumed to be the cause."""
 
 
 @dataclasses.dataclass(slots=True)
 class AttemptHistory:
-    """What the attempts of one request came to so far."""
+    """The outcomes of the attempts of one request so far.
+
+    ``not_run`` counts attempts that are proved not to have run, ``ran`` those
+    that may have. ``failure`` is the newest error with an unknown fate,
+    ``answer`` the newest failing answer of a target.
+    """
 
     tried: set[ids.TargetId] = dataclasses.field(default_factory=set)
     not_run: int = 0
     ran: int = 0
-    lost: int = 0
+    lost_connections: int = 0
     failure: errors.UnknownFateError | None = None
     answer: answers.Answer | None = None
 
     def record_failure(self, error: errors.GatewayError) -> None:
-        """Take in an attempt that brought no answer."""
+        """Record an attempt that ended without an answer."""
         if isinstance(error, errors.UnknownFateError):
             self.failure = error
             self.ran += 1
-            self.lost += isinstance(error, errors.ConnectionLostError)
+            self.lost_connections += isinstance(
+                error, errors.ConnectionLostError
+            )
         else:
             self.not_run += 1
 
     def nothing_ran(self) -> bool:
-        """Tell whether no attempt ran, as far as is known."""
+        """Return whether no attempt is known to have run."""
         return self.failure is None and self.answer is None
 
     def resolve(
@@ -52,9 +63,10 @@
         error: core_errors.SardinepierError,
         retry_after_s: float,
     ) -> answers.Answer:
-        """Return a target's failing answer, or raise what the caller is told.
+        """Return a target's failing answer, or raise the caller's error.
 
-        ``retry_after_s`` is told where nothing ran for want of a target.
+        ``retry_after_s`` is for an error that says that no target was
+        available.
         """
         return final_failure.answer_or_raise(
             self.answer,
@@ -64,50 +76,53 @@
         )
 
 
-def has_attempts_left(item: caller_request.CallerRequest, ran: int) -> bool:
-    """Tell whether a request that may have run so often may run again."""
-    return item.route.is_idempotent and ran < item.route.max_attempts
+def has_attempts_left(request: caller_request.CallerRequest, ran: int) -> bool:
+    """Return whether a request that ran ``ran`` times at most may run again."""
+    return request.route.is_idempotent and ran < request.route.max_attempts
 
 
 def could_retry(
-    item: caller_request.CallerRequest,
+    request: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
     history: AttemptHistory,
 ) -> bool:
-    """Tell whether an attempt that fails now may be followed by another."""
-    if not has_attempts_left(item, history.ran + 1):
+    """Return whether an attempt that fails now could be retried.
+
+    Nothing of the retry budget is spent.
+    """
+    if not has_attempts_left(request, history.ran + 1):
         return False
     return pool.retry_budget.can_spend()
 
 
 def may_retry_after(
-    item: caller_request.CallerRequest,
+    request: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
     history: AttemptHistory,
     error: errors.GatewayError,
 ) -> bool:
-    """Decide on a further attempt after one without an answer."""
-    if item.is_abandoned:
+    """Decide on a retry after ``error``; spends of the retry budget."""
+    if request.is_abandoned:
         return False
     if isinstance(error, errors.AnswerOverdueError):
         return False
     if isinstance(error, errors.NOTHING_ARRIVED):
-        return history.not_run < _MOST_NOT_RUN
+        return history.not_run < _MAX_NOT_RUN
     if isinstance(error, errors.ProvedNotRunError):
-        if history.not_run >= _MOST_NOT_RUN:
+        if history.not_run >= _MAX_NOT_RUN:
             return False
         return pool.retry_budget.try_spend()
-    if history.lost >= _MOST_LOST:
+    if history.lost_connections >= _MAX_LOST_CONNECTIONS:
         return False
-    return may_retry(item, pool, history)
+    return may_retry(request, pool, history)
 
 
 def may_retry(
-    item: caller_request.CallerRequest,
+    request: caller_request.CallerRequest,
     pool: service_pool.ServicePool,
     history: AttemptHistory,
 ) -> bool:
-    """Decide whether a request that ran may run once more elsewhere."""
-    if not has_attempts_left(item, history.ran):
+    """Decide on a retry of a request that ran; spends of the retry budget."""
+    if not has_attempts_left(request, history.ran):
         return False
     return pool.retry_budget.try_spend()
--- a/libraries/entry/src/sardinepier/entry/route_table.py
+++ b/libraries/entry/src/sardinepier/entry/route_table.py
@@ -1,4 +1,4 @@
-"""Finding a request's route by its host and the longest prefix of its path."""
+"""Finds the route of a request by its host and the longest path prefix."""
 
 import functools
 import random
@@ -11,11 +11,12 @@
 
 
 class SplitRotation:
-    """Deals the requests of a route out to its services by their weights.
+    """Distributes the requests of a route to its services by their weights.
 
     Smooth weighted round robin: after any number of requests each service
-    has its share to within one request. The first ones are placed at random,
-    so that many daemons with few requests each don't all begin alike.
+    has its share to within one request. The rotation starts at a random place,
+    so that many daemons with few requests each don't all start at the same
+    service.
     """
 
     def __init__(
@@ -23,7 +24,7 @@
         shares: tuple[model.ServiceShare, ...],
         random_source: random.Random,
     ) -> None:
-        """Start at a random place of the rotation."""
+        """Start at a random place in the rotation."""
         self._shares = shares
         self._total = sum(share.weight for share in shares)
         self._credit = [
@@ -65,7 +66,7 @@
         )
 
     def find(self, host: str, path: str) -> model.Route | None:
-        """Return the route with the longest prefix that begins ``path``."""
+        """Return the route with the longest prefix of ``path``, else None."""
         name = host.partition(':')[0].lower()
         if name not in self._hosts:
             return None
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -1,4 +1,4 @@
-"""The targets of one service, as one daemon sees and uses them."""
+"""The targets of one service as seen by one daemon, and how it selects one."""
 
 import random
 from collections.abc import Callable, Collection, Iterable
@@ -7,43 +7,46 @@
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
 from sardinepier.entry import (
+    attempt_requirements,
+    exploration,
     idle_threshold,
     model,
-    exploration,
-    target_cost,
     refusals,
+    target_cost,
     target_record,
     target_table,
-    attempt_requirements,
 )
-from sardinepier.entry import capacity_forecast
+from sardinepier.entry import capacity_forecast as forecasts
 from sardinepier.health import failure_estimate
 from sardinepier.routing import admission, budget, hedging
 
 _QUEUE_LENGTH: Final = 256
-"""Requests that may wait for a slot: two seconds of a busy service."""
+"""Requests that may wait for a slot: two seconds of traffic of a busy
+service."""
 
 _HEDGE_PERCENTILE: Final = 95
-"""Share of the answers that come before a second attempt begins; the others
-would otherwise decide the slowest answers of all callers."""
+"""Percentile of the latency after which a hedge starts, so that the slowest
+answers of a service don't determine the tail latency of its callers."""
 
 _FIRST_HEDGE_FACTOR: Final = 2.5
-"""Of measured work, one request in a hundred takes longer than this."""
+"""Hedge delay as a multiple of the typical latency, until the percentile is
+known. In measurements one request in a hundred took longer."""
 
 _MS_PER_S: Final = 1000
-_USUAL_SMOOTHING: Final = 0.05
-_FULL_S: Final = 0.1
-"""How long a target that refused is left alone: about half of the usual
-work, after which a slot has come free."""
+_SMOOTHING: Final = 0.05
+_FULL_PAUSE_S: Final = 0.1
+"""How long a target that refused a request gets none: about half of a typical
+processing time, after which it should have a free slot."""
 
 _EARLY_FACTOR: Final = 0.25
-"""A failure within this part of the usual latency came before the work could
-be done. Measured, failing targets answer in a fiftieth of it."""
+"""A failure within this part of the typical latency came before the request
+could be processed. Failing targets were measured to answer in a fiftieth of
+it."""
 
 _HUNG_FACTOR: Final = 1.5
-"""Of the usual latency, after which an attempt that is given up speaks against
-its target. A second attempt began beside it before, when nineteen in twenty have
-an answer, and has brought one since."""
+"""Multiple of the typical latency after which an attempt that is given up
+counts against its target. By then a hedge, which starts when nineteen in twenty
+requests have an answer, has been answered."""
 
 
 class ServicePool:
@@ -51,7 +54,7 @@
 
     For example::
 
-        record = await pool.acquire(work, tried=())
+        record = await pool.acquire(queued_request, requirements)
         number = pool.started(record)
         ...
         pool.finished(record, number)
@@ -71,15 +74,15 @@
         """Start without targets."""
         self.name = name
         self.typical_latency_s = 0.0
-        self.on_outcome: Callable[[bool], None] = _tell_nobody
+        self.on_outcome: Callable[[bool], None] = _ignore_outcome
         self.shares_zone = False
         self.unreachable_zones: frozenset[ids.ZoneName] = frozenset()
         self._overlooked = exploration.Explorer(clock, least_used_share)
-        self._usual_bytes = 0.0
+        self._typical_answer_bytes = 0.0
         self._hedge_delay = hedging.HedgeDelay(_HEDGE_PERCENTILE)
-        # No floor: many daemons with a few requests each would use it, and
-        # their sum would grow with the fleet. They round at random instead,
-        # and carriers have the burst.
+        # No floor: each of many daemons with a few requests would use it, so
+        # that the sum would grow with the fleet. Instead each daemon rounds
+        # at random, and carriers have the burst.
         self.retry_budget = budget.RetryBudget(
             clock,
             retry_percent,
@@ -99,42 +102,42 @@
             clock,
             _QUEUE_LENGTH,
             random_source,
-            self._give_back,
-            lambda: capacity_forecast.forecast(
+            self._release_slot,
+            lambda: forecasts.forecast(
                 self.targets,
                 clock.monotonic_s(),
             ),
         )
 
     def set_targets(self, listed: Iterable[model.ListedTarget]) -> None:
-        """Replace the targets; those that stay keep what is known of them."""
+        """Replace the targets; those that stay keep their records."""
         self.targets.set(listed)
         self._queue.wake()
 
     async def acquire(
         self,
-        work: admission.QueuedRequest,
+        queued_request: admission.QueuedRequest,
         requirements: attempt_requirements.AttemptRequirements,
     ) -> target_record.TargetRecord:
         """Wait for a slot at a target that was not tried yet.
 
-        A doubtful target is only taken once the request has waited for a
-        better one.
+        A suspected target is selected only after the request has waited for
+        a better one.
 
-        Raises ``NoTargetError`` at once without any such target, and the
+        Raises ``NoTargetError`` at once when there is no such target, and the
         refusals of :mod:`sardinepier.routing.errors` when the wait would be
-        too long. The slot is reserved until ``started``, which must follow
+        too long. The slot is reserved until ``started``, which must be called
         before anything else is awaited.
         """
-        opens_at_s = capacity_forecast.next_accepting_s(
+        opens_at_s = forecasts.next_accepting_s(
             self.targets,
             requirements.tried,
             self._clock.monotonic_s(),
         )
-        if opens_at_s >= work.deadline_s:
+        if opens_at_s >= queued_request.deadline_s:
             raise _no_target(self)
         target_id = await self._queue.acquire(
-            work,
+            queued_request,
             lambda: self._choose(requirements),
         )
         record = self.targets.find(target_id)
@@ -145,12 +148,12 @@
     def try_acquire(
         self, requirements: attempt_requirements.AttemptRequirements
     ) -> target_record.TargetRecord | None:
-        """Return a target with a free slot, None when a wait is needed."""
+        """Reserve a slot without waiting; return None if no slot is free."""
         target_id = self._choose(requirements)
         return None if target_id is None else self.targets.find(target_id)
 
     def started(self, record: target_record.TargetRecord) -> int:
-        """Take a slot of the target and return the attempt's number."""
+        """Turn the reserved slot into an attempt, and return its number."""
         self._attempts += 1
         record.reserved -= 1
         record.started_s[self._attempts] = self._clock.monotonic_s()
@@ -159,12 +162,12 @@
         return self._attempts
 
     def release(self, record: target_record.TargetRecord) -> None:
-        """Give back a slot that was reserved and not used."""
-        self._give_back(record.listed.target_id)
+        """Release a slot that was reserved and not used."""
+        self._release_slot(record.listed.target_id)
         self._queue.wake()
 
     def finished(self, record: target_record.TargetRecord, number: int) -> None:
-        """Give the slot back."""
+        """Release the slot of an attempt that ended."""
         record.started_s.pop(number, None)
         self._queue.wake()
 
@@ -174,9 +177,9 @@
         latency_s: float,
         answer_bytes: int = 0,
     ) -> None:
-        """Take in a good answer."""
-        grown_bytes = answer_bytes - self._usual_bytes
-        self._usual_bytes += _USUAL_SMOOTHING * grown_bytes
+        """Record a good answer."""
+        deviation_bytes = answer_bytes - self._typical_answer_bytes
+        self._typical_answer_bytes += _SMOOTHING * deviation_bytes
         record.estimate.answered(self._clock.monotonic_s())
         record.belief_source = target_record.ObservationSource.OWN
         self._overlooked.recent.record(is_failure=False)
@@ -186,7 +189,7 @@
         self._queue.observe_service_time(latency_s)
         self._hedge_delay.observe(latency_s * _MS_PER_S)
         if self.typical_latency_s:
-            self.typical_latency_s += _USUAL_SMOOTHING * (
+            self.typical_latency_s += _SMOOTHING * (
                 latency_s - self.typical_latency_s
             )
         else:
@@ -199,11 +202,11 @@
         *,
         is_given_up: bool = False,
     ) -> None:
-        """Take in that the target failed a request after ``taken_s``.
+        """Record that the target failed a request after ``taken_s``.
 
-        ``is_given_up`` says that the attempt was ended without an answer, as
-        another one answered first or the caller left. Had it taken no longer
-        than work may take, that says nothing of the target.
+        ``is_given_up`` says that the attempt was cancelled without an answer,
+        because another attempt was answered first or the caller left. It then
+        counts only if it took longer than processing usually takes.
         """
         now_s = self._clock.monotonic_s()
         if is_given_up:
@@ -217,27 +220,28 @@
             is_early = taken_s < _EARLY_FACTOR * self.typical_latency_s
             record.estimate.failed(now_s, is_early=is_early)
         record.belief_source = target_record.ObservationSource.OWN
-        # Turns that failed don't count: where many of them do, they would
-        # keep up the share of failures that brings them about. Nor do attempts
-        # that were given up: the request was served, or is not missed.
+        # Failed explorations don't count: a high share of failures causes
+        # more explorations, which would keep that share high. Attempts that
+        # were given up don't count either: the request was served by another
+        # attempt, or its caller left.
         if not record.is_exploration and not is_given_up:
             self._overlooked.recent.record(is_failure=True)
         record.is_exploration = False
         self.on_outcome(False)
 
     def refused(self) -> None:
-        """Take in that a request was refused, since nothing could run it."""
+        """Record that a request was refused because no target could run it."""
         self._overlooked.recent.record(is_failure=True)
 
     def mark_full(self, record: target_record.TargetRecord) -> None:
-        """Take in that the target had no room for a request."""
-        record.full_until_s = self._clock.monotonic_s() + _FULL_S
+        """Record that the target refused a request for want of a free slot."""
+        record.full_until_s = self._clock.monotonic_s() + _FULL_PAUSE_S
 
     def hedge_delay_s(self) -> float | None:
-        """Return after how long a second attempt is worth its cost.
+        """Return the delay after which a hedge is worth its cost.
 
-        Until enough answers were seen to know their spread, it is a multiple
-        of the usual latency; None before the first answer.
+        Until enough latencies are known for a percentile, it is a multiple of
+        the typical latency; None before the first answer.
         """
         delay_ms = self._hedge_delay.delay_ms()
         if delay_ms is not None:
@@ -245,15 +249,15 @@
         return _FIRST_HEDGE_FACTOR * self.typical_latency_s or None
 
     def has_other_target(self, tried: Collection[ids.TargetId]) -> bool:
-        """Tell whether any target is not among ``tried``."""
+        """Return whether any target is not among ``tried``."""
         return any(
             record.listed.target_id not in tried
             for record in self.targets.records()
         )
 
     def retry_after_s(self) -> float:
-        """Return when targets want requests again, here or elsewhere."""
-        return capacity_forecast.retry_after_s(
+        """Return after how many seconds a caller should try again."""
+        return forecasts.retry_after_s(
             self.targets.records(),
             self._clock.monotonic_s(),
             self._random,
@@ -263,16 +267,20 @@
         self, requirements: attempt_requirements.AttemptRequirements
     ) -> ids.TargetId | None:
         now_s = self._clock.monotonic_s()
-        closed = self.targets.not_accepting()
-        known = [one for one in self.targets.records() if one not in closed]
-        wanted = [
+        not_accepting = self.targets.not_accepting()
+        accepting = [
             record
-            for record in known
+            for record in self.targets.records()
+            if record not in not_accepting
+        ]
+        untried = [
+            record
+            for record in accepting
             if record.listed.target_id not in requirements.tried
         ]
         free = [
             record
-            for record in wanted
+            for record in untried
             if record.has_free_slot(now_s)
             and not record.awaits_trial(now_s, self.typical_latency_s)
         ]
@@ -280,26 +288,30 @@
             self._zone,
             now_s,
             self.typical_latency_s,
-            target_cost.zone_cost(requirements.body_bytes + self._usual_bytes),
+            target_cost.zone_cost(
+                requirements.body_bytes + self._typical_answer_bytes
+            ),
             shares_zone=self.shares_zone,
             unreachable_zones=self.unreachable_zones,
         )
-        due = self._overlooked.find(free, known, requirements, context)
-        chosen = due or target_cost.cheapest(
+        to_explore = self._overlooked.find(
+            free, accepting, requirements, context
+        )
+        chosen = to_explore or target_cost.cheapest(
             free,
-            wanted,
+            untried,
             requirements.tolerance(now_s),
             context,
             self._random,
         )
         if chosen is None:
             return None
-        chosen.is_exploration = chosen is due
+        chosen.is_exploration = chosen is to_explore
         chosen.reserved += 1
         chosen.statements.take(now_s)
         return chosen.listed.target_id
 
-    def _give_back(self, target_id: ids.TargetId) -> None:
+    def _release_slot(self, target_id: ids.TargetId) -> None:
         record = self.targets.find(target_id)
         if record is not None:
             record.reserved -= 1
@@ -314,5 +326,5 @@
     )
 
 
-def _tell_nobody(is_good: bool) -> None:
-    """Stand in for ``on_outcome`` while nobody listens."""
+def _ignore_outcome(is_good: bool) -> None:
+    """Act as ``on_outcome`` until a callback is set."""
--- a/libraries/entry/src/sardinepier/entry/service_registry.py
+++ b/libraries/entry/src/sardinepier/entry/service_registry.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and the targets of its services."""
+"""The configuration in force and the targets of its services."""
 
 import asyncio
 import contextlib
@@ -14,29 +14,30 @@
     customers,
     events,
     idle_threshold,
+    incarnations,
     model,
     refusals,
     route_table,
     service_pool,
-    incarnations,
 )
 from sardinepier.entry import confirmation as confirmations
 from sardinepier.health import failure_estimate
 from sardinepier.routing import fleet_limits
 from sardinepier.telemetry import logs
 
-_MOST_NAMED: Final = 16
-"""Targets that one log line names: it must stay short in a large fleet."""
+_MAX_NAMED: Final = 16
+"""Target ids in one list of a log line, which must stay short in a large
+fleet."""
 
 _RETRY_AFTER_S: Final = 0.2
-_NOTHING: Final = -1
+_UNKNOWN: Final = -1
 _MS_PER_S: Final = 1000
 _DIGEST_BITS: Final = 63
-"""What a message holds as a number, without its sign."""
+"""Bits of a non-negative integer in a message."""
 
 
 class ServiceRegistry:
-    """Takes newer configurations and target lists, and never older ones."""
+    """Keeps the newest configuration and target list and ignores older ones."""
 
     def __init__(
         self,
@@ -52,11 +53,12 @@
         """Start without a configuration and without targets.
 
         Requests with a key need a confirmation of the configuration that is
-        no older than ``confirmed_within_s``, None for no need of any. Limits of
-        customers may be exceeded by ``leeway`` over the whole fleet.
+        no older than ``confirmed_within_s``; None means that they need none.
+        Limits of customers may be exceeded by ``leeway`` over the whole fleet.
 
-        ``targets_age_s`` is set by whoever knows when the platform was asked
-        for the list, and ``on_outcome`` by whoever wants to hear of attempts.
+        ``targets_age_s`` is set by the code that knows when the list was
+        requested from the platform, and ``on_outcome`` by the code that
+        observes the outcomes of attempts.
         """
         self.configuration: model.ServedConfiguration | None = None
         self.customers: customers.CustomerTable | None = None
@@ -66,8 +68,8 @@
         self.limits = fleet_limits.FleetLimits(clock, leeway)
         self.targets: model.TargetList | None = None
         self.targets_digest = 0
-        self.on_outcome: Callable[[bool], None] = _tell_nobody
-        self.targets_age_s: Callable[[], float | None] = _unknown
+        self.on_outcome: Callable[[bool], None] = _ignore_outcome
+        self.targets_age_s: Callable[[], float | None] = _unknown_age
         self._zone = zone
         self._clock = clock
         self._random = random_source
@@ -90,34 +92,34 @@
         configuration = self.configuration
         targets = self.targets
         return (
-            configuration.version if configuration else _NOTHING,
-            targets.revision if targets else _NOTHING,
+            configuration.version if configuration else _UNKNOWN,
+            targets.revision if targets else _UNKNOWN,
         )
 
     def offer_configuration(self, offered: model.ServedConfiguration) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was."""
-        held = self.configuration
-        if held is not None and offered.version <= held.version:
+        """Apply a configuration if it is newer; return whether it was."""
+        current = self.configuration
+        if current is not None and offered.version <= current.version:
             return False
         self.configuration = offered
         self._table = route_table.RouteTable(offered, self._random)
-        self._take_customers(offered.customers)
+        self._apply_customers(offered.customers)
         self._has_table.set()
         return True
 
     def offer_targets(self, offered: model.TargetList) -> bool:
-        """Use a target list; tell whether it has anything new.
+        """Apply a target list; return whether it changes any target.
 
-        One of a lower revision is never taken. At the same revision lists
-        may differ, by entries that were kept for a while.
+        A list of a lower revision is ignored. Lists of the same revision may
+        differ in entries that were kept for a while after they had expired.
         """
-        held = self.targets
-        if held is not None and offered.revision < held.revision:
+        current = self.targets
+        if current is not None and offered.revision < current.revision:
             return False
-        if held is not None and offered.targets == held.targets:
+        if current is not None and offered.targets == current.targets:
             self.targets = offered
             return False
-        self._tell_changes(held, offered)
+        self._log_changes(current, offered)
         self.targets = offered
         self.targets_digest = digest_of(offered)
         by_service: dict[ids.ServiceName, list[model.ListedTarget]] = {
@@ -130,7 +132,7 @@
         return True
 
     def pool(self, name: ids.ServiceName) -> service_pool.ServicePool:
-        """Return the targets of a service, which may be none."""
+        """Return the pool of a service, which may have no targets."""
         pool = self._pools.get(name)
         if pool is None:
             pool = service_pool.ServicePool(
@@ -150,25 +152,25 @@
         return pool
 
     def set_retry_burst(self, attempts: float) -> None:
-        """Grant attempts beyond the percentage, for each service."""
+        """Grant each service retries beyond the percentage."""
         self._retry_burst = attempts
         for pool in self._pools.values():
             pool.retry_budget.set_burst(attempts)
 
     def set_shares_zone(self, *, shares_zone: bool) -> None:
-        """Keep apart from other daemons that send for the zone, or not."""
+        """Set whether other daemons send requests for the zone, too."""
         self._shares_zone = shares_zone
         for pool in self._pools.values():
             pool.shares_zone = shares_zone
 
     def set_unreachable_zones(self, zones: frozenset[ids.ZoneName]) -> None:
-        """Give targets of these zones their turn, too: nobody there does."""
+        """Explore targets of these zones, too, as no daemon there does."""
         self._lost_zones = zones
         for pool in self._pools.values():
             pool.unreachable_zones = zones
 
     def pools(self) -> Iterable[service_pool.ServicePool]:
-        """Return the targets of all services."""
+        """Return the pools of all services."""
         return self._pools.values()
 
     async def wait_until_configured(self, within_s: float) -> None:
@@ -180,9 +182,9 @@
                 await self._has_table.wait()
 
     def targets_age_ms(self) -> int:
-        """Return how old the list in use is, -1 for unknown."""
+        """Return the age of the list in use, -1 for unknown."""
         age_s = self.targets_age_s()
-        return _NOTHING if age_s is None else round(age_s * _MS_PER_S)
+        return _UNKNOWN if age_s is None else round(age_s * _MS_PER_S)
 
     def routes(self) -> route_table.RouteTable:
         """Return the routes in force; raise ``NotConfiguredError``."""
@@ -194,7 +196,7 @@
             )
         return self._table
 
-    def _take_customers(
+    def _apply_customers(
         self,
         offered: tuple[model.Customer, ...] | None,
     ) -> None:
@@ -203,13 +205,13 @@
             self.customers = customers.CustomerTable(offered)
         self.limits.set(customers.rate_limits(offered or ()))
 
-    def _tell_changes(
+    def _log_changes(
         self,
-        held: model.TargetList | None,
+        current: model.TargetList | None,
         offered: model.TargetList,
     ) -> None:
-        """Write one line of what a new list changes."""
-        before = _states(held)
+        """Log the changes of a new list in one line."""
+        before = _states(current)
         after = _states(offered)
         if before == after:
             return
@@ -218,14 +220,14 @@
             events.TargetsChanged(
                 revision=offered.revision,
                 age_ms=self.targets_age_ms(),
-                added=sorted(after.keys() - before.keys())[:_MOST_NAMED],
-                gone=sorted(before.keys() - after.keys())[:_MOST_NAMED],
+                added=sorted(after.keys() - before.keys())[:_MAX_NAMED],
+                gone=sorted(before.keys() - after.keys())[:_MAX_NAMED],
                 draining=sorted(
                     target_id
                     for target_id, state in after.items()
                     if state is draining
                     and before.get(target_id) is not draining
-                )[:_MOST_NAMED],
+                )[:_MAX_NAMED],
             ),
         )
 
@@ -239,25 +241,24 @@
 
 
 def digest_of(listed: model.TargetList) -> int:
-    """Return the same number for the same targets, in whatever order.
+    """Return a number that is equal for equal targets in any order.
 
-    How long a target stays slow after its start doesn't count: that changes
-    with each reading.
+    The remaining warm-up time is left out, as it changes with each snapshot.
     """
-    # A sum of hashes comes out the same in any order.
-    lines = (_line_of(target).encode() for target in listed.targets)
+    # A sum of hashes does not depend on the order.
+    lines = (_target_line(target).encode() for target in listed.targets)
     return int(sum(map(xxhash.xxh3_64_intdigest, lines)) % 2**_DIGEST_BITS)
 
 
-def _line_of(target: model.ListedTarget) -> str:
+def _target_line(target: model.ListedTarget) -> str:
     place = f'{target.ip} {target.port} {target.zone}'
     kind = f'{target.service} {target.slots} {target.state.value}'
     return f'{target.target_id} {place} {kind}\n'
 
 
-def _unknown() -> None:
-    """Stand in for ``targets_age_s`` while nobody knows."""
+def _unknown_age() -> None:
+    """Act as ``targets_age_s`` until a callback is set."""
 
 
-def _tell_nobody(is_good: bool) -> None:
-    """Stand in for ``on_outcome`` while nobody listens."""
+def _ignore_outcome(is_good: bool) -> None:
+    """Act as ``on_outcome`` until a callback is set."""
--- a/libraries/entry/src/sardinepier/entry/target_table.py
+++ b/libraries/entry/src/sardinepier/entry/target_table.py
@@ -1,4 +1,4 @@
-"""The targets of one service that may get work, by their names."""
+"""The targets of one service that may get requests, by their ids."""
 
 import random
 from collections.abc import Collection, Iterable
@@ -12,18 +12,17 @@
 from sardinepier.gateway import errors, statements
 from sardinepier.health import failure_estimate
 
-
-_MOST_LEFT: Final = 4096
-"""Starts of targets remembered that said they leave: more than a service replaces
-within the time that any list of targets may be old."""
+_MAX_DEPARTED: Final = 4096
+"""Incarnations remembered that announced their leaving: more than a service
+replaces within the greatest age of a list of targets."""
 
 
 class TargetTable:
-    """Keeps what is known of each target while it is listed.
+    """Keeps the record of each target while it is listed.
 
-    A target that said that it leaves is out of use for good, whatever a list says
-    that is older or was kept while the platform is away. Another start of it has
-    another name here.
+    A target that announced its leaving is not used again, even if it is in a
+    list that is older or was kept while the platform is unavailable. Its next
+    incarnation has another id.
     """
 
     def __init__(
@@ -37,41 +36,43 @@
         self._random = random_source
         self._options = options
         self._records: dict[ids.TargetId, target_record.TargetRecord] = {}
-        self._asking: dict[ids.TargetId, target_record.TargetRecord] = {}
-        self._left: dict[ids.TargetId, target_record.TargetRecord] = {}
+        self._with_statements: dict[
+            ids.TargetId, target_record.TargetRecord
+        ] = {}
+        self._departed: dict[ids.TargetId, target_record.TargetRecord] = {}
 
     def set(self, listed: Iterable[model.ListedTarget]) -> None:
-        """Replace the targets; those that stay keep what is known of them.
+        """Replace the targets; those that stay keep their records.
 
-        Targets that drain are left out: they get nothing new. Of the first
-        list none has to be tried just because it is new.
+        Draining targets are left out: they get no new requests. Targets of
+        the first list count as used, so that not all of them are explored.
         """
         now_s = self._clock.monotonic_s()
         is_first = not self._records
-        kept: dict[ids.TargetId, target_record.TargetRecord] = {}
-        for one in listed:
-            is_ready = one.state is model.TargetState.READY
-            if is_ready and one.target_id not in self._left:
-                record = self._record(one, now_s)
-                record.warm_from_s = now_s + one.warm_in_s
+        current: dict[ids.TargetId, target_record.TargetRecord] = {}
+        for target in listed:
+            is_ready = target.state is model.TargetState.READY
+            if is_ready and target.target_id not in self._departed:
+                record = self._record(target, now_s)
+                record.warm_from_s = now_s + target.warm_in_s
                 record.was_used |= is_first
-                kept[one.target_id] = record
-        self._records = kept
-        for gone in self._asking.keys() - kept.keys():
-            del self._asking[gone]
+                current[target.target_id] = record
+        self._records = current
+        for target_id in self._with_statements.keys() - current.keys():
+            del self._with_statements[target_id]
 
     def find(
         self,
         target_id: ids.TargetId,
     ) -> target_record.TargetRecord | None:
-        """Return what is known of a target that is in use."""
+        """Return the record of a target, None if it is not in use."""
         return self._records.get(target_id)
 
     def require_accepting(self, record: target_record.TargetRecord) -> None:
-        """Raise unless this start still wants a request.
+        """Raise unless this incarnation still accepts a request.
 
-        Raises ``TargetLeftError`` when it is out of use and
-        ``TargetRestsError`` when it asked for rest.
+        Raises ``TargetLeftError`` when it is not in use any more and
+        ``TargetRestsError`` while it is backing off.
         """
         if self._records.get(record.listed.target_id) is not record:
             raise errors.TargetLeftError(
@@ -80,7 +81,7 @@
             )
         if record.statements.is_backing_off(self._clock.monotonic_s()):
             raise errors.TargetRestsError(
-                f'The target {record.listed.target_id} asked for rest',
+                f'The target {record.listed.target_id} asked for a backoff',
                 'Send the request to another one',
             )
 
@@ -95,43 +96,43 @@
         received_s: float,
         source: target_record.ObservationSource,
     ) -> bool:
-        """Go by what a target told ``source``; tell whether that is new."""
+        """Apply a statement that ``source`` received; return if it is new."""
         is_new = record.statements.apply(statement, received_s)
         record.statements_source = source
         if statement != statements.SILENT:
-            self._asking[record.listed.target_id] = record
+            self._with_statements[record.listed.target_id] = record
         if statement.is_leaving:
             self._leave(record)
         return is_new
 
     def with_statements(self) -> Iterable[target_record.TargetRecord]:
-        """Return the targets in use that ever asked for anything."""
-        return self._asking.values()
+        """Return the targets in use that ever stated anything."""
+        return self._with_statements.values()
 
     def not_accepting(self) -> Collection[target_record.TargetRecord]:
-        """Return the targets in use that want no request of this daemon now."""
+        """Return the targets in use that accept no request from here now."""
         now_s = self._clock.monotonic_s()
         return {
             record
-            for record in self._asking.values()
+            for record in self._with_statements.values()
             if record.statements.opens_at_s(now_s) > now_s
         }
 
     def departed(self) -> Collection[target_record.TargetRecord]:
-        """Return the targets that said that they leave, oldest first."""
-        return self._left.values()
+        """Return the targets that announced their leaving, oldest first."""
+        return self._departed.values()
 
     def remove(self, target_id: ids.TargetId) -> None:
-        """Give nothing more to a target that is leaving or gone."""
+        """Stop using a target that is leaving or gone."""
         self._records.pop(target_id, None)
-        self._asking.pop(target_id, None)
+        self._with_statements.pop(target_id, None)
 
     def _leave(self, record: target_record.TargetRecord) -> None:
-        """Give nothing more to a target that said that it leaves."""
+        """Stop using a target for good, as it announced its leaving."""
         target_id = record.listed.target_id
-        self._left.setdefault(target_id, record)
-        if len(self._left) > _MOST_LEFT:
-            self._left.pop(next(iter(self._left)))
+        self._departed.setdefault(target_id, record)
+        if len(self._departed) > _MAX_DEPARTED:
+            self._departed.pop(next(iter(self._departed)))
         self.remove(target_id)
 
     def _record(
--- a/libraries/entry/tests/cover/test_entry_idle_targets.py
+++ b/libraries/entry/tests/cover/test_entry_idle_targets.py
@@ -208,8 +208,8 @@
         failure_estimate.EstimateOptions(),
         0.5,
     )
-    bound = held.pool(support.SERVICE)._overlooked._bound
-    assert bound._spare_share == pytest.approx(0.4)
+    bound = held.pool(support.SERVICE)._overlooked._threshold
+    assert bound._idle_share == pytest.approx(0.4)
 
 
 def test_a_target_out_of_reach_has_no_turn():
@@ -237,9 +237,9 @@
         for number in range(out_of_reach):
             pool.targets.find(f't{number + 1}').mark_unreachable(now_s)
         bound = idle_threshold.IdleThreshold(LEAST_USED)
-        chance = bound.chance(pool.targets.records(), context)
+        probability = bound.probability(pool.targets.records(), context)
         doubted = pool.targets.find('t0').failure_probability(now_s, WORK_S)
-        assert (doubted >= chance) == is_spared
+        assert (doubted >= probability) == is_spared
 
 
 def test_a_turn_that_fails_brings_no_further_turns():
@@ -275,10 +275,10 @@
                 )
             else:
                 pool.targets.find(name).estimate.answered(now_s)
-        chance = bound.chance(pool.targets.records(), context)
+        probability = bound.probability(pool.targets.records(), context)
         left_out = [
             record
             for record in pool.targets.records()
-            if record.failure_probability(now_s, WORK_S) >= chance
+            if record.failure_probability(now_s, WORK_S) >= probability
         ]
         assert len(left_out) == idle
--- a/libraries/workbench/src/sardinepier/workbench/policy/overrides.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/overrides.py
@@ -1,7 +1,7 @@
 """Figures of the decision path that are set otherwise for one run.
 
 A mechanism is taken out by a figure that keeps it from ever acting, for
-example ``entry.exploration._DOUBTED_S=inf``. No production setting does that.
+example ``entry.exploration._SUSPECTED_IDLE_S=inf``. No production setting does that.
 """
 
 import contextlib
--- a/libraries/workbench/tests/cover/test_policy_emulator.py
+++ b/libraries/workbench/tests/cover/test_policy_emulator.py
@@ -95,10 +95,10 @@
 
 
 def test_a_figure_is_set_for_one_run_only():
-    before = exploration._DOUBTED_S
-    with overrides.applied(['entry.exploration._DOUBTED_S=7']):
-        assert exploration._DOUBTED_S == 7.0
-    assert before == exploration._DOUBTED_S
+    before = exploration._SUSPECTED_IDLE_S
+    with overrides.applied(['entry.exploration._SUSPECTED_IDLE_S=7']):
+        assert exploration._SUSPECTED_IDLE_S == 7.0
+    assert before == exploration._SUSPECTED_IDLE_S
 
 
 @pytest.mark.parametrize(
@@ -157,7 +157,7 @@
 ):
     path = tmp_path / 'one.toml'
     path.write_text(ONE)
-    command.run(str(path), 2, 'entry.exploration._DOUBTED_S=9')
+    command.run(str(path), 2, 'entry.exploration._SUSPECTED_IDLE_S=9')
     lines = capsys.readouterr().out.splitlines()
     assert len(lines) == 3
     assert 'the change is worth' in lines[2]
