--- a/libraries/entry/src/sardinepier/entry/exploration.py
+++ b/libraries/entry/src/sardinepier/entry/exploration.py
@@ -1,5 +1,4 @@
-"""Explores targets: sends a request to one that is not the best, to learn of
-it.
+"""Exploration: requests to targets that are not the best, to learn of them.
 
 Requests concentrate on the best targets. Without exploration a target that
 joined later would never be used, and one that failed and has recovered would
--- a/libraries/entry/tests/cover/test_entry_choice.py
+++ b/libraries/entry/tests/cover/test_entry_choice.py
@@ -1,4 +1,4 @@
-"""Which target a request gets, under time that the test moves."""
+"""The choice of a target for a request, with a clock set by the test."""
 
 import asyncio
 import itertools
@@ -8,13 +8,13 @@
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import refusals, service_pool, attempt_requirements
+from sardinepier.entry import attempt_requirements, refusals, service_pool
 from sardinepier.health import failure_estimate
 from sardinepier.routing import admission
 
 
 class Bench:
-    """A pool of three targets here and one in another zone."""
+    """A pool of three targets in the own zone and one in another zone."""
 
     def __init__(self):
         self.clock = clocks.ManualClock(100.0)
@@ -34,15 +34,15 @@
         )
 
     def requirements(
-        self, tried=(), since_s=None, is_final_attempt=False, patient_s=0.3
+        self, tried=(), since_s=None, is_final_attempt=False, wait_s=0.3
     ):
         now_s = self.clock.monotonic_s() if since_s is None else since_s
         return attempt_requirements.AttemptRequirements(
-            tried, 0, now_s, now_s + patient_s, is_final_attempt
+            tried, 0, now_s, now_s + wait_s, is_final_attempt
         )
 
-    def take(self, **wished):
-        record = self.pool.try_acquire(self.requirements(**wished))
+    def send(self, **options):
+        record = self.pool.try_acquire(self.requirements(**options))
         if record is None:
             return None
         self.pool.started(record)
@@ -51,7 +51,7 @@
     def record(self, name):
         return self.pool.targets.find(ids.TargetId(name))
 
-    def good(self, *names):
+    def mark_answered(self, *names):
         for name in names:
             self.record(name).estimate.answered(self.clock.monotonic_s())
 
@@ -61,83 +61,83 @@
     return Bench()
 
 
-def test_the_target_that_answered_a_moment_ago_is_the_surest(bench):
-    bench.good('t2')
-    assert bench.take() == 't2'
+def test_the_target_that_answered_a_moment_ago_is_selected(bench):
+    bench.mark_answered('t2')
+    assert bench.send() == 't2'
 
 
 def test_the_own_zone_comes_first_among_equals(bench):
-    bench.good('t1', 't2', 't3', 'far')
-    taken = [bench.take() for _ in range(9)]
-    assert 'far' not in taken
-    assert bench.take() == 'far'
+    bench.mark_answered('t1', 't2', 't3', 'far')
+    selected = [bench.send() for _ in range(9)]
+    assert 'far' not in selected
+    assert bench.send() == 'far'
 
 
-def test_a_sure_target_elsewhere_beats_a_failing_one_here(bench):
-    bench.good('far')
+def test_a_sound_target_of_another_zone_is_preferred_to_a_failing_one(bench):
+    bench.mark_answered('far')
     for name in ('t1', 't2', 't3'):
         bench.record(name).estimate.failed(bench.clock.monotonic_s())
-    assert bench.take() == 'far'
+    assert bench.send() == 'far'
 
 
-def test_a_failing_target_is_no_way_out_while_a_sure_one_is_busy(bench):
-    bench.good('t1')
+def test_no_failing_target_is_selected_while_a_sound_one_is_busy(bench):
+    bench.mark_answered('t1')
     for name in ('t2', 't3', 'far'):
         bench.record(name).estimate.failed(bench.clock.monotonic_s())
-    assert [bench.take() for _ in range(3)] == ['t1', 't1', 't1']
-    assert bench.take() is None
+    assert [bench.send() for _ in range(3)] == ['t1', 't1', 't1']
+    assert bench.send() is None
 
 
-def test_after_a_wait_a_doubtful_target_is_taken(bench):
-    bench.good('t1')
+def test_after_a_wait_a_suspected_target_is_selected(bench):
+    bench.mark_answered('t1')
     for name in ('t2', 't3', 'far'):
         bench.record(name).estimate.failed(bench.clock.monotonic_s())
     since_s = bench.clock.monotonic_s()
     for _ in range(3):
-        bench.take()
+        bench.send()
     bench.clock.advance(0.3)
-    assert bench.take(since_s=since_s) in {'t2', 't3', 'far'}
+    assert bench.send(since_s=since_s) in {'t2', 't3', 'far'}
 
 
-def test_a_doubtful_target_gets_one_request_until_that_shows(bench):
-    # Only what began after the belief speaks for a target.
+def test_a_suspected_target_gets_one_request_until_that_is_settled(bench):
+    # Only attempts that began after the last estimate count for a target.
     bench.clock.advance(0.01)
-    first = bench.take()
-    second = bench.take()
+    first = bench.send()
+    second = bench.send()
     assert second != first
     bench.clock.advance(0.05)
-    # They have not failed at once, so that they are the surest by now.
-    assert bench.take() in {first, second}
+    # They have not failed at once, so that they are the best targets by now.
+    assert bench.send() in {first, second}
 
 
 def test_no_target_gets_the_same_request_twice(bench):
     tried = {'t1', 't2', 't3', 'far'}
-    assert bench.take(tried=tried) is None
+    assert bench.send(tried=tried) is None
 
 
 def test_a_target_is_never_given_more_than_its_slots(bench):
-    bench.good('t1', 't2', 't3', 'far')
-    taken = [bench.take() for _ in range(20)]
-    assert all(taken.count(name) <= 3 for name in ('t1', 't2', 't3', 'far'))
-    assert taken.count(None) == 8
+    bench.mark_answered('t1', 't2', 't3', 'far')
+    selected = [bench.send() for _ in range(20)]
+    assert all(selected.count(name) <= 3 for name in ('t1', 't2', 't3', 'far'))
+    assert selected.count(None) == 8
 
 
 def test_a_target_that_joined_later_is_tried(bench):
-    bench.good('t1', 't2', 't3')
+    bench.mark_answered('t1', 't2', 't3')
     bench.pool.targets.set(
         [
             *(record.listed for record in bench.pool.targets.records()),
             support.listed('new', warm_in_s=3.0),
         ],
     )
-    assert bench.take() != 'new'
+    assert bench.send() != 'new'
     bench.clock.advance(6.0)
-    bench.good('t1', 't2', 't3')
-    assert bench.take() == 'new'
+    bench.mark_answered('t1', 't2', 't3')
+    assert bench.send() == 'new'
 
 
-def stress(bench):
-    """Let a tenth of the attempts at ``t1`` fail, late, as chance has it."""
+def fail_a_tenth(bench):
+    """Let a tenth of the attempts at ``t1`` fail, not early."""
     for number in range(20):
         if number % 10:
             bench.pool.answered(bench.record('t1'), 0.1)
@@ -146,37 +146,41 @@
 
 
 def test_while_requests_fail_no_sound_target_is_left_idle(bench):
-    """Seen: four of six sound targets idle while a fifth of requests failed."""
+    """Guards against sound targets without requests while many requests fail.
+
+    In a trial four of six sound targets were idle while a fifth of the requests
+    failed.
+    """
     bench.pool.typical_latency_s = 0.1
-    taken = set()
+    selected = set()
     for _ in range(20):
         bench.clock.advance(0.1)
-        stress(bench)
+        fail_a_tenth(bench)
         record = bench.pool.try_acquire(bench.requirements())
         bench.pool.finished(record, bench.pool.started(record))
-        taken.add(record.listed.target_id)
-    assert taken >= {'t1', 't2', 't3'}
+        selected.add(record.listed.target_id)
+    assert selected >= {'t1', 't2', 't3'}
 
 
 def test_while_requests_fail_a_failing_target_stays_idle(bench):
     bench.pool.typical_latency_s = 0.1
-    taken = set()
+    selected = set()
     for _ in range(20):
         bench.clock.advance(0.1)
-        stress(bench)
+        fail_a_tenth(bench)
         bench.pool.failed(bench.record('t3'), 0)
         record = bench.pool.try_acquire(bench.requirements())
         bench.pool.finished(record, bench.pool.started(record))
-        taken.add(record.listed.target_id)
-    assert 't3' not in taken
+        selected.add(record.listed.target_id)
+    assert 't3' not in selected
 
 
-def served(bench, seconds, **wished):
-    """Serve ten requests a second, all well, and return who served when."""
+def serve(bench, seconds, **options):
+    """Serve ten requests a second; return when which target served one."""
     used = []
     for _ in range(seconds * 10):
         bench.clock.advance(0.1)
-        record = bench.pool.try_acquire(bench.requirements(**wished))
+        record = bench.pool.try_acquire(bench.requirements(**options))
         bench.pool.finished(record, bench.pool.started(record))
         bench.pool.answered(record, 0.1)
         now_s = bench.clock.monotonic_s()
@@ -192,92 +196,92 @@
     )
 
 
-def test_while_all_goes_well_requests_that_run_once_stay_together(bench):
-    """All but the one that each idle target gets in its time."""
-    names = [name for _, name in served(bench, 20, is_final_attempt=True)]
-    most = max(names.count(name) for name in ('t1', 't2', 't3'))
-    assert most >= 0.75 * len(names)
+def test_without_failures_requests_that_run_once_go_to_few_targets(bench):
+    """All but the requests that explore an idle target go to one target."""
+    names = [name for _, name in serve(bench, 20, is_final_attempt=True)]
+    max_count = max(names.count(name) for name in ('t1', 't2', 't3'))
+    assert max_count >= 0.75 * len(names)
 
 
 @pytest.mark.parametrize('is_final_attempt', [True, False])
 def test_no_target_of_the_zone_is_idle_for_two_seconds(bench, is_final_attempt):
-    """Failures may come all at once, when it is too late to spread."""
-    used = served(bench, 20, is_final_attempt=is_final_attempt)
+    """Requests may fail all at once, when it is too late to spread them."""
+    used = serve(bench, 20, is_final_attempt=is_final_attempt)
     for name in ('t1', 't2', 't3'):
         assert longest_idle_s(used, name) < 2.0
     assert 'far' not in {name for _, name in used}
 
 
-def test_what_others_of_the_zone_use_is_not_idle(bench):
+def test_a_target_used_by_other_daemons_of_the_zone_is_not_idle(bench):
     for _ in range(30):
         bench.clock.advance(0.1)
-        bench.good('t2', 't3')
+        bench.mark_answered('t2', 't3')
         record = bench.pool.try_acquire(
             bench.requirements(is_final_attempt=True)
         )
         bench.pool.finished(record, bench.pool.started(record))
-        bench.good(record.listed.target_id)
+        bench.mark_answered(record.listed.target_id)
     assert bench.record('t2').last_known_use_s() == bench.clock.monotonic_s()
 
 
-def test_a_doubted_target_is_tried_by_what_may_be_repeated(bench):
-    """The sooner it is known to be sound again, the more slots there are."""
-    bench.good('t1', 't2')
+def test_a_suspected_target_is_explored_by_requests_that_may_be_retried(bench):
+    """The sooner it is known to have recovered, the more slots there are."""
+    bench.mark_answered('t1', 't2')
     bench.record('t3').estimate.failed(bench.clock.monotonic_s())
     bench.clock.advance(1.1)
-    bench.good('t1', 't2')
-    assert bench.take(is_final_attempt=True) in {'t1', 't2'}
-    assert bench.take() == 't3'
-    assert bench.take() in {'t1', 't2'}
+    bench.mark_answered('t1', 't2')
+    assert bench.send(is_final_attempt=True) in {'t1', 't2'}
+    assert bench.send() == 't3'
+    assert bench.send() in {'t1', 't2'}
 
 
-def test_a_second_attempt_goes_to_no_idle_target_for_its_turn(bench):
+def test_a_second_attempt_does_not_explore(bench):
     bench.clock.advance(5.0)
-    bench.good('t1')
-    assert bench.take(tried={'t3'}) == 't1'
+    bench.mark_answered('t1')
+    assert bench.send(tried={'t3'}) == 't1'
 
 
-def test_an_attempt_long_overdue_speaks_against_its_target(bench):
-    bench.good('t1', 't2')
+def test_an_overdue_attempt_counts_against_its_target(bench):
+    bench.mark_answered('t1', 't2')
     bench.pool.typical_latency_s = 0.2
-    first = bench.take()
+    first = bench.send()
     bench.clock.advance(1.5)
-    bench.good('t1', 't2')
-    assert bench.take() not in {first, None}
+    bench.mark_answered('t1', 't2')
+    assert bench.send() not in {first, None}
 
 
-def test_daemons_that_share_a_zone_keep_apart(bench):
-    """Among equals each prefers its own."""
+def test_daemons_that_share_a_zone_prefer_different_targets(bench):
+    """Among equal targets each daemon prefers another one."""
     first = [bench.record(name) for name in ('t1', 't2', 't3')]
     for record, preference_offset in zip(first, (0.9, 0.1, 0.5), strict=True):
         record.preference_offset = preference_offset
-    bench.good('t1', 't2', 't3')
+    bench.mark_answered('t1', 't2', 't3')
     bench.pool.shares_zone = True
-    assert bench.take() == 't2'
+    assert bench.send() == 't2'
 
 
 def test_a_daemon_that_shares_its_zone_still_avoids_failing_targets(bench):
     bench.record('t1').preference_offset = 0.0
     bench.record('t2').preference_offset = 1.0
-    bench.good('t2')
+    bench.mark_answered('t2')
     bench.pool.shares_zone = True
     bench.pool.failed(bench.record('t1'), 0)
-    assert bench.take() == 't2'
+    assert bench.send() == 't2'
 
 
-def test_a_target_out_of_reach_is_avoided_and_not_blamed(bench):
-    bench.good('t1', 'far')
+def test_an_unreachable_target_is_avoided_and_keeps_its_estimate(bench):
+    bench.mark_answered('t1', 'far')
     record = bench.record('t1')
-    believed = record.estimate.failing_probability(bench.clock.monotonic_s())
+    probability = record.estimate.failing_probability(bench.clock.monotonic_s())
     record.mark_unreachable(bench.clock.monotonic_s())
     assert (
         record.estimate.failing_probability(bench.clock.monotonic_s())
-        == believed
+        == probability
     )
-    assert bench.take() == 'far'
+    assert bench.send() == 'far'
 
 
-def test_a_target_out_of_reach_is_tried_again_ever_more_seldom(bench):
+def test_an_unreachable_target_is_tried_at_growing_intervals(bench):
     record = bench.record('t1')
     pauses_s = []
     for _ in range(4):
@@ -286,25 +290,25 @@
         pauses_s.append(record.avoided_until_s - now_s)
     assert pauses_s == [1.0, 2.0, 4.0, 4.0]
     record.mark_reachable()
-    bench.good('t1')
-    assert bench.take() == 't1'
+    bench.mark_answered('t1')
+    assert bench.send() == 't1'
 
 
 async def test_a_wait_ends_when_a_slot_comes_free(bench):
     for name in ('t2', 't3', 'far'):
         bench.pool.targets.remove(ids.TargetId(name))
-    bench.good('t1')
+    bench.mark_answered('t1')
     record = bench.record('t1')
     bench.clock.advance(1.0)
     numbers = []
     for _ in range(3):
         bench.pool.try_acquire(bench.requirements())
         numbers.append(bench.pool.started(record))
-    work = admission.QueuedRequest(
+    queued_request = admission.QueuedRequest(
         1, bench.clock.monotonic_s() + 5.0, accepts_any_target=True
     )
     waiting = asyncio.create_task(
-        bench.pool.acquire(work, bench.requirements())
+        bench.pool.acquire(queued_request, bench.requirements())
     )
     await asyncio.sleep(0)
     assert not waiting.done()
@@ -314,13 +318,13 @@
 
 async def test_without_targets_a_request_is_refused_at_once(bench):
     bench.pool.set_targets([])
-    work = admission.QueuedRequest(1, bench.clock.monotonic_s() + 5.0)
+    queued_request = admission.QueuedRequest(1, bench.clock.monotonic_s() + 5.0)
     with pytest.raises(refusals.NoTargetError) as caught:
-        await bench.pool.acquire(work, bench.requirements())
+        await bench.pool.acquire(queued_request, bench.requirements())
     assert caught.value.retry_after_s > 0
 
 
-def test_a_second_attempt_needs_an_idea_of_the_usual_latency(bench):
+def test_a_hedge_needs_a_typical_latency(bench):
     assert bench.pool.hedge_delay_s() is None
     bench.pool.answered(bench.record('t1'), 0.2)
     assert bench.pool.hedge_delay_s() == pytest.approx(0.5)
--- a/libraries/entry/tests/cover/test_entry_confirmation_model.py
+++ b/libraries/entry/tests/cover/test_entry_confirmation_model.py
@@ -1,10 +1,10 @@
-"""All short histories of readings, questions, delays and withdrawals.
+"""Exhaustive model check of confirmations over short histories of events.
 
-Two daemons and a platform. One reads the platform, the other asks the first, and
-each may be suspended or started anew. Whatever the order of events: a daemon that
-takes its configuration for confirmed holds each version that was acknowledged
-longer ago than the bound. The checks of this rule are themselves checked by
-mutations, each of which some history shows.
+One daemon requests snapshots from the platform, another one requests
+confirmations from the first, and each may be suspended or restarted. For any
+order of events, a daemon whose configuration counts as confirmed has each
+version that was acknowledged longer ago than the bound. Mutations check the
+model itself: each violates this rule in some history.
 """
 
 import enum
@@ -21,17 +21,17 @@
 
 
 class Mutation(enum.Enum):
-    """What may be wrong with a daemon."""
+    """A fault that is injected into a daemon."""
 
     NONE = 'none'
-    FROM_ANSWER = 'age counted from the answer'
-    RESET_ON_THE_WAY = 'age set back when it is passed on'
-    STEADY_CLOCK = 'a clock that stops in suspension'
-    ANY_VERSION = 'a confirmation of a version that is not held'
+    FROM_REPLY = 'age counted from the reply'
+    RESET_WHEN_SENT = 'age reset when it is sent on'
+    STEADY_CLOCK = 'a clock that stops during suspension'
+    ANY_VERSION = 'a confirmation of a version that the daemon does not have'
 
 
 class Daemon:
-    """One daemon: what it holds, and since when that is confirmed."""
+    """One daemon with its version and the confirmation of it."""
 
     def __init__(self, mutation):
         self.mutation = mutation
@@ -40,8 +40,8 @@
 
     def start(self):
         self.version = 0
-        self.held = confirmation.Confirmation(self.clock, BOUND_S)
-        self.asked_s = None
+        self.confirmation = confirmation.Confirmation(self.clock, BOUND_S)
+        self.requested_s = None
         self.shown = None
 
     def now_s(self):
@@ -53,79 +53,79 @@
         elif not is_suspended:
             self.clock.advance(elapsed_s)
 
-    def take(self, version, confirmed_s):
-        """Take in a version that was the newest at a moment."""
+    def apply(self, version, confirmed_s):
+        """Apply a version that was the newest at ``confirmed_s``."""
         if version > self.version and self.mutation is Mutation.ANY_VERSION:
-            self.held.confirm(confirmed_s)
+            self.confirmation.confirm(confirmed_s)
             return
         self.version = max(self.version, version)
-        self.held.confirm(confirmed_s)
+        self.confirmation.confirm(confirmed_s)
 
 
 class World:
-    """The platform with one daemon that reads and one that asks."""
+    """The platform, a daemon that reads it and one that requests from it."""
 
     def __init__(self, mutation):
         self.mutation = mutation
         self.now_s = 0.0
         self.versions = [(0.0, 0)]
         self.reader = Daemon(mutation)
-        self.asker = Daemon(mutation)
-        self.reading = None
-        self.question = None
+        self.requester = Daemon(mutation)
+        self.snapshot = None
+        self.request_s = None
         self.reply = None
 
     def newest(self):
         return self.versions[-1][1]
 
-    def withdraw(self):
+    def withdraw_key(self):
         self.versions.append((self.now_s, self.newest() + 1))
 
     def wait(self, suspended=None):
         self.now_s += STEP_S
-        for daemon in (self.reader, self.asker):
+        for daemon in (self.reader, self.requester):
             daemon.pass_time(STEP_S, is_suspended=daemon is suspended)
 
-    def ask_platform(self):
-        self.reading = (self.reader.now_s(), self.newest())
+    def request_snapshot(self):
+        self.snapshot = (self.reader.now_s(), self.newest())
 
-    def platform_answers(self):
-        if self.reading is None:
+    def receive_snapshot(self):
+        if self.snapshot is None:
             return
-        asked_s, version = self.reading
-        self.reading = None
-        if self.mutation is Mutation.FROM_ANSWER:
-            asked_s = self.reader.now_s()
-        self.reader.take(version, asked_s)
-
-    def ask_reader(self):
-        self.question = self.asker.now_s()
-
-    def reader_answers(self):
-        age_s = self.reader.held.age_s()
-        if self.question is None or age_s is None:
+        requested_s, version = self.snapshot
+        self.snapshot = None
+        if self.mutation is Mutation.FROM_REPLY:
+            requested_s = self.reader.now_s()
+        self.reader.apply(version, requested_s)
+
+    def request_confirmation(self):
+        self.request_s = self.requester.now_s()
+
+    def send_confirmation(self):
+        age_s = self.reader.confirmation.age_s()
+        if self.request_s is None or age_s is None:
             return
-        if self.mutation is Mutation.RESET_ON_THE_WAY:
+        if self.mutation is Mutation.RESET_WHEN_SENT:
             age_s = 0.0
-        self.reply = (self.question - age_s, self.reader.version)
-        self.question = None
+        self.reply = (self.request_s - age_s, self.reader.version)
+        self.request_s = None
 
-    def answer_arrives(self):
+    def receive_confirmation(self):
         if self.reply is None:
             return
         confirmed_s, version = self.reply
         self.reply = None
-        if self.mutation is Mutation.FROM_ANSWER:
-            confirmed_s = self.asker.now_s()
-        self.asker.take(version, confirmed_s)
+        if self.mutation is Mutation.FROM_REPLY:
+            confirmed_s = self.requester.now_s()
+        self.requester.apply(version, confirmed_s)
 
-    def restart_asker(self):
-        self.asker.start()
-        self.question = None
+    def restart_requester(self):
+        self.requester.start()
+        self.request_s = None
         self.reply = None
 
     def is_safe(self):
-        due = (
+        required_version = (
             max(
                 version
                 for acknowledged_s, version in self.versions
@@ -135,34 +135,35 @@
             else 0
         )
         return all(
-            daemon.version >= due or not daemon.held.is_valid()
-            for daemon in (self.reader, self.asker)
+            daemon.version >= required_version
+            or not daemon.confirmation.is_valid()
+            for daemon in (self.reader, self.requester)
         )
 
 
 EVENTS = (
-    World.withdraw,
+    World.withdraw_key,
     World.wait,
-    lambda world: world.wait(world.asker),
+    lambda world: world.wait(world.requester),
     lambda world: world.wait(world.reader),
-    World.ask_platform,
-    World.platform_answers,
-    World.ask_reader,
-    World.reader_answers,
-    World.answer_arrives,
-    World.restart_asker,
+    World.request_snapshot,
+    World.receive_snapshot,
+    World.request_confirmation,
+    World.send_confirmation,
+    World.receive_confirmation,
+    World.restart_requester,
 )
 BEFORE = (
-    World.ask_platform,
-    World.platform_answers,
-    World.ask_reader,
-    World.reader_answers,
+    World.request_snapshot,
+    World.receive_snapshot,
+    World.request_confirmation,
+    World.send_confirmation,
 )
-"""Histories begin with a confirmed reader and an answer on its way."""
+"""Histories begin with a confirmed reader and a reply in flight."""
 
 
 def unsafe_histories(mutation):
-    """Yield each history after which a withdrawn key would be taken."""
+    """Yield each history after which a withdrawn key would be accepted."""
     for history in itertools.product(EVENTS, repeat=LENGTH):
         world = World(mutation)
         for event in (*BEFORE, *history):
@@ -174,9 +175,9 @@
 @pytest.mark.parametrize('first', range(len(EVENTS)))
 def test_no_history_lets_a_withdrawn_key_through(first):
     seen = 0
-    for rest in itertools.product(EVENTS, repeat=LENGTH - 1):
+    for remaining in itertools.product(EVENTS, repeat=LENGTH - 1):
         world = World(Mutation.NONE)
-        for event in (*BEFORE, EVENTS[first], *rest):
+        for event in (*BEFORE, EVENTS[first], *remaining):
             event(world)
         assert world.is_safe()
         seen += 1
@@ -185,7 +186,7 @@
 
 @pytest.mark.parametrize(
     'mutation',
-    [one for one in Mutation if one is not Mutation.NONE],
+    [mutation for mutation in Mutation if mutation is not Mutation.NONE],
 )
 def test_some_history_shows_each_mutation(mutation):
     assert next(unsafe_histories(mutation), None) is not None
--- a/libraries/entry/tests/cover/test_entry_incarnations.py
+++ b/libraries/entry/tests/cover/test_entry_incarnations.py
@@ -1,17 +1,16 @@
-"""A target that starts again under its name, in any order of the news."""
+"""A target that restarts under its name, with lists in any order."""
 
 import random
 
 import entry_support as support
-from hypothesis import strategies
-from hypothesis import given as with_any
+from hypothesis import given, strategies
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
 from sardinepier.entry import model, service_registry
 from sardinepier.health import failure_estimate
 
 
-def start(name, born_ms, state=model.TargetState.READY, port=1):
+def incarnation(name, born_ms, state=model.TargetState.READY, port=1):
     return support.listed(
         f'{name}@{born_ms}',
         port,
@@ -21,7 +20,7 @@
     )
 
 
-def serving():
+def empty_services():
     return service_registry.ServiceRegistry(
         support.ZONE,
         clocks.ManualClock(100.0),
@@ -31,22 +30,22 @@
     )
 
 
-def in_use(held):
-    records = held.pool(support.SERVICE).targets.records()
+def in_use(services):
+    records = services.pool(support.SERVICE).targets.records()
     return {record.listed.target_id for record in records}
 
 
-def test_nothing_of_the_start_before_is_believed_of_the_next():
-    held = serving()
-    held.offer_targets(model.TargetList(1, (start('i-1', 10),)))
-    pool = held.pool(support.SERVICE)
+def test_the_record_of_an_incarnation_is_not_used_for_the_next():
+    services = empty_services()
+    services.offer_targets(model.TargetList(1, (incarnation('i-1', 10),)))
+    pool = services.pool(support.SERVICE)
     before = pool.targets.find(ids.TargetId('i-1@10'))
     before.estimate.failed(100.0)
     before.record_load(3, 5, 100.0)
     before.full_until_s = 200.0
-    held.offer_targets(model.TargetList(2, (start('i-1', 20),)))
+    services.offer_targets(model.TargetList(2, (incarnation('i-1', 20),)))
     after = pool.targets.find(ids.TargetId('i-1@20'))
-    assert in_use(held) == {'i-1@20'}
+    assert in_use(services) == {'i-1@20'}
     assert after.has_free_slot(100.0)
     assert after.estimate.failing_probability(
         100.0
@@ -54,54 +53,54 @@
     assert after.listed.stable_name == 'i-1'
 
 
-def test_a_late_entry_of_the_start_before_brings_nothing_back():
-    held = serving()
-    held.offer_targets(model.TargetList(1, (start('i-1', 20),)))
-    held.offer_targets(model.TargetList(2, (start('i-1', 10),)))
-    assert in_use(held) == set()
-    held.offer_targets(model.TargetList(3, (start('i-1', 20),)))
-    assert in_use(held) == {'i-1@20'}
+def test_a_late_entry_of_the_previous_incarnation_is_ignored():
+    services = empty_services()
+    services.offer_targets(model.TargetList(1, (incarnation('i-1', 20),)))
+    services.offer_targets(model.TargetList(2, (incarnation('i-1', 10),)))
+    assert in_use(services) == set()
+    services.offer_targets(model.TargetList(3, (incarnation('i-1', 20),)))
+    assert in_use(services) == {'i-1@20'}
 
 
-def test_that_the_start_before_drained_says_nothing_of_the_next():
-    held = serving()
-    draining = start('i-1', 10, model.TargetState.DRAINING)
-    held.offer_targets(model.TargetList(1, (draining,)))
-    assert in_use(held) == set()
-    held.offer_targets(model.TargetList(2, (start('i-1', 20),)))
-    assert in_use(held) == {'i-1@20'}
+def test_the_next_incarnation_of_a_draining_target_is_used():
+    services = empty_services()
+    draining = incarnation('i-1', 10, model.TargetState.DRAINING)
+    services.offer_targets(model.TargetList(1, (draining,)))
+    assert in_use(services) == set()
+    services.offer_targets(model.TargetList(2, (incarnation('i-1', 20),)))
+    assert in_use(services) == {'i-1@20'}
 
 
 ENTRIES = strategies.builds(
-    start,
+    incarnation,
     strategies.sampled_from(('i-1', 'i-2', 'i-3')),
     strategies.integers(1, 5),
     strategies.sampled_from(list(model.TargetState)),
 )
 
 
-@with_any(strategies.lists(strategies.lists(ENTRIES, max_size=3), max_size=8))
-def test_in_any_order_only_the_newest_start_of_a_name_is_used(lists):
-    held = serving()
+@given(strategies.lists(strategies.lists(ENTRIES, max_size=3), max_size=8))
+def test_in_any_order_only_the_newest_incarnation_of_a_name_is_used(lists):
+    services = empty_services()
     newest_ms = {}
     for revision, listed in enumerate(lists):
-        held.offer_targets(model.TargetList(revision, tuple(listed)))
-        for one in listed:
-            known_ms = newest_ms.get(one.stable_name, 0)
-            newest_ms[one.stable_name] = max(known_ms, one.born_ms)
-        for target_id in in_use(held):
+        services.offer_targets(model.TargetList(revision, tuple(listed)))
+        for target in listed:
+            known_ms = newest_ms.get(target.stable_name, 0)
+            newest_ms[target.stable_name] = max(known_ms, target.born_ms)
+        for target_id in in_use(services):
             name, _, born_ms = target_id.partition('@')
             assert int(born_ms) == newest_ms[name]
 
 
-async def test_a_connection_to_the_start_before_is_not_used(entry):
-    """Whoever was there is gone; what is sent on it would be lost."""
+async def test_a_connection_to_the_previous_incarnation_is_not_used(entry):
+    """The previous incarnation is gone; a request to it would be lost."""
     target = support.RawTarget('i-1')
     await target.start()
-    held = entry.shared.services
+    services = entry.shared.services
     for revision, born_ms in enumerate((10, 10, 20)):
-        once = start('i-1', born_ms, port=target.port)
-        held.offer_targets(model.TargetList(revision, (once,)))
+        restarted = incarnation('i-1', born_ms, port=target.port)
+        services.offer_targets(model.TargetList(revision, (restarted,)))
         await entry.ask()
     assert target.connections == 2
     assert target.seen[-1][1][support.NAMES.expected_target] == 'i-1'
--- a/libraries/entry/tests/cover/test_entry_leaving.py
+++ b/libraries/entry/tests/cover/test_entry_leaving.py
@@ -1,11 +1,10 @@
-"""Targets that leave after they were chosen, before anything was sent to them.
+"""Targets that leave after they were selected and before anything is sent.
 
-Seen: at two instances requests reached targets 2.6 s after their leaving was
-published. Both requests had been there for 0.7 s. The target is chosen by the
-list of that moment; a connection to it may take a third of a second, and the
-instance's processor longer. Nothing asked again before the first byte, so that
-what was heard meanwhile changed nothing. That a target which leaves within
-that time still gets the request is shown here.
+Guards against a request that is sent to a target which has left meanwhile. At
+two instances requests reached targets 2.6 s after their leaving was published,
+0.7 s after the requests had arrived. A target is selected from the list of that
+moment. A connection to it may take a third of a second, and longer on a busy
+instance. The list was not checked again before the first byte was sent.
 """
 
 import entry_support as support
@@ -16,32 +15,32 @@
 
 
 async def prefer_first(entry):
-    """Start two targets of which the first is chosen."""
-    leaving, other = support.RawTarget('t1'), support.RawTarget('t2')
-    await entry.use(leaving, other)
+    """Start two targets of which the first is selected."""
+    leaving, staying = support.RawTarget('t1'), support.RawTarget('t2')
+    await entry.use(leaving, staying)
     record = entry.shared.services.pool(support.SERVICE).targets.find('t2')
     record.estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
-    return leaving, other
+    return leaving, staying
 
 
-def when_connected(monkeypatch, hear):
-    """Call ``hear`` as soon as a connection is there."""
+def when_connected(monkeypatch, on_connect):
+    """Call ``on_connect`` as soon as a connection is established."""
     connect = connections.GuardedConnector._create_connection
 
-    async def connect_and_hear(self, *details):
+    async def connect_and_notify(self, *details):
         made = await connect(self, *details)
-        hear()
+        on_connect()
         return made
 
     monkeypatch.setattr(
         connections.GuardedConnector,
         '_create_connection',
-        connect_and_hear,
+        connect_and_notify,
     )
 
 
 def without_first(entry, *listed):
-    """Use a list with the second target and ``listed``."""
+    """Apply a list with the second target and ``listed``."""
     second = entry.targets[1]
     entry.shared.services.offer_targets(
         model.TargetList(
@@ -52,12 +51,12 @@
 
 
 async def test_a_target_that_left_meanwhile_gets_nothing(entry, monkeypatch):
-    leaving, other = await prefer_first(entry)
+    leaving, staying = await prefer_first(entry)
     pool = entry.shared.services.pool(support.SERVICE)
     record = pool.targets.find(leaving.name)
-    believed_s = record.estimate.updated_s
+    estimated_s = record.estimate.updated_s
     while pool.retry_budget.try_spend():
-        """Leave nothing: to go past a target that left costs nothing."""
+        """Spend the budget: to skip a target that left needs none of it."""
     draining = support.listed(
         leaving.name,
         leaving.port,
@@ -65,6 +64,6 @@
     )
     when_connected(monkeypatch, lambda: without_first(entry, draining))
     status, _, _ = await entry.ask(ONCE)
-    assert (status, leaving.seen, other.ran) == (200, [], 1)
-    # Nor does it say anything of the target.
-    assert record.estimate.updated_s == believed_s
+    assert (status, leaving.seen, staying.ran) == (200, [], 1)
+    # The estimate of the target does not change either.
+    assert record.estimate.updated_s == estimated_s
--- a/libraries/entry/tests/cover/test_entry_targets.py
+++ b/libraries/entry/tests/cover/test_entry_targets.py
@@ -1,4 +1,4 @@
-"""What targets may do wrong, and what the caller then gets."""
+"""Misbehaving targets, and what the caller gets then."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 ONCE = '/once/1'
 SAFE = '/books/1'
 
-# What one target does first, the request's path, what the caller gets, and
-# how often the request ran on both targets together. A second target is well.
+# The first behaviour of one target, the request's path, the caller's status,
+# and how often the request ran on both targets. The second target is sound.
 CASES = (
     ('ok', SAFE, 200, 1),
     ('ok', ONCE, 200, 1),
@@ -50,7 +50,7 @@
 ):
     bad = support.RawTarget('bad', [behaviour, 'ok'])
     await entry.use(bad, support.RawTarget('good'))
-    # The one that has a good answer behind it would be preferred.
+    # A target with a good answer would be preferred.
     entry.shared.services.pool(support.SERVICE).targets.find(
         'good',
     ).estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
@@ -63,7 +63,7 @@
         assert support.NAMES.signature not in headers
 
 
-async def test_an_extra_answer_is_not_the_next_request_s(entry):
+async def test_an_extra_answer_is_not_used_for_the_next_request(entry):
     target = support.RawTarget('t1', ['extra-after', 'ok'])
     await entry.use(target)
     for number in range(4):
@@ -95,7 +95,7 @@
     assert headers[support.NAMES.signature] == 'proof-of-id-1'
 
 
-async def test_a_refusal_says_when_to_come_back(entry):
+async def test_a_refusal_has_a_retry_after(entry):
     await entry.use(support.RawTarget('t1', ['shed']))
     status, headers, _ = await entry.ask('/once/1', 'POST')
     assert status == 503
@@ -122,17 +122,17 @@
     assert (status, entry.ran) == (503, 0)
 
 
-async def test_a_target_out_of_reach_is_gone_past(entry):
-    gone = support.RawTarget('gone')
-    await entry.use(gone, support.RawTarget('good'))
-    gone.server.close()
+async def test_an_unreachable_target_is_skipped(entry):
+    unreachable = support.RawTarget('unreachable')
+    await entry.use(unreachable, support.RawTarget('good'))
+    unreachable.server.close()
     for _ in range(6):
         status, _, _ = await entry.ask('/once/1', 'POST')
         assert status == 200
 
 
 async def test_a_route_s_timeout_ends_a_request(entry):
-    """Its caller would wait for far longer."""
+    """The route's timeout is shorter than the caller's deadline."""
     entry.shared.services.offer_configuration(
         support.configuration(2, [support.route(timeout_s=0.3)]),
     )
@@ -145,13 +145,13 @@
 
 
 async def test_a_slow_idempotent_request_gets_a_second_target(entry):
-    """Without one it would end with 504 at its route's timeout."""
-    one, other = support.RawTarget('one'), support.RawTarget('other')
-    await entry.use(one, other)
+    """Without a hedge it would end with 504 at its route's timeout."""
+    targets = support.RawTarget('t1'), support.RawTarget('t2')
+    await entry.use(*targets)
     for _ in range(120):
         await entry.ask()
-    # The one that gets the requests is the one that answered them so far.
-    slow = max(one, other, key=lambda target: target.ran)
+    # The target that answered so far gets the next request, too.
+    slow = max(targets, key=lambda target: target.ran)
     slow.behaviours = ['hang']
     ran_before = slow.ran
     status, _, _ = await asyncio.wait_for(
@@ -162,24 +162,26 @@
     assert slow.ran == ran_before + 1
 
 
-async def test_a_connection_that_times_out_is_no_evidence(entry, monkeypatch):
-    """The way from here may be lost, while others have it."""
+async def test_a_connect_timeout_does_not_change_the_estimate(
+    entry, monkeypatch
+):
+    """Only the network path from this daemon may be broken."""
     await entry.use(support.RawTarget('t1'))
     record = entry.shared.services.pool(support.SERVICE).targets.find('t1')
     before = record.estimate.updated_s
 
-    async def silent(*passed, **named):
-        raise errors.ConnectTimeoutError('nobody says anything', 'wait', 0.2)
+    async def time_out(*passed, **named):
+        raise errors.ConnectTimeoutError('no reply', 'wait', 0.2)
 
     with monkeypatch.context() as patched:
-        patched.setattr(entry.shared.client, 'open', silent)
+        patched.setattr(entry.shared.client, 'open', time_out)
         status, _, _ = await entry.ask()
     assert status == 503
     assert record.failed_connects == 1
     assert record.estimate.updated_s == before
 
 
-async def test_a_target_that_was_heard_is_within_reach(entry):
+async def test_a_target_that_answered_is_reachable(entry):
     await entry.use(support.RawTarget('t1'))
     record = entry.shared.services.pool(support.SERVICE).targets.find('t1')
     record.mark_unreachable(entry.shared.clock.monotonic_s())
--- a/libraries/entry/tests/cover/test_entry_zone_affinity.py
+++ b/libraries/entry/tests/cover/test_entry_zone_affinity.py
@@ -1,10 +1,11 @@
-"""Zones that don't know of each other's requests, before the same targets.
-
-Seen: five zones, each with one carrier, before some hundred targets a service.
-A target that answered a moment ago is the surest, and zones tell each other
-every half second who that is. All sent to the same few, whose slots were full:
-the busiest target had twice the mean, answers came late, and a third of the
-bytes crossed zones. Two thirds of the slots were free meanwhile.
+"""Several zones that send to the same targets without sharing their load.
+
+Guards against zones that all select the same few targets: with five zones, one
+carrier each, and about a hundred targets a service. A target that answered a
+moment ago has the lowest failure probability, and zones send each other their
+estimates every half second. The slots of those few targets were full: the
+busiest one had twice the mean load, answers were late, and a third of the bytes
+crossed zones, while two thirds of all slots were free.
 """
 
 import heapq
@@ -14,25 +15,25 @@
 import pytest
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.entry import service_pool, attempt_requirements
+from sardinepier.entry import attempt_requirements, service_pool
 from sardinepier.health import failure_estimate
 
 ZONES = [ids.ZoneName(f'z{number}') for number in range(5)]
-TARGETS_A_ZONE = 26
+TARGETS_PER_ZONE = 26
 SLOTS = 3
-PER_S = 74.0
-WORK_S = 0.34
-PATIENCE_S = 0.36
-TELLING_S = 0.5
+REQUESTS_PER_S = 74.0
+PROCESSING_S = 0.34
+WAIT_S = 0.36
+SHARING_INTERVAL_S = 0.5
 SECONDS = 8
 
-FEW = 0.02
-"""One request in fifty: what a full target costs is a wait as long as its work,
-and fewer than that change the median of nobody."""
+MAX_SHARE = 0.02
+"""One request in fifty. A request at a full target waits for another one's
+processing time; as few as these don't change the median latency."""
 
 
 class Fleet:
-    """A pool a zone in virtual time, before targets that all serve well."""
+    """One pool per zone, in virtual time, with targets that all serve well."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -40,27 +41,29 @@
         listed = [
             support.listed(f'{zone}-{number}', zone=zone, slots=SLOTS)
             for zone in ZONES
-            for number in range(TARGETS_A_ZONE)
+            for number in range(TARGETS_PER_ZONE)
         ]
         self.pools = {zone: self._pool(zone, listed) for zone in ZONES}
-        self.working = dict.fromkeys((one.target_id for one in listed), 0)
+        self.in_flight = dict.fromkeys(
+            (target.target_id for target in listed), 0
+        )
         self.waiting = {zone: [] for zone in ZONES}
         self.ends = []
-        self.asked = 0
-        self.met_full = 0
+        self.requests = 0
+        self.found_full = 0
         self.crossed = 0
 
     def run(self):
-        steps = int(SECONDS * PER_S)
-        tells_each = round(TELLING_S * PER_S)
+        steps = int(SECONDS * REQUESTS_PER_S)
+        sharing_steps = round(SHARING_INTERVAL_S * REQUESTS_PER_S)
         for step in range(steps):
-            self.clock.advance(1 / PER_S)
+            self.clock.advance(1 / REQUESTS_PER_S)
             self._end_due()
             for zone in ZONES:
                 self.waiting[zone].append(self.clock.monotonic_s())
                 self._send_waiting(zone)
-            if step % tells_each == 0:
-                self._tell()
+            if step % sharing_steps == 0:
+                self._share_estimates()
 
     def _pool(self, zone, listed):
         pool = service_pool.ServicePool(
@@ -73,11 +76,11 @@
         )
         pool.targets.set(listed)
         for record in pool.targets.records():
-            pool.answered(record, WORK_S)
+            pool.answered(record, PROCESSING_S)
         return pool
 
     def _send_waiting(self, zone):
-        """Send what came, first come first served, while there is room."""
+        """Send the waiting requests in order, while a slot is free."""
         since_s = self.waiting[zone]
         while since_s and self._send(zone, since_s[0]):
             since_s.pop(0)
@@ -86,18 +89,24 @@
         now_s = self.clock.monotonic_s()
         pool = self.pools[zone]
         requirements = attempt_requirements.AttemptRequirements(
-            (), 0, since_s, since_s + PATIENCE_S, is_final_attempt=True
+            (), 0, since_s, since_s + WAIT_S, is_final_attempt=True
         )
         record = pool.try_acquire(requirements)
         if record is None:
             return False
         name = record.listed.target_id
-        self.asked += 1
+        self.requests += 1
         self.crossed += record.listed.zone != zone
-        self.met_full += self.working[name] >= SLOTS
-        self.working[name] += 1
-        work_s = self.random.uniform(0.5, 1.5) * WORK_S
-        entry = (now_s + work_s, self.asked, zone, name, pool.started(record))
+        self.found_full += self.in_flight[name] >= SLOTS
+        self.in_flight[name] += 1
+        processing_s = self.random.uniform(0.5, 1.5) * PROCESSING_S
+        entry = (
+            now_s + processing_s,
+            self.requests,
+            zone,
+            name,
+            pool.started(record),
+        )
         heapq.heappush(self.ends, entry)
         return True
 
@@ -105,17 +114,17 @@
         now_s = self.clock.monotonic_s()
         while self.ends and self.ends[0][0] <= now_s:
             _, _, zone, name, number = heapq.heappop(self.ends)
-            self.working[name] -= 1
+            self.in_flight[name] -= 1
             pool = self.pools[zone]
             record = pool.targets.find(name)
             pool.finished(record, number)
-            pool.answered(record, WORK_S)
+            pool.answered(record, PROCESSING_S)
 
-    def _tell(self):
-        """Let each zone know what the others saw last."""
-        for name in self.working:
+    def _share_estimates(self):
+        """Send each zone the newest estimates of the others."""
+        for name in self.in_flight:
             records = [pool.targets.find(name) for pool in self.pools.values()]
-            newest = max(records, key=lambda one: one.estimate.updated_s)
+            newest = max(records, key=lambda record: record.estimate.updated_s)
             seen_s = newest.estimate.updated_s
             for record in records:
                 if record is not newest:
@@ -125,16 +134,16 @@
 
 
 @pytest.fixture(scope='module', params=[1, 2, 3])
-def played(request):
+def finished_fleet(request):
     fleet = Fleet(request.param)
     fleet.run()
     return fleet
 
 
-def test_few_requests_meet_a_target_without_a_free_slot(played):
-    """With two thirds of all slots free there is no need for any."""
-    assert played.met_full < FEW * played.asked
+def test_few_requests_meet_a_target_without_a_free_slot(finished_fleet):
+    """With two thirds of all slots free none should."""
+    assert finished_fleet.found_full < MAX_SHARE * finished_fleet.requests
 
 
-def test_requests_stay_in_their_zone_while_it_has_sound_targets(played):
-    assert played.crossed < FEW * played.asked
+def test_requests_stay_in_their_zone_while_it_has_sound_targets(finished_fleet):
+    assert finished_fleet.crossed < MAX_SHARE * finished_fleet.requests
