--- a/libraries/entry/src/sardinepier/entry/target_record.py
+++ b/libraries/entry/src/sardinepier/entry/target_record.py
@@ -64,7 +64,8 @@
     ``belief_source`` is who observed the outcome that ``estimate`` is based on.
     ``started_s`` maps each open attempt to when it began, oldest first.
     The target is slow after its start until ``warm_from_s``, and
-    ``latency_ratio`` is its latency relative to that of the service.
+    ``latency_ratio`` is its latency relative to that of the service, 1.0 if
+    both are equal.
     ``full_until_s`` is until when it gets nothing as it had no free slot.
     ``reserved`` counts slots of requests whose attempt has not begun yet.
     ``is_exploration`` says that its newest request was sent to explore it.
--- a/libraries/entry/tests/cover/test_entry_targets.py
+++ b/libraries/entry/tests/cover/test_entry_targets.py
@@ -146,12 +146,12 @@
 
 async def test_a_slow_idempotent_request_gets_a_second_target(entry):
     """Without a hedge it would end with 504 at its route's timeout."""
-    targets = support.RawTarget('t1'), support.RawTarget('t2')
-    await entry.use(*targets)
+    first, second = support.RawTarget('t1'), support.RawTarget('t2')
+    await entry.use(first, second)
     for _ in range(120):
         await entry.ask()
     # The target that answered so far gets the next request, too.
-    slow = max(targets, key=lambda target: target.ran)
+    slow = max(first, second, key=lambda target: target.ran)
     slow.behaviours = ['hang']
     ran_before = slow.ran
     status, _, _ = await asyncio.wait_for(
