--- a/libraries/configuration/src/sardinepier/configuration/distributor.py
+++ b/libraries/configuration/src/sardinepier/configuration/distributor.py
@@ -23,9 +23,9 @@
 from sardinepier.configuration.internal import (
     confirmations,
     instance_poller,
-    intake,
-    peer_side,
+    peer_components,
     platform_reader,
+    store_writer,
     watchers,
 )
 from sardinepier.core import clock as clocks
@@ -63,9 +63,9 @@
         self._random = random_source
         self._options = options
         self._confirmed = confirmations.Confirmations(clock)
-        file_intake = intake.Intake(store, on_event)
+        file_intake = store_writer.Intake(store, on_event)
         self._watchers = watchers.Watchers(view, self._per_zone)
-        self._peers = peer_side.PeerSide(
+        self._peers = peer_components.PeerSide(
             store,
             network,
             view,
--- a/libraries/configuration/src/sardinepier/configuration/internal/instance_poller.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/instance_poller.py
@@ -13,8 +13,8 @@
 from sardinepier.configuration import options
 from sardinepier.configuration.internal import (
     backoff,
-    intake,
     platform_health,
+    store_writer,
     watchers,
 )
 from sardinepier.core import clock as clocks
@@ -37,7 +37,7 @@
         clock: clocks.Clock,
         random_source: random.Random,
         limits: options.DistributorOptions,
-        on_event: intake.OnEvent,
+        on_event: store_writer.OnEvent,
     ) -> None:
         """Call nothing yet; report failures to ``on_event``."""
         self._platform = platform
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_side.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_components.py
@@ -4,12 +4,12 @@
 
 from sardinepier.configuration import options, store
 from sardinepier.configuration.internal import (
+    change_push,
     confirmations,
-    intake,
-    news_push,
     peer_answers,
     peer_choice,
     peer_exchange,
+    store_writer,
 )
 from sardinepier.core import clock as clocks
 from sardinepier.membership import view
@@ -27,13 +27,13 @@
         clock: clocks.Clock,
         random_source: random.Random,
         limits: options.DistributorOptions,
-        file_intake: intake.Intake,
+        file_intake: store_writer.Intake,
         confirmed: confirmations.Confirmations,
     ) -> None:
         """Subscribe to all kinds of messages; nothing is sent yet."""
         self.choice = peer_choice.PeerChoice(current_view, random_source)
         self.answers = peer_answers.PeerAnswers(file_store, peers)
-        self.news = news_push.NewsPush(
+        self.news = change_push.NewsPush(
             file_store,
             peers,
             self.choice,
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_exchange.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_exchange.py
@@ -8,10 +8,10 @@
 from sardinepier.configuration import files, messages, options, store
 from sardinepier.configuration.internal import (
     confirmations,
-    intake,
     peer_choice,
     peer_table,
     pulls,
+    store_writer,
 )
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
@@ -42,7 +42,7 @@
         clock: clocks.Clock,
         random_source: random.Random,
         limits: options.DistributorOptions,
-        file_intake: intake.Intake,
+        file_intake: store_writer.Intake,
         confirmed: confirmations.Confirmations,
     ) -> None:
         """Subscribe to news and answers; nothing is sent yet."""
--- a/libraries/configuration/src/sardinepier/configuration/internal/platform_health.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/platform_health.py
@@ -1,6 +1,6 @@
 """Reports when one kind of call to the platform begins and ends to fail."""
 
-from sardinepier.configuration.internal import intake
+from sardinepier.configuration.internal import store_writer
 from sardinepier.core import clock as clocks
 from sardinepier.platform import errors
 from sardinepier.telemetry import file_events
@@ -13,7 +13,7 @@
         self,
         what: str,
         clock: clocks.Clock,
-        on_event: intake.OnEvent,
+        on_event: store_writer.OnEvent,
     ) -> None:
         """Report on the calls for ``what`` to ``on_event``."""
         self._what = what
--- a/libraries/configuration/src/sardinepier/configuration/internal/platform_reader.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/platform_reader.py
@@ -13,8 +13,8 @@
 from sardinepier.configuration import files, options, store
 from sardinepier.configuration.internal import (
     backoff,
-    intake,
     platform_health,
+    store_writer,
     wanted_files,
     watchers,
 )
@@ -34,12 +34,12 @@
 
     platform: interface.Platform
     file_store: store.Store
-    file_intake: intake.Intake
+    file_intake: store_writer.Intake
     chosen: watchers.Watchers
     clock: clocks.Clock
     random_source: random.Random
     limits: options.DistributorOptions
-    on_event: intake.OnEvent
+    on_event: store_writer.OnEvent
     is_silent: Callable[[], bool]
     is_fetching: Callable[[], bool]
 
--- a/libraries/configuration/src/sardinepier/configuration/internal/intake.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/store_writer.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from sardinepier.configuration import files, store
-from sardinepier.configuration.internal import reading
+from sardinepier.configuration.internal import file_parsing
 from sardinepier.core import ids
 from sardinepier.telemetry import file_events
 
@@ -59,7 +59,7 @@
             return self._store.offer_deleted(name, version.revision)
         if not self._store.is_news(name, version):
             return files.OfferResult.STALE
-        found = await asyncio.to_thread(reading.read, name, version.text)
+        found = await asyncio.to_thread(file_parsing.read, name, version.text)
         return self._store.offer_read(name, version, found)
 
     def _report(
--- a/libraries/configuration/src/sardinepier/configuration/store.py
+++ b/libraries/configuration/src/sardinepier/configuration/store.py
@@ -18,7 +18,7 @@
 import xxhash
 
 from sardinepier.configuration import files
-from sardinepier.configuration.internal import file_names, reading
+from sardinepier.configuration.internal import file_names, file_parsing
 from sardinepier.core import ids
 from sardinepier.membership import marks
 from sardinepier.settings import errors, model, parsing
@@ -64,13 +64,13 @@
         version = files.FileVersion(revision, text)
         if not self.is_news(name, version):
             return files.OfferResult.STALE
-        return self.offer_read(name, version, reading.read(name, text))
+        return self.offer_read(name, version, file_parsing.read(name, text))
 
     def offer_read(
         self,
         name: ids.FileName,
         version: files.FileVersion,
-        found: reading.Reading,
+        found: file_parsing.Reading,
     ) -> files.OfferResult:
         """Take a version whose text was read already, elsewhere.
 
@@ -97,7 +97,7 @@
         if not self.is_news(name, version):
             return files.OfferResult.STALE
         if name == file_names.FLEET:
-            problems = (reading.deleted_fleet(),)
+            problems = (file_parsing.deleted_fleet(),)
             return self._reject(name, version, problems)
         return self._accept(name, version, None)
 
--- a/libraries/configuration/tests/cover/test_configuration_intake.py
+++ b/libraries/configuration/tests/cover/test_configuration_store_writer.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sardinepier.configuration import files, store
-from sardinepier.configuration.internal import intake, reading
+from sardinepier.configuration.internal import file_parsing, store_writer
 from sardinepier.core import ids
 
 _NAME = ids.FileName('service/search')
@@ -19,14 +19,14 @@
     def __init__(self, monkeypatch):
         self.events = []
         self.store = store.Store()
-        self.intake = intake.Intake(self.store, self.events.append)
+        self.intake = store_writer.Intake(self.store, self.events.append)
         self.began = threading.Event()
         self.opened = threading.Event()
         self.reads = 0
         self.at_once = 0
         self.most_at_once = 0
-        self._read = reading.read
-        monkeypatch.setattr(reading, 'read', self._wait_and_read)
+        self._read = file_parsing.read
+        monkeypatch.setattr(file_parsing, 'read', self._wait_and_read)
 
     def take(self, revision, text):
         version = files.FileVersion(ids.Revision(revision), text)
--- a/libraries/daemon/src/sardinepier/daemon/entry_process.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_process.py
@@ -13,9 +13,9 @@
 from sardinepier.core import ids
 from sardinepier.daemon import entry_events, entry_settings, identity
 from sardinepier.daemon.internal import (
-    entry_figures,
+    entry_metrics,
     entry_parts,
-    side_pages,
+    page_servers,
     task_set,
 )
 from sardinepier.entry import (
@@ -202,7 +202,7 @@
             answering.start_pipelined,
         )
         await front.start(self._settings.front.ip, self._settings.front.port)
-        figures = entry_figures.EntryFigures(
+        figures = entry_metrics.EntryFigures(
             shared.metrics,
             self._services,
             self._activity,
@@ -227,9 +227,9 @@
 
     async def _listen_beside(
         self,
-        figures: entry_figures.EntryFigures,
-    ) -> side_pages.SidePages:
-        beside = side_pages.SidePages(self._bounds)
+        figures: entry_metrics.EntryFigures,
+    ) -> page_servers.SidePages:
+        beside = page_servers.SidePages(self._bounds)
         directory = pages.Directory(
             self._addresses,
             min(_DIRECTORY_S, self._settings.bounds.directory_s),
@@ -256,7 +256,7 @@
     async def _depart(
         self,
         front: caller_server.HttpServer,
-        beside: side_pages.SidePages,
+        beside: page_servers.SidePages,
     ) -> None:
         """Leave without cutting a request.
 
--- a/libraries/daemon/src/sardinepier/daemon/internal/exchange_assembly.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/exchange_assembly.py
@@ -4,7 +4,7 @@
 
 from sardinepier.daemon.internal import (
     assembly,
-    groups,
+    group_exchange,
     own_services,
     quarantine_exchange,
     target_directory,
@@ -39,7 +39,7 @@
 class Exchange:
     """All that this daemon and its groups tell each other."""
 
-    reports: groups.GroupExchange
+    reports: group_exchange.GroupExchange
     marks: quarantine_exchange.QuarantineExchange
 
     def tick(self) -> None:
@@ -70,7 +70,7 @@
         base.clock,
     )
     return Exchange(
-        groups.GroupExchange(
+        group_exchange.GroupExchange(
             owned,
             base.network,
             context.services,
--- a/libraries/daemon/src/sardinepier/daemon/process.py
+++ b/libraries/daemon/src/sardinepier/daemon/process.py
@@ -7,16 +7,16 @@
 from sardinepier.daemon import errors
 from sardinepier.daemon.internal import (
     assembly,
-    departure,
     exchange_assembly,
     first_configuration,
     gateway_assembly,
+    graceful_shutdown,
     pages,
     status_document,
     task_set,
 )
 from sardinepier.daemon.internal import configuration_follower as followers
-from sardinepier.daemon.internal import upkeep as upkeeps
+from sardinepier.daemon.internal import maintenance
 from sardinepier.gateway import context as contexts
 from sardinepier.gateway import probes, server
 from sardinepier.settings import model
@@ -104,10 +104,10 @@
         base.store.on_change(follower.follow)
         follower.follow(configuration)
         exchange = exchange_assembly.build_exchange(base, context)
-        upkeep = upkeeps.Upkeep(context, exchange, probes.Probes(context))
+        upkeep = maintenance.Upkeep(context, exchange, probes.Probes(context))
         self._tasks.start(upkeep.run())
-        self._tasks.start(upkeeps.expire_records(context))
-        self._tasks.start(upkeeps.settle_memory())
+        self._tasks.start(maintenance.expire_records(context))
+        self._tasks.start(maintenance.settle_memory())
         self._tasks.start(context.refusals.run())
 
     async def _listen(
@@ -140,7 +140,7 @@
         configuration = context.configuration()
         if configuration is None:
             return
-        await departure.Departure(
+        await graceful_shutdown.Departure(
             caller_server,
             context.activity,
             base.membership,
--- a/libraries/daemon/tests/conftest.py
+++ b/libraries/daemon/tests/conftest.py
@@ -7,8 +7,8 @@
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
 from sardinepier.daemon.internal import (
+    group_exchange,
     group_messages,
-    groups,
     own_services,
     quarantine_exchange,
     service_parts,
@@ -106,7 +106,7 @@
         owned = own_services.OwnServices(
             view, self.services, directory, lambda: configuration, clock
         )
-        self.exchange = groups.GroupExchange(
+        self.exchange = group_exchange.GroupExchange(
             owned, network, self.services, directory, clock
         )
         self.marks = quarantine_exchange.QuarantineExchange(
--- a/libraries/gateway/src/sardinepier/gateway/reading.py
+++ b/libraries/gateway/src/sardinepier/gateway/answer_reader.py
@@ -4,7 +4,7 @@
 
 from aiohttp import client_exceptions, client_reqrep
 
-from sardinepier.gateway import errors, headers, target_answer, caller_request
+from sardinepier.gateway import caller_request, errors, headers, target_answer
 from sardinepier.settings import model
 
 _NO_CONTENT: Final = frozenset((204, 304))
--- a/libraries/gateway/src/sardinepier/gateway/exchange.py
+++ b/libraries/gateway/src/sardinepier/gateway/attempt.py
@@ -13,11 +13,11 @@
 from sardinepier.core import ids
 from sardinepier.gateway import context as contexts
 from sardinepier.gateway import (
+    answer_reader,
+    caller_request,
     errors,
-    reading,
     statements,
     target_answer,
-    caller_request,
 )
 from sardinepier.health import evidence, targets
 from sardinepier.telemetry import target_events
@@ -113,14 +113,14 @@
         if settings.draining_header in response.headers:
             item.runtime.mark_leaving(self._target_id)
         self._hear(response)
-        reading.refuse_shed(
+        answer_reader.refuse_shed(
             response,
             settings.shed_reply,
             item.runtime.stated.retry_after_s(
                 item.runtime.health.selectable(),
             ),
         )
-        return await reading.read(response, item, self._rest_ended)
+        return await answer_reader.read(response, item, self._rest_ended)
 
     def _hear(self, response: client_reqrep.ClientResponse) -> None:
         """Take in what the target says of itself, whatever it answered."""
--- a/libraries/gateway/src/sardinepier/gateway/forwarding.py
+++ b/libraries/gateway/src/sardinepier/gateway/forwarding.py
@@ -13,13 +13,13 @@
 from sardinepier.core import ids
 from sardinepier.gateway import context as contexts
 from sardinepier.gateway import (
+    attempt,
+    caller_request,
     errors,
-    exchange,
     hedged,
     refusals,
     service_runtime,
     target_answer,
-    caller_request,
 )
 from sardinepier.health import targets
 from sardinepier.routing import admission
@@ -157,7 +157,7 @@
         target_id: ids.TargetId,
         history: _History,
     ) -> target_answer.TargetAnswer:
-        first = exchange.Attempt(self._context, item, target_id)
+        first = attempt.Attempt(self._context, item, target_id)
         if not (item.route.idempotent and item.route.hedged):
             return await first.run()
         race = hedged.Race(
--- a/libraries/gateway/src/sardinepier/gateway/hedged.py
+++ b/libraries/gateway/src/sardinepier/gateway/hedged.py
@@ -6,7 +6,7 @@
 
 from sardinepier.core import ids
 from sardinepier.gateway import context as contexts
-from sardinepier.gateway import errors, exchange, target_answer, caller_request
+from sardinepier.gateway import attempt, caller_request, errors, target_answer
 from sardinepier.once import errors as once_errors
 
 _MS_PER_S: Final = 1000
@@ -36,7 +36,7 @@
         self._reserve = reserve
         self._tried = tried
 
-    async def run(self, first: exchange.Attempt) -> target_answer.TargetAnswer:
+    async def run(self, first: attempt.Attempt) -> target_answer.TargetAnswer:
         """Return the first good answer, or raise the last failure."""
         running: set[_Run] = {asyncio.ensure_future(first.run())}
         try:
@@ -68,7 +68,7 @@
             self._item.runtime.release(target_id)
             return
         self._tried.add(target_id)
-        second = exchange.Attempt(self._context, self._item, target_id)
+        second = attempt.Attempt(self._context, self._item, target_id)
         running.add(asyncio.ensure_future(second.run()))
 
     def _is_admitted(self) -> bool:
--- a/libraries/gateway/src/sardinepier/gateway/pipeline.py
+++ b/libraries/gateway/src/sardinepier/gateway/pipeline.py
@@ -14,10 +14,10 @@
     errors,
     forwarding,
     headers,
-    intake,
     keyed,
     problem_table,
     problems,
+    request_reader,
 )
 from sardinepier.gateway import refusals as refused
 from sardinepier.gateway import request_metrics
@@ -41,7 +41,7 @@
     def __init__(self, context: contexts.GatewayContext) -> None:
         """Work with the daemon's collaborators."""
         self._context = context
-        self._intake = intake.Intake(context)
+        self._intake = request_reader.Intake(context)
         self._records = request_metrics.RequestMetrics(context.metrics)
         self._forwarding = forwarding.Forwarding(context)
         self._keyed = keyed.KeyedPath(context, self._forwarding)
--- a/libraries/gateway/src/sardinepier/gateway/relaying.py
+++ b/libraries/gateway/src/sardinepier/gateway/relaying.py
@@ -13,12 +13,12 @@
 from sardinepier.core import ids
 from sardinepier.gateway import context as contexts
 from sardinepier.gateway import (
+    answer_reader,
+    caller_request,
     delivery,
     errors,
     headers,
-    reading,
     snapshots,
-    caller_request,
 )
 from sardinepier.membership import members
 
@@ -45,7 +45,7 @@
             async with asyncio.timeout(max(0.0, left_s)):
                 response = await self._open(request, item, member)
                 outcome = _outcome(response)
-                answer = await reading.read(response, item, _ignore)
+                answer = await answer_reader.read(response, item, _ignore)
         except (errors.GatewayError, TimeoutError) as error:
             raise _unreachable(home, 'did not answer') from error
         if answer.rest is None and not answer.body:
--- a/libraries/gateway/src/sardinepier/gateway/intake.py
+++ b/libraries/gateway/src/sardinepier/gateway/request_reader.py
@@ -8,7 +8,7 @@
 from sardinepier.core import ids
 from sardinepier.gateway import body as bodies
 from sardinepier.gateway import context as contexts
-from sardinepier.gateway import headers, refusals, caller_request
+from sardinepier.gateway import caller_request, headers, refusals
 from sardinepier.settings import model
 
 _MS_PER_S: Final = 1000
--- a/libraries/gateway/src/sardinepier/gateway/service_runtime.py
+++ b/libraries/gateway/src/sardinepier/gateway/service_runtime.py
@@ -7,7 +7,7 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.gateway import losses, snapshots, stated_targets
+from sardinepier.gateway import lost_connections, snapshots, stated_targets
 from sardinepier.health import service_health, targets
 from sardinepier.routing import (
     admission,
@@ -82,7 +82,7 @@
             parts.clock,
             parts.random_source,
         )
-        self.losses = losses.LostConnections(parts.clock)
+        self.losses = lost_connections.LostConnections(parts.clock)
         self.snapshot = snapshots.ServiceSnapshot(settings)
         self._build()
         self._apply_targets()
--- a/libraries/gateway/tests/cover/test_gateway_losses.py
+++ b/libraries/gateway/tests/cover/test_gateway_losses.py
@@ -4,7 +4,7 @@
 
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
-from sardinepier.gateway import losses
+from sardinepier.gateway import lost_connections
 
 TARGET = ids.TargetId('t1')
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def lost(clock):
-    return losses.LostConnections(clock)
+    return lost_connections.LostConnections(clock)
 
 
 def test_the_first_loss_stands_for_itself(lost):
--- a/libraries/membership/src/sardinepier/membership/internal/budget.py
+++ b/libraries/membership/src/sardinepier/membership/internal/budget.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from sardinepier.core import clock
-from sardinepier.membership.internal import in_force
+from sardinepier.membership.internal import current_options
 
 _ACKS_PER_S: Final = 96
 _RELAYS_PER_S: Final = 32
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        bounds: in_force.InForce,
+        bounds: current_options.InForce,
         time_source: clock.Clock,
     ) -> None:
         """Start with all of it."""
--- a/libraries/membership/src/sardinepier/membership/internal/catch_up.py
+++ b/libraries/membership/src/sardinepier/membership/internal/catch_up.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from sardinepier.core import clock
-from sardinepier.membership.internal import budget, in_force
+from sardinepier.membership.internal import budget, current_options
 
 _BURST_S: Final = 1.0
 
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        bounds: in_force.InForce,
+        bounds: current_options.InForce,
         time_source: clock.Clock,
     ) -> None:
         """Start before the first exchange."""
--- a/libraries/membership/src/sardinepier/membership/internal/news.py
+++ b/libraries/membership/src/sardinepier/membership/internal/gossip.py
@@ -7,7 +7,7 @@
 from sardinepier.membership import kinds
 from sardinepier.membership.internal import (
     budget,
-    in_force,
+    current_options,
     record,
     rumors,
     table,
@@ -21,7 +21,7 @@
     def __init__(
         self,
         records: table.Table,
-        bounds: in_force.InForce,
+        bounds: current_options.InForce,
         time_source: clock.Clock,
     ) -> None:
         """Start with this daemon itself as the only news."""
--- a/libraries/membership/src/sardinepier/membership/internal/heartbeat.py
+++ b/libraries/membership/src/sardinepier/membership/internal/heartbeat.py
@@ -7,12 +7,12 @@
 from sardinepier.core import clock, ids
 from sardinepier.membership import kinds, marks
 from sardinepier.membership.internal import (
-    doubt,
-    evidence,
     indirect,
+    jittered_interval,
     knowledge,
-    pace,
+    local_health,
     pending,
+    recent_answers,
     rings,
     watches,
 )
@@ -44,13 +44,13 @@
         self._random = random_source
         self._bounds = known.bounds
         self._mark_source = mark_source
-        self._doubt = doubt.SelfDoubt()
+        self._doubt = local_health.SelfDoubt()
         self._watches = watches.Watches(_CHECKS_PER_TICK)
         self._pending = pending.PendingProbes(_MAX_PENDING)
         self._doubted: dict[ids.InstanceId, kinds.MemberUpdate] = {}
-        self.evidence = evidence.Evidence()
+        self.evidence = recent_answers.Evidence()
         self._choice = rings.Choice(known.table)
-        self._contact_pace = pace.Pace(
+        self._contact_pace = jittered_interval.Pace(
             lambda: self._bounds.current.lost_retry_s,
             time_source,
             random_source,
--- a/libraries/membership/src/sardinepier/membership/internal/knowledge.py
+++ b/libraries/membership/src/sardinepier/membership/internal/knowledge.py
@@ -8,8 +8,8 @@
 from sardinepier.membership.internal import (
     changes,
     contacts,
-    in_force,
-    news,
+    current_options,
+    gossip,
     record,
     table,
 )
@@ -28,9 +28,9 @@
         on_event: Callable[[events.MemberEvent], None],
     ) -> None:
         """Know only this daemon itself, which is the first news."""
-        self.bounds = in_force.InForce(bounds, time_source)
+        self.bounds = current_options.InForce(bounds, time_source)
         self.table = table.Table(own, self.bounds)
-        self.news = news.News(self.table, self.bounds, time_source)
+        self.news = gossip.News(self.table, self.bounds, time_source)
         self.contacts = addresses
         self._own_id = own.instance_id
         self._clock = time_source
--- a/libraries/membership/src/sardinepier/membership/internal/rumors.py
+++ b/libraries/membership/src/sardinepier/membership/internal/rumors.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from sardinepier.core import ids
-from sardinepier.membership.internal import in_force
+from sardinepier.membership.internal import current_options
 
 _REPEATS_PER_LOG: Final = 3
 _REPEATS_PER_HEARD: Final = 6
@@ -17,7 +17,7 @@
     Only names are queued, so that what is sent is always the newest record.
     """
 
-    def __init__(self, bounds: in_force.InForce) -> None:
+    def __init__(self, bounds: current_options.InForce) -> None:
         """Start without news."""
         self._bounds = bounds
         self._sent: dict[ids.InstanceId, int] = {}
--- a/libraries/membership/src/sardinepier/membership/internal/suspicions.py
+++ b/libraries/membership/src/sardinepier/membership/internal/suspicions.py
@@ -2,7 +2,7 @@
 
 from sardinepier.core import clock
 from sardinepier.membership import options
-from sardinepier.membership.internal import in_force, knowledge, table
+from sardinepier.membership.internal import current_options, knowledge, table
 
 
 def extend(known: knowledge.Knowledge, time_source: clock.Clock) -> None:
@@ -29,7 +29,7 @@
     latest_s = (
         time_source.monotonic_s()
         + bounds.suspicion_timeout_s
-        + in_force.SPREAD_S
+        + current_options.SPREAD_S
     )
     for entry in known.table.entries():
         table.change_rings(entry, bounds.monitored_peers)
--- a/libraries/membership/src/sardinepier/membership/internal/sync.py
+++ b/libraries/membership/src/sardinepier/membership/internal/sync.py
@@ -7,7 +7,12 @@
 
 from sardinepier.core import clock
 from sardinepier.membership import kinds
-from sardinepier.membership.internal import catch_up, knowledge, pace, record
+from sardinepier.membership.internal import (
+    catch_up,
+    jittered_interval,
+    knowledge,
+    record,
+)
 from sardinepier.wire import messages, network
 
 _MISMATCHES: Final = 2
@@ -41,7 +46,7 @@
         self._catch_up = catch_up.CatchUp(known.bounds, time_source)
         self._wanted: messages.PeerAddress | None = None
         self._mismatches: dict[messages.PeerAddress, int] = {}
-        self._pace = pace.Pace(
+        self._pace = jittered_interval.Pace(
             lambda: known.bounds.current.sync_interval_s,
             time_source,
             random_source,
--- a/libraries/membership/src/sardinepier/membership/internal/table.py
+++ b/libraries/membership/src/sardinepier/membership/internal/table.py
@@ -7,9 +7,9 @@
 from sardinepier.core import ids, rendezvous
 from sardinepier.membership import kinds, members
 from sardinepier.membership.internal import (
+    current_options,
     dead_records,
     digests,
-    in_force,
     record,
 )
 from sardinepier.wire import messages
@@ -54,7 +54,7 @@
     def __init__(
         self,
         own: record.Record,
-        bounds: in_force.InForce,
+        bounds: current_options.InForce,
     ) -> None:
         """Start with the daemon's own record alone."""
         self.version = 0
--- a/libraries/membership/src/sardinepier/membership/membership.py
+++ b/libraries/membership/src/sardinepier/membership/membership.py
@@ -21,9 +21,9 @@
     contacts,
     heartbeat,
     knowledge,
+    member_cache,
     record,
     schedule,
-    shown,
     suspicions,
     sync,
 )
@@ -84,7 +84,7 @@
         )
         self._paused_after_s = time_source.monotonic_s() + bounds.pause_gap_s
         self._schedule = schedule.Schedule(random_source)
-        self._shown = shown.Shown(self._known.table)
+        self._shown = member_cache.Shown(self._known.table)
         self._subscribe(peer_network)
 
     @property
