--- a/libraries/configuration/src/sardinepier/configuration/distributor.py
+++ b/libraries/configuration/src/sardinepier/configuration/distributor.py
@@ -63,9 +63,9 @@
         self._random = random_source
         self._options = options
         self._confirmed = confirmations.Confirmations(clock)
-        file_intake = store_writer.Intake(store, on_event)
+        file_intake = store_writer.StoreWriter(store, on_event)
         self._watchers = watchers.Watchers(view, self._per_zone)
-        self._peers = peer_components.PeerSide(
+        self._peers = peer_components.PeerComponents(
             store,
             network,
             view,
@@ -115,13 +115,13 @@
         """
         self._instances.subscribe(callback)
 
-    def heard_mark(
+    def receive_mark(
         self,
         sender: messages.Sender,
         mark: marks.ConfigurationMark,
     ) -> None:
         """Compare the mark that a peer's heartbeat brought with ours."""
-        self._peers.exchange.heard_mark(sender, mark)
+        self._peers.exchange.receive_mark(sender, mark)
 
     def confirm_since(self, moment_s: float) -> bool:
         """Tell whether nothing newer was known elsewhere after ``moment_s``.
@@ -145,17 +145,17 @@
         if now_s < self._refreshed_s + self._options.refresh_s:
             return
         self._refreshed_s = now_s
-        if not self._peers.exchange.ask_some():
+        if not self._peers.exchange.query_peers():
             self._is_asked_alone.set()
 
     async def run(self) -> None:
         """Keep the store up to date until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._peers.exchange.expire())
-            tasks.create_task(self._peers.exchange.take_files())
+            tasks.create_task(self._peers.exchange.offer_files())
             await self._hear_peers()
-            self._peers.news.begin()
-            tasks.create_task(self._peers.news.push_changes())
+            self._peers.change_push.begin()
+            tasks.create_task(self._peers.change_push.push_changes())
             tasks.create_task(self._reader.read_wanted())
             tasks.create_task(self._instances.poll())
             tasks.create_task(self._reader.watch())
@@ -174,7 +174,7 @@
             if self._has_taken_over(began_s):
                 return
             if not self._is_fetching():
-                self._peers.exchange.ask_some()
+                self._peers.exchange.query_peers()
             await asyncio.sleep(self._options.refresh_s)
         if not self._peers.choice.pick(1):
             await self._instances.read_daemons()
@@ -213,7 +213,7 @@
 
     def _is_silent(self) -> bool:
         """Tell whether no peer has been heard for a while."""
-        heard_s = self._peers.exchange.heard_peer_s
+        heard_s = self._peers.exchange.last_peer_message_s
         return self._clock.monotonic_s() > heard_s + self._options.silence_s
 
     def _is_fetching(self) -> bool:
--- a/libraries/configuration/src/sardinepier/configuration/files.py
+++ b/libraries/configuration/src/sardinepier/configuration/files.py
@@ -8,7 +8,7 @@
 from sardinepier.settings import errors as settings_errors
 from sardinepier.settings import model
 
-NOTHING: Final = ids.Revision(0)
+NO_REVISION: Final = ids.Revision(0)
 """Stands for "no revision": the platform's own begin at 1."""
 
 
@@ -57,7 +57,7 @@
     @property
     def in_force_revision(self) -> ids.Revision:
         """Return the revision in force, or 0."""
-        return self.in_force.revision if self.in_force else NOTHING
+        return self.in_force.revision if self.in_force else NO_REVISION
 
     @property
     def newest_revision(self) -> ids.Revision:
--- a/libraries/configuration/src/sardinepier/configuration/internal/backoff.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/backoff.py
@@ -17,22 +17,22 @@
 
     def __init__(
         self,
-        least_s: float,
-        most_s: float,
+        min_s: float,
+        max_s: float,
         random_source: random.Random,
     ) -> None:
-        """Begin with ``least_s`` and never go beyond ``most_s``."""
-        self._least_s = least_s
-        self._most_s = most_s
+        """Begin with ``min_s`` and never go beyond ``max_s``."""
+        self._min_s = min_s
+        self._max_s = max_s
         self._random = random_source
-        self._next_s = least_s
+        self._next_s = min_s
 
     def failed(self) -> float:
         """Return for how long to wait now, with jitter."""
         wait_s = jitter(self._next_s, self._random)
-        self._next_s = min(self._most_s, self._next_s * 2)
+        self._next_s = min(self._max_s, self._next_s * 2)
         return wait_s
 
     def succeeded(self) -> None:
         """Begin again with the least wait."""
-        self._next_s = self._least_s
+        self._next_s = self._min_s
--- a/libraries/configuration/src/sardinepier/configuration/internal/change_push.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/change_push.py
@@ -15,7 +15,7 @@
 _MOST_NAMED: Final = 16
 
 
-class NewsPush:
+class ChangePush:
     """Collects changed files for a moment and sends one message of them."""
 
     def __init__(
@@ -38,13 +38,13 @@
 
         What a starting daemon learned before is old to all others.
         """
-        self._store.on_news(self._note_change)
+        self._store.on_new_version(self._note_change)
 
     async def push_changes(self) -> None:
         """Send news of each change, until cancelled."""
         while True:
             await self._has_changed.wait()
-            await asyncio.sleep(self._limits.news_delay_s)
+            await asyncio.sleep(self._limits.change_delay_s)
             self._has_changed.clear()
             self._send()
 
--- a/libraries/configuration/src/sardinepier/configuration/internal/file_parsing.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/file_parsing.py
@@ -9,22 +9,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class ParsedFile:
     """What a text holds: its settings, or all its mistakes."""
 
     parsed: model.FleetSettings | model.ServiceSettings | None = None
     problems: tuple[errors.Problem, ...] = ()
 
 
-def read(name: ids.FileName, text: str) -> Reading:
+def parse(name: ids.FileName, text: str) -> ParsedFile:
     """Return the settings in ``text``, or its mistakes.
 
     It touches nothing but its arguments, so any thread may run it.
     """
     try:
-        return Reading(parsed=_parse(name, text))
+        return ParsedFile(parsed=_parse_settings(name, text))
     except errors.InvalidSettingsError as invalid:
-        return Reading(problems=invalid.problems)
+        return ParsedFile(problems=invalid.problems)
 
 
 def deleted_fleet() -> errors.Problem:
@@ -38,7 +38,7 @@
     )
 
 
-def _parse(
+def _parse_settings(
     name: ids.FileName,
     text: str,
 ) -> model.FleetSettings | model.ServiceSettings:
--- a/libraries/configuration/src/sardinepier/configuration/internal/instance_poller.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/instance_poller.py
@@ -67,7 +67,7 @@
         """
         waits = backoff.Backoff(
             self._limits.instances_s,
-            self._limits.backoff_most_s,
+            self._limits.backoff_max_s,
             self._random,
         )
         while True:
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_components.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_components.py
@@ -16,7 +16,7 @@
 from sardinepier.wire import network
 
 
-class PeerSide:
+class PeerComponents:
     """The parts that answer peers, tell them, and learn from them."""
 
     def __init__(
@@ -27,13 +27,13 @@
         clock: clocks.Clock,
         random_source: random.Random,
         limits: options.DistributorOptions,
-        file_intake: store_writer.Intake,
+        file_intake: store_writer.StoreWriter,
         confirmed: confirmations.Confirmations,
     ) -> None:
         """Subscribe to all kinds of messages; nothing is sent yet."""
         self.choice = peer_choice.PeerChoice(current_view, random_source)
         self.answers = peer_answers.PeerAnswers(file_store, peers)
-        self.news = change_push.NewsPush(
+        self.change_push = change_push.ChangePush(
             file_store,
             peers,
             self.choice,
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_exchange.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_exchange.py
@@ -42,11 +42,11 @@
         clock: clocks.Clock,
         random_source: random.Random,
         limits: options.DistributorOptions,
-        file_intake: store_writer.Intake,
+        file_intake: store_writer.StoreWriter,
         confirmed: confirmations.Confirmations,
     ) -> None:
         """Subscribe to news and answers; nothing is sent yet."""
-        self.heard_peer_s = clock.monotonic_s()
+        self.last_peer_message_s = clock.monotonic_s()
         self._store = file_store
         self._peers = peers
         self._choice = choice
@@ -86,36 +86,36 @@
             self._forget_overdue()
             self._pulls.expire()
 
-    async def take_files(self) -> None:
+    async def offer_files(self) -> None:
         """Read and offer the files that arrive, until cancelled."""
         while True:
             arrival = await self._arrived.get()
             answer = arrival.answer
             version = files.FileVersion(answer.revision, answer.text)
-            await self._intake.take(answer.name, version, arrival.source)
+            await self._intake.offer(answer.name, version, arrival.source)
             self._pulls.arrived(answer.name, answer.revision)
             self._has_asked.set()
 
-    def heard_mark(
+    def receive_mark(
         self,
         sender: wire_messages.Sender,
         mark: marks.ConfigurationMark,
     ) -> None:
         """Compare a peer's mark with ours and act on a difference."""
-        self.heard_peer_s = self._clock.monotonic_s()
+        self.last_peer_message_s = self._clock.monotonic_s()
         if not self._pulls.is_idle:
             # What is on its way may be all that differs.
             return
         ours = self._store.mark()
         match self._table.next_action(sender.address, mark, ours):
-            case peer_table.PeerAction.TELL:
+            case peer_table.PeerAction.SEND_MARK:
                 self._tell(sender.address)
-            case peer_table.PeerAction.ASK:
+            case peer_table.PeerAction.REQUEST_TABLE:
                 self._ask(sender.address)
             case peer_table.PeerAction.NOTHING:
                 return
 
-    def ask_some(self) -> bool:
+    def query_peers(self) -> bool:
         """Ask a few random peers; return whether there are any."""
         chosen = self._choice.pick(_ASKED_AT_ONCE)
         for peer in chosen:
@@ -155,10 +155,10 @@
         news: messages.ConfigurationNews,
     ) -> None:
         if news.changed:
-            self.heard_peer_s = self._clock.monotonic_s()
+            self.last_peer_message_s = self._clock.monotonic_s()
             self._want(sender, news.changed)
         else:
-            self.heard_mark(sender, news.mark)
+            self.receive_mark(sender, news.mark)
 
     def _on_table(
         self,
@@ -168,7 +168,7 @@
         asked_s = self._asked.pop(table.nonce, None)
         if asked_s is None:
             return
-        self.heard_peer_s = self._clock.monotonic_s()
+        self.last_peer_message_s = self._clock.monotonic_s()
         if self._want(sender, table.entries):
             return
         ours = self._store.mark()
@@ -196,7 +196,7 @@
     ) -> bool:
         in_force = self._store.find(entry.name).in_force_revision
         if entry.deleted and entry.in_force > in_force:
-            self._intake.take_deletion(
+            self._intake.offer_deletion(
                 entry.name,
                 entry.in_force,
                 sender.instance_id,
@@ -216,4 +216,4 @@
             self._arrived.put_nowait(_Arrival(sender.instance_id, answer))
         except asyncio.QueueFull:
             return
-        self._pulls.hold(answer.name)
+        self._pulls.mark_received(answer.name)
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_table.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_table.py
@@ -17,10 +17,10 @@
     """What to do about a peer whose mark differs."""
 
     NOTHING = 'nothing'
-    TELL = 'tell'
+    SEND_MARK = 'tell'
     """Send it our mark: it is behind and will ask."""
 
-    ASK = 'ask'
+    REQUEST_TABLE = 'ask'
     """Ask it for its revisions."""
 
 
@@ -62,7 +62,7 @@
         tell = comparison.tell_next
         is_behind = theirs.newest_revision < ours.newest_revision
         comparison.tell_next = is_behind and not tell
-        return PeerAction.TELL if tell else PeerAction.ASK
+        return PeerAction.SEND_MARK if tell else PeerAction.REQUEST_TABLE
 
     def settle(
         self,
--- a/libraries/configuration/src/sardinepier/configuration/internal/platform_reader.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/platform_reader.py
@@ -34,7 +34,7 @@
 
     platform: interface.Platform
     file_store: store.Store
-    file_intake: store_writer.Intake
+    file_intake: store_writer.StoreWriter
     chosen: watchers.Watchers
     clock: clocks.Clock
     random_source: random.Random
@@ -157,7 +157,7 @@
         known = self._parts.file_store.find(entry.name)
         if entry.revision <= known.newest_revision:
             return False
-        result = self._parts.file_intake.take_deletion(
+        result = self._parts.file_intake.offer_deletion(
             entry.name,
             entry.revision,
             PLATFORM,
@@ -176,7 +176,7 @@
             return False
         self._reading_health.succeeded()
         version = files.FileVersion(published.revision, published.text)
-        result = await self._parts.file_intake.take(name, version, PLATFORM)
+        result = await self._parts.file_intake.offer(name, version, PLATFORM)
         if result is files.OfferResult.STALE and not self._is_known(published):
             return False
         self._wanted.drop(name)
@@ -216,8 +216,8 @@
 
     def _backoff(self) -> backoff.Backoff:
         return backoff.Backoff(
-            self._limits.backoff_least_s,
-            self._limits.backoff_most_s,
+            self._limits.backoff_min_s,
+            self._limits.backoff_max_s,
             self._random,
         )
 
--- a/libraries/configuration/src/sardinepier/configuration/internal/pulls.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/pulls.py
@@ -12,7 +12,7 @@
 
 _MOST_SOURCES: Final = 3
 _MOST_TRIES: Final = 4
-_MOST_WAITING: Final = 2 * store.MOST_FILES
+_MOST_WAITING: Final = 2 * store.MAX_FILES
 _MOST_USELESS: Final = 1024
 _USELESS_S: Final = 60.0
 _PeerAddress = wire_messages.PeerAddress
@@ -93,7 +93,7 @@
                 self._in_flight.pop(version)
         self._start()
 
-    def hold(self, name: ids.FileName) -> None:
+    def mark_received(self, name: ids.FileName) -> None:
         """Note that an answer for ``name`` has come and is about to be read.
 
         Until ``arrived`` follows, nobody else is asked for the file.
@@ -140,7 +140,7 @@
         self._useless[version] = until_s
 
     def _missing(self, entry: messages.KnownRevision) -> tuple[_Version, ...]:
-        if not self._store.has_room(entry.name):
+        if not self._store.can_store(entry.name):
             return ()
         offered = [_Version(entry.name, entry.in_force, is_valid=True)]
         if entry.newest > entry.in_force:
--- a/libraries/configuration/src/sardinepier/configuration/internal/store_writer.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/store_writer.py
@@ -11,7 +11,7 @@
 OnEvent = Callable[[file_events.FileEvent], None]
 
 
-class Intake:
+class StoreWriter:
     """The one way by which versions reach the store from outside."""
 
     def __init__(self, file_store: store.Store, on_event: OnEvent) -> None:
@@ -20,7 +20,7 @@
         self._on_event = on_event
         self._reading = asyncio.Lock()
 
-    async def take(
+    async def offer(
         self,
         name: ids.FileName,
         version: files.FileVersion,
@@ -38,7 +38,7 @@
         self._report(result, name, version, source)
         return result
 
-    def take_deletion(
+    def offer_deletion(
         self,
         name: ids.FileName,
         revision: ids.Revision,
@@ -57,10 +57,10 @@
     ) -> files.OfferResult:
         if version.text is None:
             return self._store.offer_deleted(name, version.revision)
-        if not self._store.is_news(name, version):
+        if not self._store.is_newer(name, version):
             return files.OfferResult.STALE
-        found = await asyncio.to_thread(file_parsing.read, name, version.text)
-        return self._store.offer_read(name, version, found)
+        found = await asyncio.to_thread(file_parsing.parse, name, version.text)
+        return self._store.offer_parsed(name, version, found)
 
     def _report(
         self,
--- a/libraries/configuration/src/sardinepier/configuration/internal/wanted_files.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/wanted_files.py
@@ -115,7 +115,7 @@
         self._wanted.pop(name, None)
 
     def _plan(self, entry: interface.FileRevision) -> _Wanted | None:
-        if entry.deleted or not self._store.has_room(entry.name):
+        if entry.deleted or not self._store.can_store(entry.name):
             return None
         known = self._store.find(entry.name)
         now_s = self._now_s()
--- a/libraries/configuration/src/sardinepier/configuration/options.py
+++ b/libraries/configuration/src/sardinepier/configuration/options.py
@@ -35,7 +35,7 @@
     pulls_in_flight: int = 4
     tables_in_flight: int = 4
     answer_timeout_s: float = 0.3
-    news_delay_s: float = 0.02
+    change_delay_s: float = 0.02
     peer_wait_s: float = 1.0
     peer_fetch_s: float = 10.0
     watch_s: float = 20.0
@@ -45,8 +45,8 @@
     silence_s: float = 5.0
     instances_s: float = 1.0
     daemons_s: float = 10.0
-    backoff_least_s: float = 0.25
-    backoff_most_s: float = 5.0
+    backoff_min_s: float = 0.25
+    backoff_max_s: float = 5.0
     recheck_s: float = 60.0
     refresh_s: float = 0.2
 
--- a/libraries/configuration/src/sardinepier/configuration/store.py
+++ b/libraries/configuration/src/sardinepier/configuration/store.py
@@ -23,12 +23,12 @@
 from sardinepier.membership import marks
 from sardinepier.settings import errors, model, parsing
 
-MOST_FILES: Final = 4096
+MAX_FILES: Final = 4096
 """Files beyond this number are ignored, to bound memory and messages."""
 
 _UNKNOWN: Final = files.KnownFile()
 ChangeCallback = Callable[[model.Configuration], None]
-NewsCallback = Callable[[ids.FileName], None]
+NewVersionCallback = Callable[[ids.FileName], None]
 
 
 class Store:
@@ -44,11 +44,11 @@
         self.current: model.Configuration | None = None
         self._files: dict[ids.FileName, files.KnownFile] = {}
         self._digest = 0
-        self._newest = files.NOTHING
+        self._newest = files.NO_REVISION
         self._services: Mapping[ids.ServiceName, model.ServiceSettings] = {}
         self._revisions: Mapping[ids.FileName, ids.Revision] = {}
         self._on_change: list[ChangeCallback] = []
-        self._on_news: list[NewsCallback] = []
+        self._on_new_version: list[NewVersionCallback] = []
 
     def offer(
         self,
@@ -62,22 +62,22 @@
         may garble a file once; the same text is not parsed again.
         """
         version = files.FileVersion(revision, text)
-        if not self.is_news(name, version):
+        if not self.is_newer(name, version):
             return files.OfferResult.STALE
-        return self.offer_read(name, version, file_parsing.read(name, text))
+        return self.offer_parsed(name, version, file_parsing.parse(name, text))
 
-    def offer_read(
+    def offer_parsed(
         self,
         name: ids.FileName,
         version: files.FileVersion,
-        found: file_parsing.Reading,
+        found: file_parsing.ParsedFile,
     ) -> files.OfferResult:
         """Take a version whose text was read already, elsewhere.
 
         Whether it is still news is looked at only here: a newer version may
         have come while the text was read.
         """
-        if not self.is_news(name, version):
+        if not self.is_newer(name, version):
             return files.OfferResult.STALE
         if found.problems:
             return self._reject(name, version, found.problems)
@@ -94,16 +94,16 @@
         and its last valid version stays in force.
         """
         version = files.FileVersion(revision, None)
-        if not self.is_news(name, version):
+        if not self.is_newer(name, version):
             return files.OfferResult.STALE
         if name == file_names.FLEET:
             problems = (file_parsing.deleted_fleet(),)
             return self._reject(name, version, problems)
         return self._accept(name, version, None)
 
-    def is_news(self, name: ids.FileName, version: files.FileVersion) -> bool:
+    def is_newer(self, name: ids.FileName, version: files.FileVersion) -> bool:
         """Tell whether the version may be taken, if it is valid."""
-        if not self.has_room(name):
+        if not self.can_store(name):
             return False
         known = self.find(name)
         if version.revision <= known.in_force_revision:
@@ -118,11 +118,11 @@
         """Return all files, rejected and deleted ones with them."""
         return types.MappingProxyType(self._files)
 
-    def has_room(self, name: ids.FileName) -> bool:
+    def can_store(self, name: ids.FileName) -> bool:
         """Tell whether this file may be kept: its name is one of ours."""
         if name in self._files:
             return True
-        return file_names.is_known(name) and len(self._files) < MOST_FILES
+        return file_names.is_known(name) and len(self._files) < MAX_FILES
 
     def mark(self) -> marks.ConfigurationMark:
         """Return what tells this state from another, in a few bytes."""
@@ -150,9 +150,9 @@
         """Call ``callback`` with each new ``current``."""
         self._on_change.append(callback)
 
-    def on_news(self, callback: NewsCallback) -> None:
+    def on_new_version(self, callback: NewVersionCallback) -> None:
         """Call ``callback`` with the name whenever a file's state grew."""
-        self._on_news.append(callback)
+        self._on_new_version.append(callback)
 
     def _reject(
         self,
@@ -187,7 +187,7 @@
         self._digest ^= _digest_part(name, known)
         self._files[name] = known
         self._newest = max(self._newest, known.newest_revision)
-        for callback in self._on_news:
+        for callback in self._on_new_version:
             callback(name)
 
     def _renew_current(
@@ -227,7 +227,7 @@
 
 def _digest_part(name: ids.FileName, known: files.KnownFile) -> int:
     """Return the share of one file; shares are joined by exclusive or."""
-    if known.newest_revision == files.NOTHING:
+    if known.newest_revision == files.NO_REVISION:
         return 0
     revisions = f'{known.newest_revision}\0{known.in_force_revision}'
     return int(xxhash.xxh3_64_intdigest(f'{name}\0{revisions}'.encode()))
--- a/libraries/configuration/tests/conftest.py
+++ b/libraries/configuration/tests/conftest.py
@@ -166,7 +166,7 @@
         self.took_s = {}
         self._fleet = fleet
         self.store.on_change(self._show)
-        self.store.on_news(self._check)
+        self.store.on_new_version(self._check)
         sender = wire_messages.Sender(self.member.instance_id, address)
         self.network = fleet.hub.network(sender)
         self.sight = Sight(
@@ -190,7 +190,9 @@
         self.distributor.on_instances(self.instances.append)
         self.network.subscribe(
             Heartbeat,
-            lambda sender, beat: self.distributor.heard_mark(sender, beat.mark),
+            lambda sender, beat: self.distributor.receive_mark(
+                sender, beat.mark
+            ),
         )
         self.tasks = []
 
--- a/libraries/configuration/tests/cover/test_configuration_distributor.py
+++ b/libraries/configuration/tests/cover/test_configuration_distributor.py
@@ -258,7 +258,7 @@
     # What was sent before the pause ended arrives now, and proves nothing.
     fleet.run(0.5)
     beat = fleet.daemons[1].store.mark()
-    woken.distributor.heard_mark(fleet.daemons[1].network.sender, beat)
+    woken.distributor.receive_mark(fleet.daemons[1].network.sender, beat)
     assert not confirm(moment_s)
     fleet.run(2)
     assert not confirm(moment_s)
--- a/libraries/configuration/tests/cover/test_configuration_pulls.py
+++ b/libraries/configuration/tests/cover/test_configuration_pulls.py
@@ -94,7 +94,7 @@
 
 def test_answer_about_to_be_read_is_not_asked_for_again(bench):
     bench.want(newest=3, in_force=3)
-    bench.pulls.hold(_NAME)
+    bench.pulls.mark_received(_NAME)
     bench.late()
     assert (bench.asked(), bench.pulls.due_s()) == ([(1, 3)], ())
     # What came was something else than what was asked for.
--- a/libraries/configuration/tests/cover/test_configuration_store.py
+++ b/libraries/configuration/tests/cover/test_configuration_store.py
@@ -149,9 +149,9 @@
 
 def test_number_and_size_of_files_are_bounded(world):
     target = store.Store()
-    for number in range(store.MOST_FILES + 1):
+    for number in range(store.MAX_FILES + 1):
         _offer(target, ids.FileName(f'service/s{number}'), 1, None)
-    assert len(target.known()) == store.MOST_FILES
+    assert len(target.known()) == store.MAX_FILES
     large = '# \N{SNOWMAN}' * 400_000
     assert _offer(target, ids.FileName('service/s1'), 2, large) is _INVALID
 
--- a/libraries/configuration/tests/cover/test_configuration_store_writer.py
+++ b/libraries/configuration/tests/cover/test_configuration_store_writer.py
@@ -19,18 +19,18 @@
     def __init__(self, monkeypatch):
         self.events = []
         self.store = store.Store()
-        self.intake = store_writer.Intake(self.store, self.events.append)
+        self.intake = store_writer.StoreWriter(self.store, self.events.append)
         self.began = threading.Event()
         self.opened = threading.Event()
         self.reads = 0
         self.at_once = 0
         self.most_at_once = 0
-        self._read = file_parsing.read
-        monkeypatch.setattr(file_parsing, 'read', self._wait_and_read)
+        self._read = file_parsing.parse
+        monkeypatch.setattr(file_parsing, 'parse', self._wait_and_read)
 
-    def take(self, revision, text):
+    def offer(self, revision, text):
         version = files.FileVersion(ids.Revision(revision), text)
-        return asyncio.create_task(self.intake.take(_NAME, version, 'peer'))
+        return asyncio.create_task(self.intake.offer(_NAME, version, 'peer'))
 
     async def until_reading(self):
         async with asyncio.timeout(_LIMIT_S):
@@ -56,7 +56,7 @@
 
 async def test_loop_runs_on_while_texts_are_read_each_once(gate, world):
     text = world.service_text('search')
-    tasks = [gate.take(revision, text) for revision in (2, 2, 3, 1)]
+    tasks = [gate.offer(revision, text) for revision in (2, 2, 3, 1)]
     await gate.until_reading()
     assert gate.store.find(_NAME) == files.KnownFile()
     gate.opened.set()
@@ -77,7 +77,7 @@
     gate, world, is_valid
 ):
     text = world.service_text('search') if is_valid else '<rubbish>'
-    late = gate.take(3, text)
+    late = gate.offer(3, text)
     await gate.until_reading()
     gate.store.offer_deleted(_NAME, ids.Revision(5))
     gate.opened.set()
--- a/libraries/daemon/src/sardinepier/daemon/entry_process.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_process.py
@@ -105,7 +105,7 @@
             self._random,
             _PERCENT * settings.bounds.retry_ratio * _RETRY_MARGIN,
             failure_estimate.EstimateOptions(),
-            settings.bounds.least_used_share,
+            settings.bounds.min_used_share,
             _confirmed_within_s(settings.bounds),
             settings.bounds.leeway,
         )
@@ -202,7 +202,7 @@
             answering.start_pipelined,
         )
         await front.start(self._settings.front.ip, self._settings.front.port)
-        figures = entry_metrics.EntryFigures(
+        figures = entry_metrics.EntryMetrics(
             shared.metrics,
             self._services,
             self._activity,
@@ -227,9 +227,9 @@
 
     async def _listen_beside(
         self,
-        figures: entry_metrics.EntryFigures,
-    ) -> page_servers.SidePages:
-        beside = page_servers.SidePages(self._bounds)
+        figures: entry_metrics.EntryMetrics,
+    ) -> page_servers.PageServers:
+        beside = page_servers.PageServers(self._bounds)
         directory = pages.Directory(
             self._addresses,
             min(_DIRECTORY_S, self._settings.bounds.directory_s),
@@ -256,7 +256,7 @@
     async def _depart(
         self,
         front: caller_server.HttpServer,
-        beside: page_servers.SidePages,
+        beside: page_servers.PageServers,
     ) -> None:
         """Leave without cutting a request.
 
@@ -279,7 +279,7 @@
         left_s = until_s - _CLOSING_S - self._clock.monotonic_s()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, left_s)):
-                await self._activity.idle()
+                await self._activity.wait_until_idle()
         left_s = until_s - self._clock.monotonic_s() - _CLOSING_S / 2
         await front.close(max(0.0, left_s))
         await beside.close()
--- a/libraries/daemon/src/sardinepier/daemon/entry_settings.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_settings.py
@@ -18,7 +18,7 @@
     ``retry_ratio`` bounds further attempts as a fraction of the requests of
     a service over the whole fleet, and ``retry_burst`` what may come on top
     within ten seconds. ``zones`` is how many share that.
-    ``least_used_share``, 0 to 1, is how many of a service's sound targets have to
+    ``min_used_share``, 0 to 1, is how many of a service's sound targets have to
     get requests within two seconds while others fail. ``revocation_s`` is how
     long after a key was withdrawn requests may still come through with it, at
     daemons that are cut off too; None sets no bound for those. ``leeway`` is by
@@ -30,7 +30,7 @@
     retry_ratio: float = 0.2
     retry_burst: int = 0
     zones: int = 1
-    least_used_share: float = idle_threshold.LEAST_USED_SHARE
+    min_used_share: float = idle_threshold.MIN_USED_SHARE
     revocation_s: float | None = None
     leeway: fleet_limits.Leeway = fleet_limits.DEFAULT_LEEWAY
 
@@ -59,4 +59,4 @@
     seeds: tuple[messages.PeerAddress, ...]
     bounds: EntryBounds
     names: header_names.HeaderNames
-    capacity: capacities.Capacity = capacities.USUAL
+    capacity: capacities.Capacity = capacities.DEFAULT
--- a/libraries/daemon/src/sardinepier/daemon/internal/assembly.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/assembly.py
@@ -109,7 +109,7 @@
         random_source,
         options.MembershipOptions(),
         store.mark,
-        marks.heard,
+        marks.receive,
         recorder.member_changed,
     )
     fleet.seed(_seeds(settings))
@@ -151,14 +151,14 @@
     def __init__(self) -> None:
         self.distributor: distributors.Distributor | None = None
 
-    def heard(
+    def receive(
         self,
         sender: messages.Sender,
         mark: configuration_marks.ConfigurationMark,
     ) -> None:
         """Hand on a mark; one that comes too early comes again."""
         if self.distributor is not None:
-            self.distributor.heard_mark(sender, mark)
+            self.distributor.receive_mark(sender, mark)
 
 
 def _open_network(
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_metrics.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_metrics.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EntryFigures:
+class EntryMetrics:
     """Where the figures come from."""
 
     metrics: request_metrics.RequestMetrics
--- a/libraries/daemon/src/sardinepier/daemon/internal/exchange_assembly.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/exchange_assembly.py
@@ -29,7 +29,7 @@
         self._settings = base.settings
         self._noticer = noticer
 
-    def take(self, listed: interface.InstanceList) -> None:
+    def apply(self, listed: interface.InstanceList) -> None:
         """Take a new list."""
         self._membership.seed(_addresses(listed, self._settings))
         self._noticer.on_instances(listed)
@@ -61,7 +61,7 @@
         directory,
         context.configuration,
     )
-    base.distributor.on_instances(InstanceListReader(base, noticer).take)
+    base.distributor.on_instances(InstanceListReader(base, noticer).apply)
     owned = own_services.OwnServices(
         base.membership,
         context.services,
--- a/libraries/daemon/src/sardinepier/daemon/internal/graceful_shutdown.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/graceful_shutdown.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Departure:
+class GracefulShutdown:
     """Leaves the fleet without cutting a request.
 
     Peers are told first, so that no new address answer names this daemon.
@@ -33,7 +33,7 @@
     record: Callable[[events.Event], None]
     show_state: Callable[[status_document.DaemonState], None]
 
-    async def leave(self, fleet: model.FleetSettings, reason: str) -> None:
+    async def run(self, fleet: model.FleetSettings, reason: str) -> None:
         """Return when the daemon has nothing more to do.
 
         Takes ``shutdown_grace_s`` at most; whatever is unfinished then is
--- a/libraries/daemon/src/sardinepier/daemon/internal/group_exchange.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/group_exchange.py
@@ -48,7 +48,7 @@
         # By runtime, not by name: a service that is withdrawn and published
         # again starts anew, and so does what was told about it.
         self._exchanges: _Exchanges = weakref.WeakKeyDictionary()
-        peer_network.subscribe(group_messages.GroupReport, self.take_report)
+        peer_network.subscribe(group_messages.GroupReport, self.receive_report)
 
     @property
     def spent_bytes(self) -> int:
@@ -71,7 +71,7 @@
             if runtime.health.report_due() and self._owned.takes_part(runtime):
                 self._send_report(runtime)
 
-    def take_report(
+    def receive_report(
         self,
         sender: messages.Sender,
         received: group_messages.GroupReport,
@@ -79,7 +79,7 @@
         """Take in a peer's report; of a service unknown here, nothing."""
         for runtime in self._services:
             if _name(runtime) == received.service:
-                self._take_report(sender, received, runtime)
+                self._receive_report(sender, received, runtime)
 
     def _send_report(self, runtime: service_runtime.ServiceRuntime) -> None:
         exchange = self._exchange(runtime)
@@ -117,9 +117,9 @@
         self._show_group(runtime, exchange, frozenset(group))
         peers = group | exchange.recent_guests(self._clock.monotonic_s())
         peers.pop(self._owned.own, None)
-        if peers.keys() - exchange.told_peers:
+        if peers.keys() - exchange.informed_peers:
             exchange.writer.renew()
-        exchange.told_peers = frozenset(peers)
+        exchange.informed_peers = frozenset(peers)
         return peers
 
     def _show_group(
@@ -133,16 +133,16 @@
         Guests get none: each daemon knows other guests, and a deal that
         differs from daemon to daemon makes them collide.
         """
-        if group == exchange.shown_group:
+        if group == exchange.applied_group:
             return
-        exchange.shown_group = group
+        exchange.applied_group = group
         own = self._owned.own
         runtime.set_group(
             group - {own},
             own if own in group else None,
         )
 
-    def _take_report(
+    def _receive_report(
         self,
         sender: messages.Sender,
         received: group_messages.GroupReport,
@@ -151,7 +151,7 @@
         exchange = self._exchange(runtime)
         observer = sender.instance_id
         if observer not in self._owned.group(runtime.snapshot.settings):
-            exchange.note_guest(sender, self._clock.monotonic_s())
+            exchange.record_guest(sender, self._clock.monotonic_s())
         report = exchange.reader(observer).read(received)
         if report is None:
             return
@@ -168,7 +168,7 @@
         received: group_messages.GroupReport,
     ) -> None:
         news = [
-            self._directory.fill(
+            self._directory.learn_if_unknown(
                 received.service,
                 target.target_id,
                 target.incarnation,
--- a/libraries/daemon/src/sardinepier/daemon/internal/maintenance.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/maintenance.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Upkeep:
+class MaintenanceLoop:
     """Judges targets, tells the groups, probes, and notices pauses.
 
     One loop does it all. Each further timer would wake up an idle daemon some
@@ -48,7 +48,7 @@
         await asyncio.sleep(_EXPIRY_INTERVAL_S)
 
 
-async def settle_memory() -> None:
+async def tune_garbage_collection() -> None:
     """Take what a started daemon holds out of the garbage collector's way.
 
     With the files of 340 services a full collection took 96 to 164 ms, in
--- a/libraries/daemon/src/sardinepier/daemon/internal/own_services.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/own_services.py
@@ -141,5 +141,5 @@
         """Take up a bounded number of services, as each takes some time."""
         for name in self._unjoined[:_JOINED_AT_ONCE]:
             with contextlib.suppress(refusals.UnknownServiceError):
-                self._services.hold(name)
+                self._services.get_or_create(name)
         self._unjoined = self._unjoined[_JOINED_AT_ONCE:]
--- a/libraries/daemon/src/sardinepier/daemon/internal/page_servers.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/page_servers.py
@@ -5,7 +5,7 @@
 from sardinepier.wire import messages
 
 
-class SidePages:
+class PageServers:
     """Opens pages where the settings name an address, and closes them."""
 
     def __init__(self, bounds: caller_server.BoundsGetter) -> None:
--- a/libraries/daemon/src/sardinepier/daemon/internal/quarantine_exchange.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/quarantine_exchange.py
@@ -38,14 +38,14 @@
         self._clock = clock
         self._due_s = clock.monotonic_s()
         peer_network.subscribe(group_messages.QuarantineNotice, self._take)
-        quarantine.on_marked = self.tell
+        quarantine.on_marked = self.announce
 
     def tick(self) -> None:
         """Send the marks again once a second while there are any."""
         if self._clock.monotonic_s() >= self._due_s:
-            self.tell()
+            self.announce()
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Send the marks now, if there are any."""
         self._due_s = self._clock.monotonic_s() + _INTERVAL_S
         report = self._quarantine.report()
--- a/libraries/daemon/src/sardinepier/daemon/internal/service_exchange.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/service_exchange.py
@@ -31,8 +31,8 @@
     def __init__(self) -> None:
         """Start without guests; nothing was told yet."""
         self.guests: dict[ids.InstanceId, _Guest] = {}
-        self.shown_group: frozenset[ids.InstanceId] = frozenset()
-        self.told_peers: frozenset[ids.InstanceId] = frozenset()
+        self.applied_group: frozenset[ids.InstanceId] = frozenset()
+        self.informed_peers: frozenset[ids.InstanceId] = frozenset()
         self.report_bytes = 0
         self.writer = report_codec.ReportWriter()
         self._readers: dict[ids.InstanceId, report_codec.ReportReader] = {}
@@ -71,7 +71,7 @@
             self._readers.pop(next(iter(self._readers)))
         return reader
 
-    def note_guest(
+    def record_guest(
         self,
         sender: messages.Sender,
         now_s: float,
--- a/libraries/daemon/src/sardinepier/daemon/internal/target_directory.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/target_directory.py
@@ -56,7 +56,7 @@
         self._present[service][target_id] = incarnation
         return True
 
-    def fill(
+    def learn_if_unknown(
         self,
         service: ids.ServiceName,
         target_id: ids.TargetId,
--- a/libraries/daemon/src/sardinepier/daemon/internal/target_notices.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/target_notices.py
@@ -51,10 +51,10 @@
         notices = tuple(_notice(target) for target in listed.targets)
         told = target_directory.changes(self._listed, notices)
         self._listed = notices
-        self.take(notices)
+        self.apply(notices)
         self._tell_groups(told)
 
-    def take(self, notices: _Notices) -> None:
+    def apply(self, notices: _Notices) -> None:
         """Apply notices to the directory and to the services here."""
         touched: set[ids.ServiceName] = set()
         for notice in notices:
@@ -66,9 +66,9 @@
             if learned:
                 touched.add(notice.service)
         for runtime in self._services:
-            self._apply(runtime, notices, touched)
+            self._apply_to_service(runtime, notices, touched)
 
-    def _apply(
+    def _apply_to_service(
         self,
         runtime: service_runtime.ServiceRuntime,
         notices: _Notices,
@@ -121,7 +121,7 @@
         sender: messages.Sender,
         received: group_messages.TargetNotices,
     ) -> None:
-        self.take(received.notices)
+        self.apply(received.notices)
 
 
 def _notice(target: interface.ListedTarget) -> group_messages.TargetNotice:
--- a/libraries/daemon/src/sardinepier/daemon/process.py
+++ b/libraries/daemon/src/sardinepier/daemon/process.py
@@ -104,10 +104,12 @@
         base.store.on_change(follower.follow)
         follower.follow(configuration)
         exchange = exchange_assembly.build_exchange(base, context)
-        upkeep = maintenance.Upkeep(context, exchange, probes.Probes(context))
+        upkeep = maintenance.MaintenanceLoop(
+            context, exchange, probes.Probes(context)
+        )
         self._tasks.start(upkeep.run())
         self._tasks.start(maintenance.expire_records(context))
-        self._tasks.start(maintenance.settle_memory())
+        self._tasks.start(maintenance.tune_garbage_collection())
         self._tasks.start(context.refusals.run())
 
     async def _listen(
@@ -140,14 +142,14 @@
         configuration = context.configuration()
         if configuration is None:
             return
-        await graceful_shutdown.Departure(
+        await graceful_shutdown.GracefulShutdown(
             caller_server,
             context.activity,
             base.membership,
             base.clock,
             base.recorder.record,
             self._show_state,
-        ).leave(configuration.fleet, self._reason)
+        ).run(configuration.fleet, self._reason)
 
     def _show_state(self, state: status_document.DaemonState) -> None:
         self._state = state
--- a/libraries/daemon/tests/cover/test_daemon_groups.py
+++ b/libraries/daemon/tests/cover/test_daemon_groups.py
@@ -95,7 +95,7 @@
     report = evidence.EvidenceReport(1, False, (), (), ())
     sender = messages.Sender(first.own.instance_id, first.own.peer_address)
     message = report_codec.ReportWriter().write('no-such-service', report, 0)
-    second.exchange.take_report(sender, message)
+    second.exchange.receive_report(sender, message)
     states = {one.state for one in second.health.status()}
     assert states == {targets.TargetState.IN_SERVICE}
 
@@ -160,7 +160,7 @@
     noticer.on_instances(targets_listed)
     fleet.run(2)
     told = []
-    fleet.daemons[1].noticer.take = told.append
+    fleet.daemons[1].noticer.apply = told.append
     noticer.on_instances(interface.InstanceList(share=shares.DAEMONS))
     noticer.on_instances(targets_listed)
     fleet.run(5)
--- a/libraries/daemon/tests/cover/test_daemon_target_directory.py
+++ b/libraries/daemon/tests/cover/test_daemon_target_directory.py
@@ -22,8 +22,8 @@
 
 def test_a_peer_only_fills_what_is_not_known_yet():
     directory = target_directory.TargetDirectory()
-    assert directory.fill('deposits', 't1', 'a')
-    assert not directory.fill('deposits', 't1', 'b')
+    assert directory.learn_if_unknown('deposits', 't1', 'a')
+    assert not directory.learn_if_unknown('deposits', 't1', 'b')
     assert directory.learn('deposits', 't1', 'b')
     assert directory.of_service('deposits') == {'t1': 'b'}
 
--- a/libraries/entry/src/sardinepier/entry/capacity_forecast.py
+++ b/libraries/entry/src/sardinepier/entry/capacity_forecast.py
@@ -23,14 +23,16 @@
 
     It is infinite when none ever will, as far as this daemon knows.
     """
-    opens_at_s = math.inf
+    accepts_from_s = math.inf
     for record in table.records():
         if record.listed.target_id not in tried:
-            opens_at_s = min(opens_at_s, record.statements.opens_at_s(now_s))
-            if opens_at_s <= now_s:
+            accepts_from_s = min(
+                accepts_from_s, record.statements.accepts_from_s(now_s)
+            )
+            if accepts_from_s <= now_s:
                 # Usually the first target: few targets state anything.
                 return now_s
-    return opens_at_s
+    return accepts_from_s
 
 
 def forecast(
--- a/libraries/entry/src/sardinepier/entry/exploration.py
+++ b/libraries/entry/src/sardinepier/entry/exploration.py
@@ -115,10 +115,10 @@
     The owner records the outcome of each request in ``recent``.
     """
 
-    def __init__(self, clock: clocks.Clock, least_used_share: float) -> None:
-        """Keep ``least_used_share``, 0 to 1, of the sound targets in use."""
+    def __init__(self, clock: clocks.Clock, min_used_share: float) -> None:
+        """Keep ``min_used_share``, 0 to 1, of the sound targets in use."""
         self.recent = recent_failures.RecentFailures(clock)
-        self._threshold = idle_threshold.IdleThreshold(least_used_share)
+        self._threshold = idle_threshold.IdleThreshold(min_used_share)
 
     def find(
         self,
--- a/libraries/entry/src/sardinepier/entry/idle_threshold.py
+++ b/libraries/entry/src/sardinepier/entry/idle_threshold.py
@@ -6,7 +6,7 @@
 
 from sardinepier.entry import target_cost, target_record
 
-LEAST_USED_SHARE: Final = 0.7
+MIN_USED_SHARE: Final = 0.7
 """Default of the share of the sound targets of a service that has to get
 requests within two seconds while other targets fail."""
 
@@ -34,7 +34,7 @@
     """The failure probability from which targets may be left idle.
 
     Requests that may run only once avoid targets that failed, since a failure
-    would be final. As many targets may be left idle as ``least_used_share``
+    would be final. As many targets may be left idle as ``min_used_share``
     permits: those with the highest failure probability. In the emulator, with
     requests that run only once and three tenths of the targets failing at any
     time, too few targets were in use for 69 % of the time; with this threshold,
@@ -42,9 +42,9 @@
     3.8 failed with it, and 2.9 without.
     """
 
-    def __init__(self, least_used_share: float) -> None:
-        """Use at least ``least_used_share``, 0 to 1, of the sound targets."""
-        self._idle_share = max(0.0, 1 - least_used_share - _MARGIN)
+    def __init__(self, min_used_share: float) -> None:
+        """Use at least ``min_used_share``, 0 to 1, of the sound targets."""
+        self._idle_share = max(0.0, 1 - min_used_share - _MARGIN)
         self._probability = _MIN_PROBABILITY
         self._recompute_at_s = -math.inf
 
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -69,7 +69,7 @@
         random_source: random.Random,
         retry_percent: float,
         options: failure_estimate.EstimateOptions,
-        least_used_share: float = idle_threshold.LEAST_USED_SHARE,
+        min_used_share: float = idle_threshold.MIN_USED_SHARE,
     ) -> None:
         """Start without targets."""
         self.name = name
@@ -77,7 +77,7 @@
         self.on_outcome: Callable[[bool], None] = _ignore_outcome
         self.shares_zone = False
         self.unreachable_zones: frozenset[ids.ZoneName] = frozenset()
-        self._overlooked = exploration.Explorer(clock, least_used_share)
+        self._overlooked = exploration.Explorer(clock, min_used_share)
         self._typical_answer_bytes = 0.0
         self._hedge_delay = hedging.HedgeDelay(_HEDGE_PERCENTILE)
         # No floor: each of many daemons with a few requests would use it, so
@@ -129,12 +129,12 @@
         too long. The slot is reserved until ``started``, which must be called
         before anything else is awaited.
         """
-        opens_at_s = forecasts.next_accepting_s(
+        accepts_from_s = forecasts.next_accepting_s(
             self.targets,
             requirements.tried,
             self._clock.monotonic_s(),
         )
-        if opens_at_s >= queued_request.deadline_s:
+        if accepts_from_s >= queued_request.deadline_s:
             raise _no_target(self)
         target_id = await self._queue.acquire(
             queued_request,
--- a/libraries/entry/src/sardinepier/entry/service_registry.py
+++ b/libraries/entry/src/sardinepier/entry/service_registry.py
@@ -46,7 +46,7 @@
         random_source: random.Random,
         retry_percent: float,
         options: failure_estimate.EstimateOptions,
-        least_used_share: float = idle_threshold.LEAST_USED_SHARE,
+        min_used_share: float = idle_threshold.MIN_USED_SHARE,
         confirmed_within_s: float | None = None,
         leeway: fleet_limits.Leeway = fleet_limits.DEFAULT_LEEWAY,
     ) -> None:
@@ -75,7 +75,7 @@
         self._random = random_source
         self._retry_percent = retry_percent
         self.belief_options = options
-        self._least_used_share = least_used_share
+        self._min_used_share = min_used_share
         self._retry_burst = 0.0
         self._shares_zone = False
         self._lost_zones: frozenset[ids.ZoneName] = frozenset()
@@ -142,7 +142,7 @@
                 self._random,
                 self._retry_percent,
                 self.belief_options,
-                self._least_used_share,
+                self._min_used_share,
             )
             pool.retry_budget.set_burst(self._retry_burst)
             pool.shares_zone = self._shares_zone
--- a/libraries/entry/src/sardinepier/entry/target_table.py
+++ b/libraries/entry/src/sardinepier/entry/target_table.py
@@ -99,7 +99,7 @@
         """Apply a statement that ``source`` received; return if it is new."""
         is_new = record.statements.apply(statement, received_s)
         record.statements_source = source
-        if statement != statements.SILENT:
+        if statement != statements.EMPTY:
             self._with_statements[record.listed.target_id] = record
         if statement.is_leaving:
             self._leave(record)
@@ -115,7 +115,7 @@
         return {
             record
             for record in self._with_statements.values()
-            if record.statements.opens_at_s(now_s) > now_s
+            if record.statements.accepts_from_s(now_s) > now_s
         }
 
     def departed(self) -> Collection[target_record.TargetRecord]:
--- a/libraries/entry/tests/cover/test_entry_idle_targets.py
+++ b/libraries/entry/tests/cover/test_entry_idle_targets.py
@@ -271,7 +271,7 @@
 def test_as_many_may_be_idle_as_the_installation_allows():
     clock = clocks.ManualClock(100.0)
     names = [f't{number}' for number in range(10)]
-    for least_used_share, idle in ((0.7, 2), (0.5, 4), (0.95, 0)):
+    for min_used_share, idle in ((0.7, 2), (0.5, 4), (0.95, 0)):
         pool = pool_of(clock, *names)
         for name in names[:5]:
             pool.targets.find(name).estimate.failed(clock.monotonic_s())
@@ -279,7 +279,7 @@
         context = target_cost.SelectionContext(
             support.ZONE, now_s, PROCESSING_S, 0.0
         )
-        threshold = idle_threshold.IdleThreshold(least_used_share)
+        threshold = idle_threshold.IdleThreshold(min_used_share)
         for place, name in enumerate(names):
             # Each has another failure probability.
             if place < 5:
--- a/libraries/entry/tests/cover/test_entry_statements.py
+++ b/libraries/entry/tests/cover/test_entry_statements.py
@@ -56,7 +56,7 @@
     for _ in range(12):
         assert (await entry.ask(ONCE))[0] == 200
     record = record_of(entry, 't1')
-    assert record.statements.newest == statements.SILENT
+    assert record.statements.newest == statements.EMPTY
 
 
 BAD_LIMITS = (
@@ -81,7 +81,7 @@
     count = 0
     for _ in range(round(seconds / step_s)):
         now_s = clock.monotonic_s()
-        if received.opens_at_s(now_s) <= now_s:
+        if received.accepts_from_s(now_s) <= now_s:
             received.take(now_s)
             count += 1
         clock.advance(step_s)
@@ -115,13 +115,13 @@
     clock.advance(1)
     received.take(clock.monotonic_s())
     received.refund()
-    assert received.opens_at_s(clock.monotonic_s()) <= clock.monotonic_s()
+    assert received.accepts_from_s(clock.monotonic_s()) <= clock.monotonic_s()
 
 
 def test_an_older_statement_is_ignored():
     received = target_statements.TargetStatements()
     assert received.apply(statements.Statement(limit_per_s=1.0), 100.0)
-    assert not received.apply(statements.SILENT, 99.0)
+    assert not received.apply(statements.EMPTY, 99.0)
     assert received.newest.limit_per_s == 1.0
 
 
--- a/libraries/gateway/src/sardinepier/gateway/active_requests.py
+++ b/libraries/gateway/src/sardinepier/gateway/active_requests.py
@@ -15,7 +15,7 @@
 
         with active_requests:
             await answer(request)
-        await active_requests.idle()
+        await active_requests.wait_until_idle()
     """
 
     def __init__(self) -> None:
@@ -49,6 +49,6 @@
         """Tell callers from now on to go elsewhere."""
         self.is_draining = True
 
-    async def idle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Return when nothing is in hand."""
         await self._idle.wait()
--- a/libraries/gateway/src/sardinepier/gateway/activity.py
+++ b/libraries/gateway/src/sardinepier/gateway/activity.py
@@ -29,7 +29,7 @@
         self.body_bytes = 0
 
     @contextlib.contextmanager
-    def body(self, size_bytes: int) -> Iterator[None]:
+    def reserve_body_memory(self, size_bytes: int) -> Iterator[None]:
         """Set memory aside for a body while the context lasts.
 
         Raises ``OverloadedError`` when too much is in hand already.
--- a/libraries/gateway/src/sardinepier/gateway/answer_reader.py
+++ b/libraries/gateway/src/sardinepier/gateway/answer_reader.py
@@ -78,7 +78,7 @@
         parts.append(chunk)
         size_bytes += len(chunk)
         if size_bytes > limit_bytes:
-            answer.rest = target_answer.Rest(response, on_end)
+            answer.remainder = target_answer.BodyStream(response, on_end)
             break
     answer.body = b''.join(parts)
     return answer
--- a/libraries/gateway/src/sardinepier/gateway/attempt.py
+++ b/libraries/gateway/src/sardinepier/gateway/attempt.py
@@ -80,7 +80,7 @@
         except BaseException as error:
             self._end_by(error)
             raise
-        if answer.rest is None:
+        if answer.remainder is None:
             self._answered(answer.status)
         return answer
 
@@ -91,7 +91,7 @@
                 return await self._exchange()
         except TimeoutError as error:
             if not self._is_sent:
-                self._item.require_time(self._context.clock)
+                self._item.require_time_left(self._context.clock)
             raise errors.AnswerOverdueError(
                 'The target did not answer before the time ran out',
                 'Find out whether the request ran before sending it anew',
@@ -116,7 +116,7 @@
         answer_reader.refuse_shed(
             response,
             settings.shed_reply,
-            item.runtime.stated.retry_after_s(
+            item.runtime.statements.retry_after_s(
                 item.runtime.health.selectable(),
             ),
         )
@@ -125,7 +125,7 @@
     def _hear(self, response: client_reqrep.ClientResponse) -> None:
         """Take in what the target says of itself, whatever it answered."""
         settings = self._item.snapshot.settings
-        self._item.runtime.stated.apply(
+        self._item.runtime.statements.apply(
             self._target_id,
             statements.read(
                 response.status,
@@ -145,7 +145,7 @@
         it was made, or any target what is held back since it was let through.
         """
         self._context.wake_guard.require()
-        self._item.require_time(self._context.clock)
+        self._item.require_time_left(self._context.clock)
         self._require_staying()
         self._context.quarantine.raise_if_quarantined(self._item.fingerprint)
         self._is_sent = True
@@ -158,7 +158,7 @@
                 'Send the request to another one',
                 _RETRY_AFTER_S,
             )
-        if self._item.runtime.stated.is_backing_off(self._target_id):
+        if self._item.runtime.statements.is_backing_off(self._target_id):
             raise errors.TargetRestsError(
                 f'The target {self._target_id} asked for rest',
                 'Send the request to another one',
@@ -174,7 +174,7 @@
             self._context.quarantine.released(self._item.fingerprint)
             self._end(evidence.AttemptOutcome.FAILED, None)
             return
-        runtime.losses.answered(self._target_id)
+        runtime.lost_connections.answered(self._target_id)
         runtime.hedge_delay(self._item.route.name).observe(latency_ms)
         self._note_good_answer()
         self._end(evidence.AttemptOutcome.ANSWERED, latency_ms)
@@ -208,9 +208,9 @@
         held = quarantine.crashed(
             self._item.fingerprint,
             self._target_id,
-            self._item.runtime.is_fine_otherwise(
+            self._item.runtime.record_lost_connection(
                 self._target_id,
-                earlier_is_accounted_for=quarantine.has_suspect_request_on(
+                is_earlier_loss_explained=quarantine.has_suspect_request_on(
                     self._target_id,
                 ),
             ),
--- a/libraries/gateway/src/sardinepier/gateway/caller_request.py
+++ b/libraries/gateway/src/sardinepier/gateway/caller_request.py
@@ -37,7 +37,7 @@
         left_s = self.deadline_s - clock.monotonic_s()
         return max(0, int(left_s * _MS_PER_S))
 
-    def require_time(self, clock: clocks.Clock) -> None:
+    def require_time_left(self, clock: clocks.Clock) -> None:
         """Raise ``DeadlinePassedError`` when nothing is left."""
         if clock.monotonic_s() >= self.deadline_s:
             raise refusals.DeadlinePassedError(
--- a/libraries/gateway/src/sardinepier/gateway/delivery.py
+++ b/libraries/gateway/src/sardinepier/gateway/delivery.py
@@ -89,7 +89,7 @@
         )
         self._frame()
 
-    async def send(self, rest: target_answer.Rest) -> None:
+    async def send(self, rest: target_answer.BodyStream) -> None:
         """Send everything.
 
         When the caller goes away, the answer is still read to its end.
@@ -113,7 +113,7 @@
             self._abort()
             raise
 
-    async def _send(self, rest: target_answer.Rest) -> None:
+    async def _send(self, rest: target_answer.BodyStream) -> None:
         await self._pass_on(None)
         await self._pass_on(self._answer.body)
         async for chunk in rest.chunks():
--- a/libraries/gateway/src/sardinepier/gateway/forwarding.py
+++ b/libraries/gateway/src/sardinepier/gateway/forwarding.py
@@ -108,7 +108,7 @@
         """Wait until an attempt may start, and reserve a slot for it."""
         if not self._context.wake_guard.check():
             await self._context.wake_guard.ready(item.deadline_s)
-        item.require_time(self._context.clock)
+        item.require_time_left(self._context.clock)
         if not self._has_target(item, history.tried):
             raise _no_target(item)
         self._context.quarantine.admit(item.fingerprint)
@@ -191,12 +191,12 @@
         while True:
             target_id = runtime.slots.reserve(
                 runtime.chooser,
-                history.tried | runtime.stated.closed(),
+                history.tried | runtime.statements.not_accepting(),
             )
             if target_id is None:
                 return None
             if self._suits(item, target_id):
-                runtime.stated.take(target_id)
+                runtime.statements.take(target_id)
                 return target_id
             runtime.slots.release(target_id)
             history.tried.add(target_id)
@@ -217,11 +217,11 @@
         item: caller_request.CallerRequest,
         tried: Collection[ids.TargetId],
     ) -> bool:
-        stated = item.runtime.stated
+        stated = item.runtime.statements
         return any(
             target_id not in tried
             and self._suits(item, target_id)
-            and stated.opens_at_s(target_id) < item.deadline_s
+            and stated.accepts_from_s(target_id) < item.deadline_s
             for target_id in item.runtime.health.selectable()
         )
 
@@ -266,7 +266,10 @@
         answer: target_answer.TargetAnswer,
     ) -> bool:
         """Decide whether another target may give a better answer."""
-        if answer.status < _FIRST_FAILURE_STATUS or answer.rest is not None:
+        if (
+            answer.status < _FIRST_FAILURE_STATUS
+            or answer.remainder is not None
+        ):
             return False
         if not item.route.idempotent or not self._has_room(item, history):
             return False
@@ -278,5 +281,5 @@
         f'Service {item.snapshot.settings.name} has no target that may take '
         'this request',
         'Send it again after the stated time',
-        item.runtime.stated.retry_after_s(item.runtime.health.selectable()),
+        item.runtime.statements.retry_after_s(item.runtime.health.selectable()),
     )
--- a/libraries/gateway/src/sardinepier/gateway/hedged.py
+++ b/libraries/gateway/src/sardinepier/gateway/hedged.py
@@ -108,6 +108,6 @@
         if ended.cancelled() or ended.exception() is not None:
             continue
         # It answered in the same moment as the winner.
-        rest = ended.result().rest
-        if rest is not None:
-            rest.close(asyncio.CancelledError())
+        remainder = ended.result().remainder
+        if remainder is not None:
+            remainder.close(asyncio.CancelledError())
--- a/libraries/gateway/src/sardinepier/gateway/keyed.py
+++ b/libraries/gateway/src/sardinepier/gateway/keyed.py
@@ -9,13 +9,13 @@
 from sardinepier.core import outcomes
 from sardinepier.gateway import context as contexts
 from sardinepier.gateway import (
+    caller_request,
     delivery,
     errors,
     forwarding,
     headers,
     problem_table,
     relaying,
-    caller_request,
 )
 from sardinepier.gateway import refusals as refused
 from sardinepier.gateway import target_answer as target_answers
@@ -104,7 +104,7 @@
         record: records.Record,
     ) -> web_response.StreamResponse:
         answer = await self._forwarding.forward(item)
-        if answer.rest is not None:
+        if answer.remainder is not None:
             return await self._stream(request, item, record, answer)
         record.complete(_kept(answer))
         return delivery.whole(
@@ -127,8 +127,8 @@
             answer,
             item.deadline_s,
         )
-        assert answer.rest is not None  # noqa: S101 - the caller checked it
-        await stream.send(answer.rest)
+        assert answer.remainder is not None  # noqa: S101 - the caller checked it
+        await stream.send(answer.remainder)
         record.complete(
             answers.RecordedAnswer(answer.status, answer.headers, None),
         )
--- a/libraries/gateway/src/sardinepier/gateway/lost_connections.py
+++ b/libraries/gateway/src/sardinepier/gateway/lost_connections.py
@@ -33,7 +33,7 @@
         self._clock = clock
         self._events: dict[ids.TargetId, _Event] = {}
 
-    def note(self, target_id: ids.TargetId) -> bool:
+    def record(self, target_id: ids.TargetId) -> bool:
         """Note a loss; True if the target had no other event of late."""
         now_s = self._clock.monotonic_s()
         last = self._events.get(target_id)
--- a/libraries/gateway/src/sardinepier/gateway/pipeline.py
+++ b/libraries/gateway/src/sardinepier/gateway/pipeline.py
@@ -41,7 +41,7 @@
     def __init__(self, context: contexts.GatewayContext) -> None:
         """Work with the daemon's collaborators."""
         self._context = context
-        self._intake = request_reader.Intake(context)
+        self._intake = request_reader.RequestReader(context)
         self._records = request_metrics.RequestMetrics(context.metrics)
         self._forwarding = forwarding.Forwarding(context)
         self._keyed = keyed.KeyedPath(context, self._forwarding)
@@ -55,7 +55,9 @@
         service = _UNKNOWN_SERVICE
         with self._context.activity:
             try:
-                with self._context.activity.body(_body_bytes(request)):
+                with self._context.activity.reserve_body_memory(
+                    _body_bytes(request)
+                ):
                     item = await self._intake.read(request)
                     service = item.snapshot.settings.name
                     response = await self._answer(request, item)
@@ -79,9 +81,9 @@
         if not item.route.idempotent:
             return await self._keyed.handle(request, item)
         answer = await self._forwarding.forward(item)
-        if answer.rest is None and not answer.body:
+        if answer.remainder is None and not answer.body:
             return delivery.empty(answer)
-        if answer.rest is None:
+        if answer.remainder is None:
             return delivery.whole(
                 answer.status,
                 answer.reason,
@@ -94,7 +96,7 @@
             answer,
             item.deadline_s,
         )
-        await stream.send(answer.rest)
+        await stream.send(answer.remainder)
         return stream.response
 
     def _problem(
@@ -110,7 +112,7 @@
                 'Find out whether the request ran before sending it anew',
             )
         kind = problem_table.kind_of(error)
-        self._context.refusals.note(service, kind.name)
+        self._context.refusals.record(service, kind.name)
         outcome = kind.outcome
         if outcome is outcomes.Outcome.NOT_RUN and not self._is_proved(request):
             outcome = outcomes.Outcome.UNKNOWN
--- a/libraries/gateway/src/sardinepier/gateway/refusal_counts.py
+++ b/libraries/gateway/src/sardinepier/gateway/refusal_counts.py
@@ -21,7 +21,7 @@
             collections.Counter()
         )
 
-    def note(self, service: str, reason: str) -> None:
+    def record(self, service: str, reason: str) -> None:
         """Count one refusal."""
         key = (service, reason)
         if key in self._counts or len(self._counts) < _MOST_KINDS:
--- a/libraries/gateway/src/sardinepier/gateway/relaying.py
+++ b/libraries/gateway/src/sardinepier/gateway/relaying.py
@@ -48,9 +48,9 @@
                 answer = await answer_reader.read(response, item, _ignore)
         except (errors.GatewayError, TimeoutError) as error:
             raise _unreachable(home, 'did not answer') from error
-        if answer.rest is None and not answer.body:
+        if answer.remainder is None and not answer.body:
             return delivery.empty(answer, outcome)
-        if answer.rest is None:
+        if answer.remainder is None:
             return delivery.whole(
                 answer.status,
                 answer.reason,
@@ -65,7 +65,7 @@
             item.deadline_s,
             outcome,
         )
-        await stream.send(answer.rest)
+        await stream.send(answer.remainder)
         return stream.response
 
     def _find(self, home: ids.InstanceId) -> members.Member:
--- a/libraries/gateway/src/sardinepier/gateway/request_reader.py
+++ b/libraries/gateway/src/sardinepier/gateway/request_reader.py
@@ -20,7 +20,7 @@
 _MILLISECONDS: Final = re.compile('[0-9]{1,12}')
 
 
-class Intake:
+class RequestReader:
     """Reads and checks requests; nothing it refuses has run."""
 
     def __init__(self, context: contexts.GatewayContext) -> None:
--- a/libraries/gateway/src/sardinepier/gateway/server.py
+++ b/libraries/gateway/src/sardinepier/gateway/server.py
@@ -93,7 +93,7 @@
         # bodies that are still arriving.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(until_s):
-                await self._context.activity.idle()
+                await self._context.activity.wait_until_idle()
         unfinished = self._context.activity.in_flight
         self._connections.pre_shutdown()
         # Answers that are ready may still be on their way out.
--- a/libraries/gateway/src/sardinepier/gateway/service_runtime.py
+++ b/libraries/gateway/src/sardinepier/gateway/service_runtime.py
@@ -78,11 +78,11 @@
             parts.slot_options,
         )
         self.chooser = parts.make_chooser()
-        self.stated = stated_targets.StatedTargets(
+        self.statements = stated_targets.StatedTargets(
             parts.clock,
             parts.random_source,
         )
-        self.losses = lost_connections.LostConnections(parts.clock)
+        self.lost_connections = lost_connections.LostConnections(parts.clock)
         self.snapshot = snapshots.ServiceSnapshot(settings)
         self._build()
         self._apply_targets()
@@ -108,7 +108,7 @@
         ``own`` is None when this daemon is not one of them.
         """
         self.slots.set_group(others, own)
-        self.stated.set_senders(others, own)
+        self.statements.set_senders(others, own)
         self._group_size = len(others) + (own is not None)
         self._configure_health()
 
@@ -120,7 +120,7 @@
         if self._incarnations != listed:
             before = self._incarnations
             self._incarnations = dict(listed)
-            self.stated.forget(
+            self.statements.forget(
                 [one for one in listed if before.get(one) != listed[one]],
             )
             self._apply_targets()
@@ -168,21 +168,23 @@
         self.slots.release(target_id)
         self.queue.wake()
 
-    def is_fine_otherwise(
+    def record_lost_connection(
         self,
         target_id: ids.TargetId,
         *,
-        earlier_is_accounted_for: bool = False,
+        is_earlier_loss_explained: bool = False,
     ) -> bool:
         """Note a lost connection; True if the target seemed healthy.
 
         One under suspicion that still gets work counts as healthy: one crash
         is enough for that, and the next request that crashes it is to be held
         back after as many targets as the first. An earlier loss counts
-        against the target unless ``earlier_is_accounted_for`` by a request
+        against the target unless ``is_earlier_loss_explained`` by a request
         that is suspected of crashing it.
         """
-        is_first = self.losses.note(target_id) or earlier_is_accounted_for
+        is_first = (
+            self.lost_connections.record(target_id) or is_earlier_loss_explained
+        )
         standing = self.health.standing(target_id)
         is_ejected = standing.state is targets.TargetState.EJECTED
         return is_first and standing.weight > 0 and not is_ejected
@@ -213,7 +215,7 @@
             settings.queue_length,
             self._parts.random_source,
             self._give_back,
-            lambda: self.stated.forecast(self.health.selectable()),
+            lambda: self.statements.forecast(self.health.selectable()),
         )
         self.retry_budget = budget.RetryBudget(
             clock,
@@ -234,7 +236,7 @@
     def _give_back(self, target_id: ids.TargetId) -> None:
         if target_id != NO_TARGET:
             self.slots.release(target_id)
-            self.stated.refund(target_id)
+            self.statements.refund(target_id)
 
     def _configure_health(self) -> None:
         self._parts.configure_health(
@@ -264,8 +266,8 @@
             )
             for one in settings.targets
         )
-        self.losses.keep(frozenset(self.snapshot.targets))
-        self.stated.keep(frozenset(self.snapshot.targets))
+        self.lost_connections.keep(frozenset(self.snapshot.targets))
+        self.statements.keep(frozenset(self.snapshot.targets))
         names = {route.name for route in settings.routes}
         self._hedges = {
             name: delay for name, delay in self._hedges.items() if name in names
--- a/libraries/gateway/src/sardinepier/gateway/service_runtimes.py
+++ b/libraries/gateway/src/sardinepier/gateway/service_runtimes.py
@@ -42,11 +42,13 @@
 
         Raises ``UnknownServiceError``.
         """
-        runtime = self.hold(name)
+        runtime = self.get_or_create(name)
         runtime.last_used_s = self._parts.clock.monotonic_s()
         return runtime
 
-    def hold(self, name: ids.ServiceName) -> service_runtime.ServiceRuntime:
+    def get_or_create(
+        self, name: ids.ServiceName
+    ) -> service_runtime.ServiceRuntime:
         """Return the runtime of a service without counting it as used.
 
         Raises ``UnknownServiceError``.
--- a/libraries/gateway/src/sardinepier/gateway/stated_targets.py
+++ b/libraries/gateway/src/sardinepier/gateway/stated_targets.py
@@ -52,7 +52,7 @@
         """Take in what an answer of the target told."""
         known = self._known.get(target_id)
         if known is None:
-            if statement == statements.SILENT:
+            if statement == statements.EMPTY:
                 return
             known = target_statements.TargetStatements()
             self._known[target_id] = known
@@ -68,13 +68,13 @@
         """Drop what was said by all but these."""
         self.forget(self._known.keys() - set(targets))
 
-    def closed(self) -> set[ids.TargetId]:
+    def not_accepting(self) -> set[ids.TargetId]:
         """Return the targets that want no request of this daemon now."""
         now_s = self._clock.monotonic_s()
         return {
             target_id
             for target_id, known in self._known.items()
-            if known.opens_at_s(now_s) > now_s
+            if known.accepts_from_s(now_s) > now_s
         }
 
     def is_backing_off(self, target_id: ids.TargetId) -> bool:
@@ -94,9 +94,9 @@
         if known is not None:
             known.refund()
 
-    def opens_at_s(self, target_id: ids.TargetId) -> float:
+    def accepts_from_s(self, target_id: ids.TargetId) -> float:
         """Return from when on the target wants a request of this daemon."""
-        return self._opens_at_s(target_id, self._clock.monotonic_s())
+        return self._accepts_from_s(target_id, self._clock.monotonic_s())
 
     def retry_after_s(self, targets: Collection[ids.TargetId]) -> float:
         """Return when one of them wants a request, of this daemon or others."""
@@ -118,8 +118,10 @@
         now_s = self._clock.monotonic_s()
         if not self._known or not targets:
             return wait_queue.AVAILABLE_NOW
-        opens_at_s = min(self._opens_at_s(one, now_s) for one in targets)
-        if opens_at_s <= now_s or math.isinf(opens_at_s):
+        accepts_from_s = min(
+            self._accepts_from_s(one, now_s) for one in targets
+        )
+        if accepts_from_s <= now_s or math.isinf(accepts_from_s):
             return wait_queue.AVAILABLE_NOW
         # Whoever is closed asked for something.
         return target_statements.forecast(
@@ -127,9 +129,9 @@
             now_s,
         )
 
-    def _opens_at_s(self, target_id: ids.TargetId, now_s: float) -> float:
+    def _accepts_from_s(self, target_id: ids.TargetId, now_s: float) -> float:
         known = self._known.get(target_id)
-        return now_s if known is None else known.opens_at_s(now_s)
+        return now_s if known is None else known.accepts_from_s(now_s)
 
     def _assign(self, target_id: ids.TargetId) -> None:
         """Work out this daemon's part of the target's limit."""
--- a/libraries/gateway/src/sardinepier/gateway/statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/statements.py
@@ -59,7 +59,7 @@
     limit_per_s: float | None = None
 
 
-SILENT: Final = Statement()
+EMPTY: Final = Statement()
 """What most answers tell."""
 
 
--- a/libraries/gateway/src/sardinepier/gateway/target_answer.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_answer.py
@@ -14,8 +14,8 @@
 class TargetAnswer:
     """What a target answered.
 
-    ``body`` is the whole content unless ``rest`` is set. Then it is the
-    beginning, and ``rest`` must be read to its end or closed.
+    ``body`` is the whole content unless ``remainder`` is set. Then it is the
+    beginning, and ``remainder`` must be read to its end or closed.
     """
 
     status: int
@@ -23,10 +23,10 @@
     headers: headers.Pairs
     length_bytes: int | None
     body: bytes = b''
-    rest: 'Rest | None' = None
+    remainder: 'BodyStream | None' = None
 
 
-class Rest:
+class BodyStream:
     """The part of a long answer that is still on its way.
 
     ``on_end`` is called once, with the error that ended it early or None.
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -46,7 +46,7 @@
     any_s = math.inf
     per_s = 0.0
     for stated in closed:
-        wait_s = stated.opens_at_s(now_s) - now_s
+        wait_s = stated.accepts_from_s(now_s) - now_s
         if stated.newest.limit_per_s is None:
             any_s = min(any_s, wait_s)
         else:
@@ -63,7 +63,7 @@
     For example::
 
         stated.apply(told, now_s)
-        if stated.opens_at_s(now_s) <= now_s:
+        if stated.accepts_from_s(now_s) <= now_s:
             stated.take(now_s)
 
     ``newest`` was told at ``received_s``, to this daemon or to another one.
@@ -75,7 +75,7 @@
 
     def __init__(self) -> None:
         """Start with a target that asked for nothing."""
-        self.newest = statements.SILENT
+        self.newest = statements.EMPTY
         self.received_s = 0.0
         self.part = 1.0
         self.backoff_until_s = 0.0
@@ -126,16 +126,16 @@
         """Tell whether the target wants nothing from this daemon now."""
         return now_s < self.backoff_until_s
 
-    def opens_at_s(self, now_s: float) -> float:
+    def accepts_from_s(self, now_s: float) -> float:
         """Return from when on this daemon may send a request.
 
         It is infinite while others have all of the target's limit.
         """
-        opens_at_s = max(now_s, self.backoff_until_s)
+        accepts_from_s = max(now_s, self.backoff_until_s)
         if self.newest.limit_per_s is None:
-            return opens_at_s
+            return accepts_from_s
         if self.part or now_s >= self._lapses_at_s:
-            return max(opens_at_s, self._next_s)
+            return max(accepts_from_s, self._next_s)
         return math.inf
 
     def wait_s(self, now_s: float) -> float:
@@ -143,10 +143,10 @@
 
         When others send to it, that is taken to be its usual interval.
         """
-        opens_at_s = self.opens_at_s(now_s)
-        if math.isinf(opens_at_s):
+        accepts_from_s = self.accepts_from_s(now_s)
+        if math.isinf(accepts_from_s):
             return self.interval_s
-        return max(0.0, opens_at_s - now_s)
+        return max(0.0, accepts_from_s - now_s)
 
     def take(self, now_s: float) -> None:
         """Count a request that is about to be sent."""
--- a/libraries/gateway/tests/cover/test_gateway_requests.py
+++ b/libraries/gateway/tests/cover/test_gateway_requests.py
@@ -262,7 +262,7 @@
 async def test_bodies_in_hand_are_bounded(world):
     target = await world.add_target('hang')
     gateway = await world.add_gateway()
-    with gateway.context.activity.body(67_108_863):
+    with gateway.context.activity.reserve_body_memory(67_108_863):
         answer, content = await world.send('PUT', '/books/books/1', data=b'xy')
         assert (answer.status, answer.headers['Retry-After']) == (503, '1')
         assert json.loads(content)['type'].endswith('overloaded')
--- a/libraries/gateway/tests/cover/test_gateway_stated.py
+++ b/libraries/gateway/tests/cover/test_gateway_stated.py
@@ -52,7 +52,7 @@
     """Guards against a limit that each daemon uses whole."""
     await world.add_targets('ok')
     gateway = await world.add_gateway()
-    stated = gateway.runtime().stated
+    stated = gateway.runtime().statements
     target_id = world.targets[0].name
     group = [ids.InstanceId(name) for name in ('a', 'b', 'c')]
     parts = collections.Counter()
@@ -65,7 +65,7 @@
             parts[limit_per_s] += stated._known[target_id].part
     assert parts == {2: 1, 30: 1}
     stated.set_senders(group, None)
-    assert target_id in stated.closed()
+    assert target_id in stated.not_accepting()
 
 
 async def test_another_start_of_a_target_asked_for_nothing(world):
@@ -75,9 +75,9 @@
     target_id = world.targets[0].name
     runtime.set_incarnations({target_id: ids.TargetIncarnation('1')})
     until_s = gateway.clock.monotonic_s() + 9
-    runtime.stated.apply(
+    runtime.statements.apply(
         target_id, statements.Statement(backoff_until_s=until_s)
     )
-    assert runtime.stated.closed() == {target_id}
+    assert runtime.statements.not_accepting() == {target_id}
     runtime.set_incarnations({target_id: ids.TargetIncarnation('2')})
-    assert not runtime.stated.closed()
+    assert not runtime.statements.not_accepting()
--- a/libraries/gateway/tests/cover/test_gateway_statements.py
+++ b/libraries/gateway/tests/cover/test_gateway_statements.py
@@ -30,11 +30,11 @@
     return said.is_leaving, rest_s, said.limit_per_s
 
 
-SILENT = (False, 0.0, None)
+EMPTY = (False, 0.0, None)
 
 CASES = (
     # Well written.
-    ((), SILENT),
+    ((), EMPTY),
     (((LEAVING, '1'),), (True, 0.0, None)),
     (((LIMIT, '2.8'),), (False, 0.0, 2.8)),
     (((LIMIT, ' 12 '),), (False, 0.0, 12.0)),
@@ -51,26 +51,26 @@
     (((LIMIT, '0'),), (False, 0.0, 0.1)),
     (((LIMIT, '0.0001'),), (False, 0.0, 0.1)),
     # Says nothing.
-    (((LEAVING, '0'),), SILENT),
-    (((LEAVING, ''),), SILENT),
-    (((LEAVING, '1'), (LEAVING, '0')), SILENT),
-    (((RETRY, '0'),), SILENT),
-    (((RETRY, 'soon'),), SILENT),
-    (((RETRY, '-3'),), SILENT),
-    (((RETRY, 'nan'),), SILENT),
-    (((RETRY, 'inf'),), SILENT),
-    (((RETRY, '1e999'),), SILENT),
-    (((RETRY, '9' * 4000),), SILENT),
-    (((RETRY, '\u0663'),), SILENT),
-    (((RETRY, '3'), (RETRY, '9')), SILENT),
-    (((RETRY, 'Thu, 01 Jan 1970 00:00:10 GMT'),), SILENT),
-    (((RETRY, 'Thu, 99 Foo 1970 00:00:10 GMT'),), SILENT),
-    (((LIMIT, '-1'),), SILENT),
-    (((LIMIT, 'nan'),), SILENT),
-    (((LIMIT, 'many'),), SILENT),
-    (((LIMIT, '1e3'),), SILENT),
-    (((LIMIT, '9' * 4000),), SILENT),
-    (((LIMIT, '1'), (LIMIT, '5')), SILENT),
+    (((LEAVING, '0'),), EMPTY),
+    (((LEAVING, ''),), EMPTY),
+    (((LEAVING, '1'), (LEAVING, '0')), EMPTY),
+    (((RETRY, '0'),), EMPTY),
+    (((RETRY, 'soon'),), EMPTY),
+    (((RETRY, '-3'),), EMPTY),
+    (((RETRY, 'nan'),), EMPTY),
+    (((RETRY, 'inf'),), EMPTY),
+    (((RETRY, '1e999'),), EMPTY),
+    (((RETRY, '9' * 4000),), EMPTY),
+    (((RETRY, '\u0663'),), EMPTY),
+    (((RETRY, '3'), (RETRY, '9')), EMPTY),
+    (((RETRY, 'Thu, 01 Jan 1970 00:00:10 GMT'),), EMPTY),
+    (((RETRY, 'Thu, 99 Foo 1970 00:00:10 GMT'),), EMPTY),
+    (((LIMIT, '-1'),), EMPTY),
+    (((LIMIT, 'nan'),), EMPTY),
+    (((LIMIT, 'many'),), EMPTY),
+    (((LIMIT, '1e3'),), EMPTY),
+    (((LIMIT, '9' * 4000),), EMPTY),
+    (((LIMIT, '1'), (LIMIT, '5')), EMPTY),
 )
 
 
@@ -80,4 +80,4 @@
 
 
 def test_only_a_503_asks_for_rest():
-    assert read((RETRY, '3'), status=200) == SILENT
+    assert read((RETRY, '3'), status=200) == EMPTY
--- a/libraries/gateway/tests/cover/test_gateway_targets.py
+++ b/libraries/gateway/tests/cover/test_gateway_targets.py
@@ -67,8 +67,8 @@
     ]
     assert suspected
     # As when it answered another request in between.
-    runtime.losses.keep(frozenset())
-    assert runtime.is_fine_otherwise(suspected[0])
+    runtime.lost_connections.keep(frozenset())
+    assert runtime.record_lost_connection(suspected[0])
 
 
 @pytest.mark.parametrize('gap_s', [0.0, 0.9, 1.1, 4.0])
--- a/libraries/membership/src/sardinepier/membership/capacity.py
+++ b/libraries/membership/src/sardinepier/membership/capacity.py
@@ -22,5 +22,5 @@
     link_kbit_per_s: _Figure = 1_000_000
 
 
-USUAL: Final = Capacity()
+DEFAULT: Final = Capacity()
 """Of an instance that says nothing: a whole core, and a link of a gigabit."""
--- a/libraries/membership/src/sardinepier/membership/internal/budget.py
+++ b/libraries/membership/src/sardinepier/membership/internal/budget.py
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        bounds: current_options.InForce,
+        bounds: current_options.CurrentOptions,
         time_source: clock.Clock,
     ) -> None:
         """Start with all of it."""
--- a/libraries/membership/src/sardinepier/membership/internal/catch_up.py
+++ b/libraries/membership/src/sardinepier/membership/internal/catch_up.py
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        bounds: current_options.InForce,
+        bounds: current_options.CurrentOptions,
         time_source: clock.Clock,
     ) -> None:
         """Start before the first exchange."""
--- a/libraries/membership/src/sardinepier/membership/internal/changes.py
+++ b/libraries/membership/src/sardinepier/membership/internal/changes.py
@@ -5,7 +5,7 @@
 from sardinepier.membership.internal import record, table
 
 
-def is_news(change: table.Change) -> bool:
+def is_reportable(change: table.Change) -> bool:
     """Tell whether more than the estimate of the start changed."""
     before = change.before
     return before is None or (
--- a/libraries/membership/src/sardinepier/membership/internal/contacts.py
+++ b/libraries/membership/src/sardinepier/membership/internal/contacts.py
@@ -49,7 +49,7 @@
         if len(self._lost) > self._max_contacts:
             self._lost.pop(next(iter(self._lost)))
 
-    def found(self, address: messages.PeerAddress) -> None:
+    def mark_reachable(self, address: messages.PeerAddress) -> None:
         """Stop to try a lost address: a member lives there."""
         self._lost.pop(address, None)
 
--- a/libraries/membership/src/sardinepier/membership/internal/current_options.py
+++ b/libraries/membership/src/sardinepier/membership/internal/current_options.py
@@ -9,7 +9,7 @@
 SPREAD_S: Final = 10.0
 
 
-class InForce:
+class CurrentOptions:
     """Shared by all parts, which read :attr:`current` whenever they need it.
 
     A part that kept a figure of its own would stay with the old one.
--- a/libraries/membership/src/sardinepier/membership/internal/gossip.py
+++ b/libraries/membership/src/sardinepier/membership/internal/gossip.py
@@ -15,13 +15,13 @@
 from sardinepier.wire import messages
 
 
-class News:
+class Gossip:
     """Turns records of the table into updates for messages."""
 
     def __init__(
         self,
         records: table.Table,
-        bounds: current_options.InForce,
+        bounds: current_options.CurrentOptions,
         time_source: clock.Clock,
     ) -> None:
         """Start with this daemon itself as the only news."""
@@ -32,13 +32,13 @@
         self.rumors = rumors.Rumors(bounds)
         self.introduce()
 
-    def take(self) -> tuple[kinds.MemberUpdate, ...]:
+    def next_updates(self) -> tuple[kinds.MemberUpdate, ...]:
         """Return updates for one message, and count them as sent."""
         wanted = min(self._bounds.current.updates_per_message, len(self.rumors))
         if not wanted:
             return ()
         allowed = self.budget.take_updates(wanted)
-        taken = self.rumors.take(allowed, self._table.live_count)
+        taken = self.rumors.next_names(allowed, self._table.live_count)
         found = (self._table.get(instance_id) for instance_id in taken)
         return self.updates(held for held in found if held)
 
--- a/libraries/membership/src/sardinepier/membership/internal/heartbeat.py
+++ b/libraries/membership/src/sardinepier/membership/internal/heartbeat.py
@@ -44,20 +44,20 @@
         self._random = random_source
         self._bounds = known.bounds
         self._mark_source = mark_source
-        self._doubt = local_health.SelfDoubt()
+        self._doubt = local_health.LocalHealth()
         self._watches = watches.Watches(_CHECKS_PER_TICK)
         self._pending = pending.PendingProbes(_MAX_PENDING)
         self._doubted: dict[ids.InstanceId, kinds.MemberUpdate] = {}
-        self.evidence = recent_answers.Evidence()
+        self.recent_answers = recent_answers.RecentAnswers()
         self._choice = rings.Choice(known.table)
-        self._contact_pace = jittered_interval.Pace(
+        self._contact_pace = jittered_interval.JitteredInterval(
             lambda: self._bounds.current.lost_retry_s,
             time_source,
             random_source,
         )
         self._next_ask_s = time_source.monotonic_s()
 
-    def wake(self) -> None:
+    def resume_after_pause(self) -> None:
         """Start anew after a pause: whatever was missed says nothing."""
         self._doubt.paused()
         self._pending.clear()
@@ -74,7 +74,7 @@
         self._probe_watched()
         self._probe_contacts()
 
-    def ask_again(self) -> None:
+    def probe_again(self) -> None:
         """Probe the watched peers once more within this interval.
 
         Whoever does not answer this is not held to have missed a heartbeat:
@@ -107,15 +107,15 @@
     def on_probe(self, sender: messages.Sender, probe: kinds.Probe) -> None:
         """Answer, with what the prober should know first."""
         meant = probe.target == self._known.table.own.instance_id
-        if not self._known.news.budget.take_ack(to_monitor=meant):
+        if not self._known.gossip.budget.take_ack(to_monitor=meant):
             return
-        first = self._known.news.claims_about(sender.instance_id)
+        first = self._known.gossip.claims_about(sender.instance_id)
         stranger = self._known.table.get(sender.instance_id) is None
         if stranger:
             # A way in, should the seeds be busy with the whole fleet.
             self._known.contacts.remember(sender.address)
         if not meant:
-            first = (*self._known.news.greeting(self._random), *first)
+            first = (*self._known.gossip.greeting(self._random), *first)
         self._network.send(
             sender.address,
             kinds.Ack(
@@ -123,19 +123,19 @@
                 mark=self._mark_source(),
                 digest=self._known.table.digests.total(),
                 stranger=stranger,
-                updates=(*first, *self._known.news.take()),
+                updates=(*first, *self._known.gossip.next_updates()),
             ),
         )
 
     def on_ack(self, sender: messages.Sender, ack: kinds.Ack) -> None:
         """Note who answered which probe."""
         if ack.stranger:
-            self._known.news.introduce()
+            self._known.gossip.introduce()
         probe = self._pending.close(ack.sequence)
         if probe is None or probe.address != sender.address:
             return
         if probe.requester is None:
-            self.evidence.add(sender.instance_id, probe.sent_at_s)
+            self.recent_answers.add(sender.instance_id, probe.sent_at_s)
             self._answered(probe, sender.instance_id)
         else:
             self._network.send(
@@ -152,13 +152,13 @@
         request: kinds.IndirectProbe,
     ) -> None:
         """Probe a member for a peer, within the bound of one interval."""
-        if not self._known.news.budget.take_relay():
+        if not self._known.gossip.budget.take_relay():
             return
         requester = pending.Requester(sender.address, request.sequence)
         self._send_probe(
             request.target,
             request.address,
-            self._known.news.claims_about(request.target),
+            self._known.gossip.claims_about(request.target),
             requester,
         )
 
@@ -183,7 +183,7 @@
             self._watches.answer(probe.target)
             self._doubted.pop(probe.target, None)
         else:
-            self._known.replaced(probe.target, answered_by)
+            self._known.mark_replaced(probe.target, answered_by)
 
     def _weigh(self) -> None:
         findings = self._watches.conclude()
@@ -231,7 +231,7 @@
         return self._send_probe(
             held.instance_id,
             held.identity.peer_address,
-            (*first, *self._known.news.claims_about(held.instance_id)),
+            (*first, *self._known.gossip.claims_about(held.instance_id)),
         )
 
     def _probe_contacts(self) -> None:
@@ -242,7 +242,7 @@
         count = _CONTACTS_WHEN_ALONE if alone else 1
         chosen = self._known.contacts.choose(count, self._known.table.live_at)
         for address in chosen:
-            first = self._known.news.introduction(address)
+            first = self._known.gossip.introduction(address)
             self._send_probe(_UNNAMED, address, first)
 
     def _send_probe(
@@ -269,7 +269,7 @@
                 sequence=sequence,
                 target=target,
                 mark=self._mark_source(),
-                updates=(*first, *self._known.news.take()),
+                updates=(*first, *self._known.gossip.next_updates()),
             ),
         )
         return sequence
--- a/libraries/membership/src/sardinepier/membership/internal/jittered_interval.py
+++ b/libraries/membership/src/sardinepier/membership/internal/jittered_interval.py
@@ -9,7 +9,7 @@
 _SPREAD: Final = (0.5, 1.5)
 
 
-class Pace:
+class JitteredInterval:
     """The deadline of the next round, never further off than the interval.
 
     The interval is asked for at each look, so that a shorter one holds at
--- a/libraries/membership/src/sardinepier/membership/internal/knowledge.py
+++ b/libraries/membership/src/sardinepier/membership/internal/knowledge.py
@@ -28,15 +28,15 @@
         on_event: Callable[[events.MemberEvent], None],
     ) -> None:
         """Know only this daemon itself, which is the first news."""
-        self.bounds = current_options.InForce(bounds, time_source)
+        self.bounds = current_options.CurrentOptions(bounds, time_source)
         self.table = table.Table(own, self.bounds)
-        self.news = gossip.News(self.table, self.bounds, time_source)
+        self.gossip = gossip.Gossip(self.table, self.bounds, time_source)
         self.contacts = addresses
         self._own_id = own.instance_id
         self._clock = time_source
         self._on_event = on_event
 
-    def heard_from(self, sender: messages.Sender) -> bool:
+    def record_contact(self, sender: messages.Sender) -> bool:
         """Tell whether what ``sender`` claims about others is believed.
 
         One that is dead here was cut off until now, and so what it holds of
@@ -50,7 +50,7 @@
             return True
         if self.table.seems_cut_off:
             for dead in self.table.dead:
-                self.news.rumors.drop(dead.instance_id)
+                self.gossip.rumors.drop(dead.instance_id)
             self.table.dead.clear()
         return False
 
@@ -77,7 +77,7 @@
         """Take a member that does not answer for suspect."""
         self._claim(instance_id, kinds.Liveness.SUSPECT)
 
-    def replaced(
+    def mark_replaced(
         self,
         instance_id: ids.InstanceId,
         successor: ids.InstanceId,
@@ -133,7 +133,7 @@
             return False
         dead = claim.with_liveness(kinds.Liveness.DEAD)
         self.table.put(dead, self._clock.monotonic_s())
-        self.news.rumors.add(dead.instance_id)
+        self.gossip.rumors.add(dead.instance_id)
         return True
 
     def _set_own(self, incarnation: int, *, leaving: bool) -> None:
@@ -143,7 +143,7 @@
             leaving=leaving,
         )
         self.table.put(own, self._clock.monotonic_s())
-        self.news.introduce()
+        self.gossip.introduce()
 
     def _merge(self, claim: record.Record, *, spread: bool) -> bool:
         prior = self.table.live_at(claim.identity.peer_address)
@@ -159,7 +159,7 @@
     def _count_repeat(self, claim: record.Record) -> None:
         held = self.table.get(claim.instance_id)
         if held and record.standing(held) == record.standing(claim):
-            self.news.rumors.heard(claim.instance_id)
+            self.gossip.rumors.record_duplicate(claim.instance_id)
 
     def _resolve_address(
         self,
@@ -170,7 +170,7 @@
             (prior, joined),
             key=lambda held: held.started_at_s,
         )
-        self.replaced(older.instance_id, younger.instance_id)
+        self.mark_replaced(older.instance_id, younger.instance_id)
 
     def _claim(
         self,
@@ -195,14 +195,14 @@
         spread: bool = True,
         successor: ids.InstanceId | None = None,
     ) -> None:
-        if not changes.is_news(change):
+        if not changes.is_reportable(change):
             return
         after = change.after
         if after.is_dead:
             self.contacts.remember(after.identity.peer_address)
         else:
-            self.contacts.found(after.identity.peer_address)
+            self.contacts.mark_reachable(after.identity.peer_address)
         if spread or after.is_dead:
-            self.news.rumors.add(after.instance_id)
+            self.gossip.rumors.add(after.instance_id)
         for event in changes.events_of(change, successor):
             self._on_event(event)
--- a/libraries/membership/src/sardinepier/membership/internal/local_health.py
+++ b/libraries/membership/src/sardinepier/membership/internal/local_health.py
@@ -2,10 +2,10 @@
 
 from typing import Final
 
-MAX_DOUBT: Final = 3
+MAX_DEGRADATION: Final = 3
 
 
-class SelfDoubt:
+class LocalHealth:
     """A small number that grows while most peers seem to be away.
 
     When most peers stop answering at once, the likeliest cause is here: a
@@ -20,11 +20,11 @@
 
     def paused(self) -> None:
         """Doubt as much as possible: this process has just woken."""
-        self.level = MAX_DOUBT
+        self.level = MAX_DEGRADATION
 
     def observe(self, answered: int, missed: int) -> None:
         """Weigh the heartbeats of one interval."""
         if missed > answered:
-            self.level = min(self.level + 1, MAX_DOUBT)
+            self.level = min(self.level + 1, MAX_DEGRADATION)
         elif answered:
             self.level = max(self.level - 1, 0)
--- a/libraries/membership/src/sardinepier/membership/internal/member_cache.py
+++ b/libraries/membership/src/sardinepier/membership/internal/member_cache.py
@@ -6,7 +6,7 @@
 _Members = tuple[members.Member, ...]
 
 
-class Shown:
+class MemberCache:
     """Caches what :class:`View` promises over a table."""
 
     def __init__(self, records: table.Table) -> None:
--- a/libraries/membership/src/sardinepier/membership/internal/recent_answers.py
+++ b/libraries/membership/src/sardinepier/membership/internal/recent_answers.py
@@ -8,7 +8,7 @@
 _KEPT: Final = 16
 
 
-class Evidence:
+class RecentAnswers:
     """The last answers to probes.
 
     The time of asking counts: what waited in a buffer while this process was
@@ -21,15 +21,15 @@
             collections.deque(maxlen=_KEPT)
         )
 
-    def add(self, instance_id: ids.InstanceId, asked_at_s: float) -> None:
-        """Note an answer to what was asked at ``asked_at_s``."""
-        self._answers.append((instance_id, asked_at_s))
+    def add(self, instance_id: ids.InstanceId, requested_at_s: float) -> None:
+        """Note an answer to what was asked at ``requested_at_s``."""
+        self._answers.append((instance_id, requested_at_s))
 
     def answered_since(self, moment_s: float) -> int:
         """Return how many peers answered what was asked after that."""
         peers = {
             instance_id
-            for instance_id, asked_at_s in self._answers
-            if asked_at_s > moment_s
+            for instance_id, requested_at_s in self._answers
+            if requested_at_s > moment_s
         }
         return len(peers)
--- a/libraries/membership/src/sardinepier/membership/internal/rumors.py
+++ b/libraries/membership/src/sardinepier/membership/internal/rumors.py
@@ -17,7 +17,7 @@
     Only names are queued, so that what is sent is always the newest record.
     """
 
-    def __init__(self, bounds: current_options.InForce) -> None:
+    def __init__(self, bounds: current_options.CurrentOptions) -> None:
         """Start without news."""
         self._bounds = bounds
         self._sent: dict[ids.InstanceId, int] = {}
@@ -35,7 +35,7 @@
         self._sent.pop(instance_id, None)
         self._sent = {instance_id: 0, **self._sent}
 
-    def heard(self, instance_id: ids.InstanceId) -> None:
+    def record_duplicate(self, instance_id: ids.InstanceId) -> None:
         """Count a peer that sent the same news as one it need not reach.
 
         When a few peers know it already, most do, and to send it on would
@@ -49,7 +49,7 @@
         """Stop spreading a record."""
         self._sent.pop(instance_id, None)
 
-    def take(self, count: int, member_count: int) -> list[ids.InstanceId]:
+    def next_names(self, count: int, member_count: int) -> list[ids.InstanceId]:
         """Return at most ``count`` names for one message.
 
         They return to the end of the queue until each has gone out often
--- a/libraries/membership/src/sardinepier/membership/internal/sync.py
+++ b/libraries/membership/src/sardinepier/membership/internal/sync.py
@@ -46,7 +46,7 @@
         self._catch_up = catch_up.CatchUp(known.bounds, time_source)
         self._wanted: messages.PeerAddress | None = None
         self._mismatches: dict[messages.PeerAddress, int] = {}
-        self._pace = jittered_interval.Pace(
+        self._pace = jittered_interval.JitteredInterval(
             lambda: known.bounds.current.sync_interval_s,
             time_source,
             random_source,
@@ -91,17 +91,17 @@
         offer: kinds.SyncOffer,
     ) -> None:
         """Answer with entries that differ, within the bound of a second."""
-        if self._known.news.budget.entries_left() <= 0:
+        if self._known.gossip.budget.entries_left() <= 0:
             return
         differing = self._known.table.digests.differing(offer.digests)
         chosen = self._choose_buckets(differing)
         entries = [held for bucket in chosen.values() for held in bucket]
-        self._known.news.budget.spend_entries(len(entries))
+        self._known.gossip.budget.spend_entries(len(entries))
         self._network.send(
             sender.address,
             kinds.SyncEntries(
                 tuple(chosen),
-                self._known.news.updates(entries[: kinds.MAX_UPDATES]),
+                self._known.gossip.updates(entries[: kinds.MAX_UPDATES]),
             ),
         )
 
@@ -162,7 +162,7 @@
         # In random order, so that many offers at once get different parts.
         self._random.shuffle(differing)
         chosen: dict[int, list[record.Record]] = {}
-        left = self._known.news.budget.entries_left()
+        left = self._known.gossip.budget.entries_left()
         grouped = self._in_buckets(differing)
         for bucket in differing:
             entries = grouped[bucket]
@@ -190,7 +190,7 @@
         sender: messages.Sender,
         updates: Iterable[kinds.MemberUpdate],
     ) -> bool:
-        believed = self._known.heard_from(sender)
+        believed = self._known.record_contact(sender)
         return self._known.learn(updates, believed=believed, spread=False)
 
     def _lacking(
@@ -208,9 +208,9 @@
             if theirs.get(held.instance_id, (-1, False))
             < (held.incarnation, held.leaving)
         )
-        allowed = self._known.news.budget.entries_left()
-        updates = self._known.news.updates(itertools.islice(lacking, allowed))
-        self._known.news.budget.spend_entries(len(updates))
+        allowed = self._known.gossip.budget.entries_left()
+        updates = self._known.gossip.updates(itertools.islice(lacking, allowed))
+        self._known.gossip.budget.spend_entries(len(updates))
         return updates
 
     def _doubts(
@@ -224,7 +224,7 @@
             and held.is_dead
             and held.incarnation >= update.incarnation
         )
-        return self._known.news.updates(held_dead)
+        return self._known.gossip.updates(held_dead)
 
     def _send_patch(
         self,
--- a/libraries/membership/src/sardinepier/membership/internal/table.py
+++ b/libraries/membership/src/sardinepier/membership/internal/table.py
@@ -23,7 +23,7 @@
 class Entry:
     """A living record with what is kept beside it.
 
-    ``deadline_s`` is until when a suspect may refute. ``shown`` is the
+    ``deadline_s`` is until when a suspect may refute. ``cached_member`` is the
     record as the view shows it, once anybody asked.
     """
 
@@ -31,13 +31,13 @@
     bucket: int
     ring_points: tuple[int, ...]
     deadline_s: float | None = None
-    shown: members.Member | None = None
+    cached_member: members.Member | None = None
 
     def member(self) -> members.Member:
         """Return the record as the view shows it."""
-        if self.shown is None:
-            self.shown = record.to_member(self.record)
-        return self.shown
+        if self.cached_member is None:
+            self.cached_member = record.to_member(self.record)
+        return self.cached_member
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     def __init__(
         self,
         own: record.Record,
-        bounds: current_options.InForce,
+        bounds: current_options.CurrentOptions,
     ) -> None:
         """Start with the daemon's own record alone."""
         self.version = 0
@@ -161,7 +161,7 @@
             if after.liveness is kinds.Liveness.SUSPECT:
                 entry.deadline_s = now_s + self._bounds.suspicion_timeout_s
         entry.record = after
-        entry.shown = None
+        entry.cached_member = None
         self._entries[after.instance_id] = entry
         self._by_address[after.identity.peer_address] = after.instance_id
         self.digests.toggle(entry.bucket, after)
--- a/libraries/membership/src/sardinepier/membership/kinds.py
+++ b/libraries/membership/src/sardinepier/membership/kinds.py
@@ -43,7 +43,7 @@
     liveness: Liveness
     leaving: bool
     age_ms: _Count
-    capacity: capacities.Capacity = capacities.USUAL
+    capacity: capacities.Capacity = capacities.DEFAULT
 
 
 _Buckets = Annotated[
--- a/libraries/membership/src/sardinepier/membership/members.py
+++ b/libraries/membership/src/sardinepier/membership/members.py
@@ -44,7 +44,7 @@
     incarnation: int
     state: MemberState
     started_at_s: float
-    capacity: capacities.Capacity = capacities.USUAL
+    capacity: capacities.Capacity = capacities.DEFAULT
 
 
 def daemon_of(instance_id: ids.InstanceId) -> ids.DaemonId:
--- a/libraries/membership/src/sardinepier/membership/membership.py
+++ b/libraries/membership/src/sardinepier/membership/membership.py
@@ -4,7 +4,7 @@
 
     membership = Membership(
         own, network, clock, random.Random(), MembershipOptions(),
-        store.mark, distributor.heard_mark, timeline.record,
+        store.mark, distributor.receive_mark, timeline.record,
     )
     membership.seed(addresses)
     await membership.run()
@@ -84,7 +84,7 @@
         )
         self._paused_after_s = time_source.monotonic_s() + bounds.pause_gap_s
         self._schedule = schedule.Schedule(random_source)
-        self._shown = member_cache.Shown(self._known.table)
+        self._shown = member_cache.MemberCache(self._known.table)
         self._subscribe(peer_network)
 
     @property
@@ -140,7 +140,7 @@
     def announce_leaving(self) -> None:
         """Tell the peers at once that this instance leaves, for good."""
         self._known.announce_leaving()
-        self._heartbeat.ask_again()
+        self._heartbeat.probe_again()
 
     def confirm_since(self, moment_s: float) -> bool:
         """Tell whether peers answered what was sent after ``moment_s``.
@@ -153,7 +153,7 @@
         if not peer_count and not self._known.contacts:
             return True
         needed = 1 if peer_count <= _FEW_PEERS else 2
-        return self._heartbeat.evidence.answered_since(moment_s) >= needed
+        return self._heartbeat.recent_answers.answered_since(moment_s) >= needed
 
     def refresh(self) -> None:
         """Probe the monitored peers now, without waiting for the tick.
@@ -161,7 +161,7 @@
         May be called as often as one likes: at most four times an interval
         anything is sent.
         """
-        self._heartbeat.ask_again()
+        self._heartbeat.probe_again()
 
     def tick(self) -> None:
         """Do the work of one heartbeat interval."""
@@ -169,7 +169,7 @@
         if now_s > self._paused_after_s:
             # Whoever seems overdue may have answered while this slept.
             suspicions.extend(self._known, self._clock)
-            self._heartbeat.wake()
+            self._heartbeat.resume_after_pause()
         self._paused_after_s = now_s + self._known.bounds.current.pause_gap_s
         self._heartbeat.tick()
         self._sync.tick()
@@ -213,5 +213,5 @@
     sender: messages.Sender,
     updates: tuple[kinds.MemberUpdate, ...],
 ) -> None:
-    believed = known.heard_from(sender)
+    believed = known.record_contact(sender)
     known.learn(updates, believed=believed)
--- a/libraries/zones/src/sardinepier/zones/statements.py
+++ b/libraries/zones/src/sardinepier/zones/statements.py
@@ -88,7 +88,7 @@
         self.at_s = at_s
         self.heard_s = record.statements.received_s if record else at_s
         self.statement = (
-            record.statements.newest if record else statements.SILENT
+            record.statements.newest if record else statements.EMPTY
         )
 
     def differs_from(self, newest: statements.Statement) -> bool:
--- a/libraries/zones/tests/cover/test_zones_limits.py
+++ b/libraries/zones/tests/cover/test_zones_limits.py
@@ -143,4 +143,4 @@
 
 def _time_to_open_s(daemon):
     now_s = daemon.clock.monotonic_s()
-    return record_of(daemon).statements.opens_at_s(now_s) - now_s
+    return record_of(daemon).statements.accepts_from_s(now_s) - now_s
--- a/tests/adapter/test_adapter_settings.py
+++ b/tests/adapter/test_adapter_settings.py
@@ -54,7 +54,7 @@
     assert found.bounds.retry_ratio == 0.3
     assert found.bounds.retry_burst == 64
     assert found.bounds.zones == 3
-    assert found.bounds.least_used_share == 0.6
+    assert found.bounds.min_used_share == 0.6
 
 
 def test_what_is_optional_may_be_absent(tmp_path):
@@ -68,7 +68,7 @@
     assert found.ready is None
     assert found.seeds == ()
     assert found.bounds.retry_burst == 0
-    assert found.bounds.least_used_share == 0.7
+    assert found.bounds.min_used_share == 0.7
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
 
 def test_without_limits_an_instance_is_a_usual_one(tmp_path):
     found = settings_file.entry_settings_of(read(tmp_path, TEXT))
-    assert found.capacity == capacity.USUAL
+    assert found.capacity == capacity.DEFAULT
 
 
 @pytest.mark.parametrize('stated', ['0', '-3', '1e-9'])
