--- a/libraries/workbench/src/sardinepier/workbench/bench/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/bench/command.py
@@ -172,8 +172,8 @@
     ) -> paired.PairedRun:
         return paired.PairedRun(
             session,
-            paired.Way('direct', f'{self._target.url}{path}', headers),
-            paired.Way(
+            paired.RequestPath('direct', f'{self._target.url}{path}', headers),
+            paired.RequestPath(
                 'through',
                 f'{self._daemon.url}/{self._service}{path}',
                 headers,
--- a/libraries/workbench/src/sardinepier/workbench/bench/paired.py
+++ b/libraries/workbench/src/sardinepier/workbench/bench/paired.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Way:
+class RequestPath:
     """Where requests go, and the headers that they need there.
 
     ``headers`` is called for each request, since a key is used only once.
@@ -47,7 +47,7 @@
     body: bytes
 
 
-class WayFigures(msgspec.Struct, frozen=True):
+class PathFigures(msgspec.Struct, frozen=True):
     """What one way took. ``late`` is how far behind its due time a request
     started: high values mean that the generator was the bottleneck.
     """
@@ -62,8 +62,8 @@
     """Both ways at one rate, and what the second adds to the first."""
 
     rate_per_s: float
-    direct: WayFigures
-    through: WayFigures
+    direct: PathFigures
+    through: PathFigures
 
     @property
     def added_p50_ms(self) -> float:
@@ -90,8 +90,8 @@
     failed: int = 0
     not_sent: int = 0
 
-    def figures(self) -> WayFigures:
-        return WayFigures(
+    def figures(self) -> PathFigures:
+        return PathFigures(
             report.measure(self.latencies_ms),
             report.measure(self.late_ms),
             self.failed,
@@ -105,8 +105,8 @@
     def __init__(
         self,
         session: aiohttp.ClientSession,
-        direct: Way,
-        through: Way,
+        direct: RequestPath,
+        through: RequestPath,
         plan: Plan,
         time_source: clock.Clock,
     ) -> None:
@@ -133,7 +133,7 @@
 
     async def _play(
         self,
-        way: Way,
+        way: RequestPath,
         rate_per_s: float,
         slice_s: float,
         samples: _Samples,
@@ -153,7 +153,9 @@
                 in_flight.add(task)
                 task.add_done_callback(in_flight.discard)
 
-    async def _send(self, way: Way, due_s: float, samples: _Samples) -> None:
+    async def _send(
+        self, way: RequestPath, due_s: float, samples: _Samples
+    ) -> None:
         started_at_s = self._clock.monotonic_s()
         samples.late_ms.append((started_at_s - due_s) * _MS_PER_S)
         if not await self._exchange(way):
@@ -162,7 +164,7 @@
         took_s = self._clock.monotonic_s() - started_at_s
         samples.latencies_ms.append(took_s * _MS_PER_S)
 
-    async def _exchange(self, way: Way) -> bool:
+    async def _exchange(self, way: RequestPath) -> bool:
         try:
             async with self._session.post(
                 way.url,
--- a/libraries/workbench/src/sardinepier/workbench/faults/actions.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/actions.py
@@ -12,7 +12,7 @@
 class Action(Protocol):
     """Something that breaks or cures a part of a fleet."""
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         ...
 
@@ -24,19 +24,19 @@
     name: str
     number: signal.Signals
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         running.processes.signal(self.name, self.number)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class Terminate:
     """Send a signal that ends a process, and keep it down."""
 
     name: str
     number: signal.Signals
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         running.processes.hold(self.name)
         running.processes.signal(self.name, self.number)
@@ -48,19 +48,19 @@
 
     name: str
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         running.processes.release(self.name)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Break:
+class SetFault:
     """Put a fault in force in some targets; ``Fault()`` cures them."""
 
     fault: target_faults.Fault
     names: tuple[str, ...]
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         for name in self.names:
             await running.set_fault(name, self.fault)
@@ -72,7 +72,7 @@
 
     name: str
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         running.processes.hold(self.name)
         await running.drain(self.name)
@@ -87,7 +87,7 @@
     direction: links.Direction = links.Direction.BOTH
     source: str = ''
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         source_ip = ''
         if self.source:
@@ -108,7 +108,7 @@
 
     mode: str
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         await running.set_platform(self.mode)
 
@@ -119,7 +119,7 @@
 
     queue_length: int
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         running.publish_queue_length(self.queue_length)
 
@@ -130,18 +130,18 @@
 
     wait_s: float
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         await asyncio.sleep(self.wait_s)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Together:
+class ActionSequence:
     """Take several actions, one straight after another."""
 
     actions: tuple[Action, ...]
 
-    async def act(self, running: fleet.Fleet) -> None:
+    async def execute(self, running: fleet.Fleet) -> None:
         """Do it now."""
         for action in self.actions:
-            await action.act(running)
+            await action.execute(running)
--- a/libraries/workbench/src/sardinepier/workbench/faults/cases.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/cases.py
@@ -22,7 +22,7 @@
     end_at_s: float = 8.0
 
 
-USUAL: Final = Schedule()
+DEFAULT_SCHEDULE: Final = Schedule()
 DEPOSIT: Final = options.RouteChoice('POST', '/deposits')
 
 
@@ -49,7 +49,7 @@
     name: str
     inject: actions.Action
     heal: actions.Action | None = None
-    schedule: Schedule = USUAL
+    schedule: Schedule = DEFAULT_SCHEDULE
     rate_per_s: float = 60.0
     attempt_timeout_s: float = 5.0
     cut_allowed: bool = True
--- a/libraries/workbench/src/sardinepier/workbench/faults/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/command.py
@@ -92,7 +92,7 @@
     async with aiohttp.ClientSession() as session:
         running = fleet.Fleet(processes.Processes(directory), session)
         case_driver = driver.CaseDriver(case, running, clock.SystemClock())
-        return await case_driver.play()
+        return await case_driver.run_case()
 
 
 def _find(name: str) -> cases.FaultCase:
--- a/libraries/workbench/src/sardinepier/workbench/faults/driver.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/driver.py
@@ -7,7 +7,7 @@
 from sardinepier.core import clock
 from sardinepier.standins import target_executions
 from sardinepier.workbench.faults import cases, fleet, observations, verdicts
-from sardinepier.workbench.traffic import generator, options, witness
+from sardinepier.workbench.traffic import generator, options, verification
 
 _POLL_S: Final = 0.2
 _SETTLE_S: Final = 1.0
@@ -30,7 +30,7 @@
         self._clock = time_source
         self._seen = observations.Observations(time_source.monotonic_s())
 
-    async def play(self) -> verdicts.CaseRow:
+    async def run_case(self) -> verdicts.CaseRow:
         """Run the case and return its row."""
         processes = self._fleet.processes
         first_pids = {name: processes.pid(name) for name in self._case.restarts}
@@ -53,8 +53,8 @@
             if processes.pid(name) in {None, first_pid}
         )
         files = processes.execution_files()
-        self._seen.executions = witness.read_files(files)
-        return verdicts.judge(self._case, self._seen)
+        self._seen.executions = verification.read_files(files)
+        return verdicts.evaluate(self._case, self._seen)
 
     async def _send_traffic(self) -> None:
         load = self._generator(
@@ -62,7 +62,7 @@
             self._case.schedule.end_at_s,
             poison='',
         )
-        self._seen.run = await load.play()
+        self._seen.run = await load.send_all()
 
     async def _send_poison(self) -> None:
         if not self._case.poison:
@@ -73,15 +73,15 @@
             _POISON_FOR_S,
             self._case.poison,
         )
-        self._seen.poisoned = await load.play()
+        self._seen.poisoned = await load.send_all()
 
     async def _break_and_heal(self) -> None:
         await self._wait_until(self._case.schedule.inject_at_s)
         self._seen.injected_at_s = self._clock.monotonic_s()
-        await self._case.inject.act(self._fleet)
+        await self._case.inject.execute(self._fleet)
         if self._case.heal is not None:
             await self._wait_until(self._case.schedule.heal_at_s)
-            await self._case.heal.act(self._fleet)
+            await self._case.heal.execute(self._fleet)
 
     async def _watch(self) -> None:
         while True:
--- a/libraries/workbench/src/sardinepier/workbench/faults/observations.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/observations.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from sardinepier.workbench.traffic import generator, witness
+from sardinepier.workbench.traffic import generator, verification
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,8 +33,8 @@
     poisoned: generator.TrafficRun = dataclasses.field(
         default_factory=generator.TrafficRun,
     )
-    executions: witness.Executions = dataclasses.field(
-        default_factory=lambda: witness.Executions({}, {}),
+    executions: verification.Executions = dataclasses.field(
+        default_factory=lambda: verification.Executions({}, {}),
     )
     cut_connections: int = 0
     not_restarted: tuple[str, ...] = ()
--- a/libraries/workbench/src/sardinepier/workbench/faults/table.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/table.py
@@ -33,8 +33,8 @@
 _IMPATIENT_S: Final = 2.0
 _IN_FORCE_S: Final = 2.0
 
-_SOUND: Final = actions.Break(target_faults.Fault(), (_TARGET,))
-_SLOW: Final = actions.Break(
+_SOUND: Final = actions.SetFault(target_faults.Fault(), (_TARGET,))
+_SLOW: Final = actions.SetFault(
     target_faults.Fault(slow_factor=_MUCH_SLOWER),
     (_TARGET,),
 )
@@ -48,7 +48,7 @@
 
 
 def _break(name: str, fault: target_faults.Fault) -> cases.FaultCase:
-    broken = actions.Break(fault, (_TARGET,))
+    broken = actions.SetFault(fault, (_TARGET,))
     return cases.FaultCase(name, broken, _SOUND)
 
 
@@ -58,7 +58,7 @@
     fault = target_faults.Fault(drop_percent=_HALF, drop_moment=moment)
     return cases.FaultCase(
         f'target drops {moment.value}',
-        actions.Break(fault, (_TARGET,)),
+        actions.SetFault(fault, (_TARGET,)),
         _SOUND,
         keyed_route=options.RouteChoice('PUT', '/records/7'),
     )
@@ -67,7 +67,7 @@
 def _publish_while(mode: str) -> cases.FaultCase:
     return cases.FaultCase(
         f'platform {mode} during a change',
-        actions.Together(
+        actions.ActionSequence(
             (
                 actions.SetPlatform(mode),
                 actions.Publish(_NEW_QUEUE_LENGTH),
@@ -81,7 +81,7 @@
 
 
 CASES: Final = (
-    cases.FaultCase('home killed', actions.End(_HOME, signal.SIGKILL)),
+    cases.FaultCase('home killed', actions.Terminate(_HOME, signal.SIGKILL)),
     cases.FaultCase(
         'home replaced under its address',
         actions.Signal(_HOME, signal.SIGKILL),
@@ -127,7 +127,7 @@
     ),
     cases.FaultCase(
         'target killed',
-        actions.End(_TARGET, signal.SIGKILL),
+        actions.Terminate(_TARGET, signal.SIGKILL),
         actions.Release(_TARGET),
         restarts=(_TARGET,),
     ),
@@ -153,7 +153,7 @@
     ),
     cases.FaultCase(
         'target ended by signal',
-        actions.End(_TARGET, signal.SIGTERM),
+        actions.Terminate(_TARGET, signal.SIGTERM),
         schedule=_GRACEFUL,
         cut_allowed=False,
         check=checks.leaving_stops,
@@ -162,14 +162,14 @@
         'daemon ended by signal',
         # Targets that take a while leave work in flight at each moment, or
         # an exit that cuts it would go unnoticed.
-        actions.Together(
+        actions.ActionSequence(
             (
-                actions.Break(
+                actions.SetFault(
                     target_faults.Fault(slow_factor=_SLOWER),
                     _TARGETS,
                 ),
                 actions.Wait(1),
-                actions.End(_HOME, signal.SIGTERM),
+                actions.Terminate(_HOME, signal.SIGTERM),
             )
         ),
         schedule=_GRACEFUL,
@@ -183,7 +183,7 @@
         'platform stale, daemon replaced',
         # The fleet has the newer file before the platform turns stale, and
         # a daemon starts that knows nothing.
-        actions.Together(
+        actions.ActionSequence(
             (
                 actions.Publish(_NEW_QUEUE_LENGTH),
                 actions.Wait(_IN_FORCE_S),
@@ -198,36 +198,38 @@
     ),
     cases.FaultCase(
         'poison crashes targets',
-        actions.Break(target_faults.Fault(poison=_POISON), _TARGETS),
+        actions.SetFault(target_faults.Fault(poison=_POISON), _TARGETS),
         poison=_POISON,
         check=checks.poison_stops,
     ),
     cases.FaultCase(
         'zone lost and back',
-        actions.Together(
-            tuple(actions.End(name, signal.SIGKILL) for name in _ZONE),
+        actions.ActionSequence(
+            tuple(actions.Terminate(name, signal.SIGKILL) for name in _ZONE),
         ),
-        actions.Together(tuple(actions.Release(name) for name in _ZONE)),
+        actions.ActionSequence(tuple(actions.Release(name) for name in _ZONE)),
         restarts=_ZONE,
     ),
     cases.FaultCase(
         'all daemons restarted together',
-        actions.Together(
+        actions.ActionSequence(
             tuple(actions.Signal(name, signal.SIGKILL) for name in _DAEMONS),
         ),
         restarts=_DAEMONS,
     ),
     cases.FaultCase(
         'home killed, target slow',
-        actions.Together((actions.End(_HOME, signal.SIGKILL), _SLOW)),
+        actions.ActionSequence(
+            (actions.Terminate(_HOME, signal.SIGKILL), _SLOW)
+        ),
         _SOUND,
     ),
     cases.FaultCase(
         'one-way cut, daemon ended by signal',
-        actions.Together(
+        actions.ActionSequence(
             (
                 _ONE_WAY,
-                actions.End(_LEAVING, signal.SIGTERM),
+                actions.Terminate(_LEAVING, signal.SIGTERM),
             )
         ),
         _HEALED,
--- a/libraries/workbench/src/sardinepier/workbench/faults/verdicts.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/verdicts.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from sardinepier.workbench.faults import cases, observations, promises
-from sardinepier.workbench.traffic import records, report, witness
+from sardinepier.workbench.traffic import records, report, verification
 
 _SLOW_MS: Final = 1000.0
 _HUNDRED: Final = 100.0
@@ -32,13 +32,13 @@
     broken: tuple[promises.BrokenPromise, ...]
 
 
-def judge(
+def evaluate(
     case: cases.FaultCase,
     seen: observations.Observations,
 ) -> CaseRow:
     """Return the row of ``case``."""
     requests = seen.run.requests + seen.poisoned.requests
-    verdict = witness.compare(requests, seen.executions)
+    verdict = verification.compare(requests, seen.executions)
     summary = report.summarise(seen.run, verdict)
     return CaseRow(
         name=case.name,
@@ -72,7 +72,7 @@
 def _broken_counts(
     case: cases.FaultCase,
     summary: report.TrafficReport,
-    verdict: witness.Verdict,
+    verdict: verification.Verdict,
 ) -> Iterator[promises.BrokenPromise]:
     attempts = summary.attempts_by_kind
     wrong = attempts.get(records.Kind.WRONG_ANSWER.value, 0)
--- a/libraries/workbench/src/sardinepier/workbench/policy/client.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/client.py
@@ -12,7 +12,7 @@
 from sardinepier.gateway import errors
 from sardinepier.gateway import headers as gateway_headers
 from sardinepier.membership import members
-from sardinepier.workbench.policy import asked, scenario, targets
+from sardinepier.workbench.policy import scenario, statement_compliance, targets
 
 WORK_HEADER: Final = 'X-Emulated-Work'
 """Carries the seconds that the request takes, drawn by its caller, so that
@@ -56,7 +56,7 @@
         setup: scenario.Scenario,
         own: members.Member,
         found: Sequence[targets.Target],
-        watch: asked.Asked,
+        watch: statement_compliance.StatementCompliance,
     ) -> None:
         """Reach the targets that were ``found``; ``watch`` sees all of it."""
         self._setup = setup
@@ -87,7 +87,7 @@
         await asyncio.sleep(delay_s)
         loop = asyncio.get_running_loop()
         target_id = target.listed.target_id
-        self._watch.arrived(target_id, self._source, loop.time())
+        self._watch.record_arrival(target_id, self._source, loop.time())
         work_s = float(dict(headers)[WORK_HEADER])
         try:
             reply = await target.serve(work_s)
@@ -111,13 +111,15 @@
         target_id = target.listed.target_id
         source = self._source
         if target.limit_per_s is None:
-            self._watch.unlimited(target_id)
+            self._watch.clear_limit(target_id)
         else:
-            self._watch.limited(target_id, source, now_s, target.limit_per_s)
+            self._watch.record_limit(
+                target_id, source, now_s, target.limit_per_s
+            )
         if target.is_leaving:
-            self._watch.left(target_id, source, now_s)
+            self._watch.record_leaving(target_id, source, now_s)
         if reply.rest_s:
-            self._watch.rests(target_id, source, now_s, reply.rest_s)
+            self._watch.record_backoff(target_id, source, now_s, reply.rest_s)
 
 
 def _headers(
--- a/libraries/workbench/src/sardinepier/workbench/policy/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/command.py
@@ -7,7 +7,13 @@
 from typing import Final
 
 from sardinepier.telemetry import logs
-from sardinepier.workbench.policy import floor, overrides, play, scenario, tally
+from sardinepier.workbench.policy import (
+    emulation,
+    floor,
+    overrides,
+    scenario,
+    tally,
+)
 
 TEXT_OPTIONS: Final = ('scenario_name', 'variant')
 _SIGMAS: Final = 1.96
@@ -33,11 +39,13 @@
     changed = [one for one in variant.split(',') if one]
     for name in names:
         setup = scenario.load(name)
-        plain = [play.play(setup, seed) for seed in range(seeds)]
+        plain = [emulation.emulate(setup, seed) for seed in range(seeds)]
         sys.stdout.write(f'{name}: {_summary(plain)}\n')
         if changed:
             with overrides.applied(changed):
-                other = [play.play(setup, seed) for seed in range(seeds)]
+                other = [
+                    emulation.emulate(setup, seed) for seed in range(seeds)
+                ]
             sys.stdout.write(f'{name}, changed: {_summary(other)}\n')
             sys.stdout.write(f'{name}: {_difference(plain, other)}\n')
         sys.stdout.flush()
@@ -46,7 +54,7 @@
 def _summary(played: Sequence[tally.Tally]) -> str:
     total = tally.Count()
     for counts in played:
-        total.asked += counts.total.asked
+        total.requests += counts.total.requests
         total.served += counts.total.served
         total.refused += counts.total.refused
     worth = statistics.fmean(each.worth() for each in played)
@@ -56,9 +64,9 @@
     }
     classes = ' '.join(f'{name} {share:.3f}' for name, share in shares.items())
     return (
-        f'worth {worth:.3f}, served {total.served / total.asked:.4f}, '
-        f'refused {total.refused / total.asked:.4f}, '
-        f'failed {total.failed / total.asked:.4f}; {classes}; '
+        f'worth {worth:.3f}, served {total.served / total.requests:.4f}, '
+        f'refused {total.refused / total.requests:.4f}, '
+        f'failed {total.failed / total.requests:.4f}; {classes}; '
         f'{floor.summary([each.floor for each in played])}'
     )
 
--- a/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
@@ -4,16 +4,16 @@
 import ipaddress
 import random
 from collections.abc import Sequence
-from typing import Any, Final, cast
+from typing import Any, cast, Final
 
 from sardinepier.core import ids
 from sardinepier.entry import (
     answers,
+    buffer_budget,
     context,
     decision_log,
-    header_names,
     forwarding,
-    buffer_budget,
+    header_names,
     model,
     service_registry,
 )
@@ -25,9 +25,9 @@
 from sardinepier.once import quarantine
 from sardinepier.wire import memory_network, messages
 from sardinepier.workbench.policy import (
-    asked,
     client,
     scenario,
+    statement_compliance,
     targets,
     virtual_loop,
 )
@@ -77,7 +77,7 @@
         hub: memory_network.MemoryHub,
         found: Sequence[targets.Target],
         random_source: random.Random,
-        watch: asked.Asked,
+        watch: statement_compliance.StatementCompliance,
     ) -> None:
         """Know all targets, and nothing of what they are like."""
         clock = virtual_loop.VirtualClock(asyncio.get_running_loop())
--- a/libraries/workbench/src/sardinepier/workbench/policy/play.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/emulation.py
@@ -8,7 +8,7 @@
 
 from sardinepier.core import errors as core_errors
 from sardinepier.core import ids
-from sardinepier.entry import model, refusals, caller_request
+from sardinepier.entry import caller_request, model, refusals
 from sardinepier.wire import memory_network
 from sardinepier.workbench.policy import (
     client,
@@ -33,20 +33,20 @@
 
 _FINGERPRINTS: Final = 1e12
 
-_Harms = Mapping[scenario.Trouble, tuple[str, float | bool | None]]
+_Harms = Mapping[scenario.DisturbanceKind, tuple[str, float | bool | None]]
 
 _HARMS: Final[_Harms] = {
-    scenario.Trouble.SHED: ('sheds', 0.0),
-    scenario.Trouble.SLOW: ('slowness', 1.0),
-    scenario.Trouble.CRASH: ('is_gone', False),
-    scenario.Trouble.LIMIT: ('limit_per_s', None),
-    scenario.Trouble.LEAVE: ('is_leaving', False),
-    scenario.Trouble.REST: ('rest_s', 0.0),
+    scenario.DisturbanceKind.SHED: ('sheds', 0.0),
+    scenario.DisturbanceKind.SLOW: ('slowness', 1.0),
+    scenario.DisturbanceKind.CRASH: ('is_gone', False),
+    scenario.DisturbanceKind.LIMIT: ('limit_per_s', None),
+    scenario.DisturbanceKind.LEAVE: ('is_leaving', False),
+    scenario.DisturbanceKind.REST: ('rest_s', 0.0),
 }
 """What each trouble sets of a target, and what that is without it."""
 
 
-class Play:
+class Emulation:
     """One run of a scenario; arrivals and work are the same for a seed."""
 
     def __init__(self, setup: scenario.Scenario, seed: int) -> None:
@@ -97,7 +97,7 @@
     async def _watch_floor(self) -> None:
         while True:
             if not self._is_down:
-                self.counts.floor.look(self._targets, self._loop.time())
+                self.counts.floor.sample(self._targets, self._loop.time())
             await asyncio.sleep(floor.INTERVAL_S)
 
     def _start_daemons(self) -> None:
@@ -112,7 +112,7 @@
                     self._hub,
                     self._targets,
                     random.Random(hash((self._seed, number))),
-                    self.counts.asked,
+                    self.counts.compliance,
                 ),
             )
 
@@ -169,11 +169,11 @@
 
     async def _disturb(self, one: scenario.Disturbance) -> None:
         await asyncio.sleep(one.at_s)
-        if one.kind is scenario.Trouble.RESTART:
+        if one.kind is scenario.DisturbanceKind.RESTART:
             self._stop_daemons()
             await asyncio.sleep(one.for_s)
             self._start_daemons()
-        elif one.kind is scenario.Trouble.BURST:
+        elif one.kind is scenario.DisturbanceKind.BURST:
             self._eagerness = one.strength
             await asyncio.sleep(one.for_s)
             self._eagerness = 1.0
@@ -214,7 +214,7 @@
 
 def _set(
     target: targets.Target,
-    kind: scenario.Trouble,
+    kind: scenario.DisturbanceKind,
     strength: float | None,
 ) -> None:
     """Harm a target by ``strength``, or with None end the harm."""
@@ -261,10 +261,10 @@
     )
 
 
-def play(setup: scenario.Scenario, seed: int) -> tally.Tally:
+def emulate(setup: scenario.Scenario, seed: int) -> tally.Tally:
     """Play a scenario in virtual time and return what callers got."""
-    return virtual_loop.run(_play(setup, seed))
+    return virtual_loop.run(_emulate(setup, seed))
 
 
-async def _play(setup: scenario.Scenario, seed: int) -> tally.Tally:
-    return await Play(setup, seed).run()
+async def _emulate(setup: scenario.Scenario, seed: int) -> tally.Tally:
+    return await Emulation(setup, seed).run()
--- a/libraries/workbench/src/sardinepier/workbench/policy/floor.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/floor.py
@@ -26,7 +26,7 @@
         """Start without any look."""
         self._shares: list[float] = []
 
-    def look(self, found: Iterable[targets.Target], now_s: float) -> None:
+    def sample(self, found: Iterable[targets.Target], now_s: float) -> None:
         """Take in how it is now; the first seconds say nothing yet."""
         if now_s < _WINDOW_S:
             return
@@ -35,14 +35,14 @@
             if _is_sound(target, now_s):
                 by_service.setdefault(target.listed.service, []).append(target)
         for sound in by_service.values():
-            used = sum(one.asked_s > now_s - _WINDOW_S for one in sound)
+            used = sum(one.last_request_s > now_s - _WINDOW_S for one in sound)
             self._shares.append(used / len(sound))
 
-    def least(self) -> float:
+    def min_share(self) -> float:
         """Return the least share that was in use, 1.0 without any look."""
         return min(self._shares, default=1.0)
 
-    def broken(self) -> float:
+    def violation_share(self) -> float:
         """Return the share of looks at which too few were in use."""
         low = [share < _LEAST_USED_SHARE for share in self._shares]
         return statistics.fmean(low) if low else 0.0
@@ -50,8 +50,8 @@
 
 def summary(floors: Sequence[Floor]) -> str:
     """Return what several runs had in use, in words."""
-    least = min(floor.least() for floor in floors)
-    broken = statistics.fmean(floor.broken() for floor in floors)
+    least = min(floor.min_share() for floor in floors)
+    broken = statistics.fmean(floor.violation_share() for floor in floors)
     return (
         f'sound in use {least:.2f} at least, too few {broken:.4f} of the time'
     )
@@ -59,4 +59,4 @@
 
 def _is_sound(target: targets.Target, now_s: float) -> bool:
     is_disturbed = target.is_gone or target.sheds > 0 or target.slowness > 1
-    return not is_disturbed and target.failed_s <= now_s - _WINDOW_S
+    return not is_disturbed and target.last_failure_s <= now_s - _WINDOW_S
--- a/libraries/workbench/src/sardinepier/workbench/policy/scenario.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/scenario.py
@@ -84,7 +84,7 @@
     max_attempts: int = 2
 
 
-class Trouble(enum.Enum):
+class DisturbanceKind(enum.Enum):
     """What may happen for a while."""
 
     SHED = 'shed'
@@ -115,7 +115,7 @@
 class Disturbance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One trouble from ``at_s`` on, for ``for_s`` seconds."""
 
-    kind: Trouble
+    kind: DisturbanceKind
     at_s: float
     for_s: float
     service: str = ''
--- a/libraries/workbench/src/sardinepier/workbench/policy/asked.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/statement_compliance.py
@@ -42,19 +42,19 @@
     came: int = 0
 
 
-class Asked:
+class StatementCompliance:
     """Counts the requests of all daemons at all targets."""
 
     def __init__(self) -> None:
         """Start without any."""
-        self.after_leaving = 0
+        self.arrivals_after_leaving = 0
         self._limits: dict[ids.TargetId, _Limit] = {}
         self._left_s: dict[tuple[ids.TargetId, str], float] = {}
         self._rests: dict[tuple[ids.TargetId, str], list[_Rest]] = (
             collections.defaultdict(list)
         )
 
-    def arrived(
+    def record_arrival(
         self, target_id: ids.TargetId, source: str, at_s: float
     ) -> None:
         """Count a request of the daemon ``source``."""
@@ -62,11 +62,11 @@
         if limit and limit.told_s.get(source, at_s) <= at_s - _TOLD_S:
             limit.counted_s.append(at_s)
         left_s = self._left_s.get((target_id, source), at_s)
-        self.after_leaving += at_s - left_s > _LEAVING_BOUND_S
+        self.arrivals_after_leaving += at_s - left_s > _LEAVING_BOUND_S
         for rest in self._rests[target_id, source]:
             rest.came += rest.from_s <= at_s < rest.until_s
 
-    def limited(
+    def record_limit(
         self,
         target_id: ids.TargetId,
         source: str,
@@ -77,15 +77,17 @@
         limit = self._limits.setdefault(target_id, _Limit(per_s, at_s))
         limit.told_s.setdefault(source, at_s)
 
-    def unlimited(self, target_id: ids.TargetId) -> None:
+    def clear_limit(self, target_id: ids.TargetId) -> None:
         """Note that the target names no limit any more."""
         self._limits.pop(target_id, None)
 
-    def left(self, target_id: ids.TargetId, source: str, at_s: float) -> None:
+    def record_leaving(
+        self, target_id: ids.TargetId, source: str, at_s: float
+    ) -> None:
         """Note that ``source`` was told that the target leaves."""
         self._left_s.setdefault((target_id, source), at_s)
 
-    def rests(
+    def record_backoff(
         self,
         target_id: ids.TargetId,
         source: str,
@@ -97,11 +99,11 @@
             _Rest(at_s + _TOLD_S, at_s + rest_s),
         )
 
-    def most_over_limit(self) -> float:
+    def max_limit_use(self) -> float:
         """Return the most that came in a window, 1.0 for all that is allowed."""
         return max(map(_most_over, self._limits.values()), default=0.0)
 
-    def used_of_limits(self, until_s: float) -> float:
+    def limit_utilization(self, until_s: float) -> float:
         """Return what came of all that the limits took until the end."""
         took = 0.0
         came = 0.0
@@ -110,7 +112,7 @@
             came += bisect.bisect(_settled(limit), until_s)
         return came / took if took else 0.0
 
-    def most_while_resting(self) -> int:
+    def max_arrivals_in_backoff(self) -> int:
         """Return the most requests that came from one daemon in one rest."""
         came = [rest.came for told in self._rests.values() for rest in told]
         return max(came, default=0)
--- a/libraries/workbench/src/sardinepier/workbench/policy/tally.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/tally.py
@@ -5,7 +5,7 @@
 import math
 from typing import Final
 
-from sardinepier.workbench.policy import asked, floor
+from sardinepier.workbench.policy import floor, statement_compliance
 
 _WINDOW_S: Final = 2.0
 _BEST_NINES: Final = 0.005
@@ -32,7 +32,7 @@
 class Count:
     """Requests, what they were owed, earned and cost."""
 
-    asked: int = 0
+    requests: int = 0
     served: int = 0
     refused: int = 0
     owed: float = 0.0
@@ -41,7 +41,7 @@
 
     def add(self, one: Earned) -> None:
         """Count one request."""
-        self.asked += 1
+        self.requests += 1
         self.served += one.credit > 0
         self.refused += one.is_refused
         self.owed += one.owed
@@ -56,7 +56,7 @@
     @property
     def failed(self) -> int:
         """Requests that were neither served nor refused."""
-        return self.asked - self.served - self.refused
+        return self.requests - self.served - self.refused
 
 
 class Tally:
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         """Start without any."""
         self.floor = floor.Floor()
-        self.asked = asked.Asked()
+        self.compliance = statement_compliance.StatementCompliance()
         self.total = Count()
         self.by_class: dict[str, Count] = collections.defaultdict(Count)
         self.by_window: dict[int, Count] = collections.defaultdict(Count)
@@ -94,7 +94,7 @@
         )
 
     def _nines(self) -> float:
-        unserved = 1 - self.total.served / self.total.asked
+        unserved = 1 - self.total.served / self.total.requests
         if unserved <= _BEST_NINES:
             return 1.0
         return math.log(unserved) / math.log(_BEST_NINES)
--- a/libraries/workbench/src/sardinepier/workbench/policy/targets.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/targets.py
@@ -45,7 +45,7 @@
     ``slowness`` by how much longer it works, and ``is_gone`` that it is down.
     ``limit_per_s`` is the limit that it names, ``is_leaving`` says that it tells so,
     and ``rest_s`` that it refuses all and asks for rest.
-    ``asked_s`` is when it last got a request, and ``failed_s`` when it last
+    ``last_request_s`` is when it last got a request, and ``last_failure_s`` when it last
     failed one by itself.
     """
 
@@ -63,8 +63,8 @@
         self.limit_per_s: float | None = None
         self.is_leaving = False
         self.rest_s = 0.0
-        self.asked_s = -math.inf
-        self.failed_s = -math.inf
+        self.last_request_s = -math.inf
+        self.last_failure_s = -math.inf
         self._service = service
         self._random = random_source
         self._running = 0
@@ -76,7 +76,7 @@
 
     async def serve(self, work_s: float) -> Reply:
         """Work on one request; raise ``ResetError`` when it is lost."""
-        self.asked_s = asyncio.get_running_loop().time()
+        self.last_request_s = asyncio.get_running_loop().time()
         if self.is_gone:
             raise ResetError('gone')
         if self.rest_s:
@@ -98,7 +98,7 @@
         return self._reply(_FAILED if is_error else _OK, has_run=True)
 
     async def _fail(self, work_s: float) -> Reply:
-        self.failed_s = asyncio.get_running_loop().time()
+        self.last_failure_s = asyncio.get_running_loop().time()
         manner = self._service.noise.manner
         if manner is scenario.Manner.RESET:
             raise ResetError('failing')
--- a/libraries/workbench/src/sardinepier/workbench/traffic/caller.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/caller.py
@@ -152,4 +152,4 @@
         return not attempt.retry_allowed
     if attempt.kind is records.Kind.NOT_CONNECTED:
         return False
-    return attempt.kind not in records.UNSURE
+    return attempt.kind not in records.UNCERTAIN_KINDS
--- a/libraries/workbench/src/sardinepier/workbench/traffic/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/command.py
@@ -13,7 +13,7 @@
     options,
     records,
     report,
-    witness,
+    verification,
 )
 
 BROKEN_CODE: Final = 1
@@ -59,7 +59,7 @@
     """
     traffic = _read_options(daemons, service, idempotent, keyed, figures)
     load = generator.Generator(traffic, clock.SystemClock())
-    finished = asyncio.run(load.play())
+    finished = asyncio.run(load.send_all())
     verdict = _compare(finished, targets, executions)
     summary = report.summarise(finished, verdict)
     text = (
@@ -109,15 +109,17 @@
     finished: generator.TrafficRun,
     targets: str,
     executions: str,
-) -> witness.Verdict | None:
+) -> verification.Verdict | None:
     if executions:
-        counts = witness.read_files(map(pathlib.Path, executions.split(',')))
+        counts = verification.read_files(
+            map(pathlib.Path, executions.split(','))
+        )
     elif targets:
         endpoints = options.parse_endpoints(targets)
-        counts = asyncio.run(witness.ask_targets(endpoints))
+        counts = asyncio.run(verification.ask_targets(endpoints))
     else:
         return None
-    return witness.compare(finished.requests, counts)
+    return verification.compare(finished.requests, counts)
 
 
 def _check_completed(
--- a/libraries/workbench/src/sardinepier/workbench/traffic/generator.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/generator.py
@@ -27,7 +27,7 @@
 class Generator:
     """One run of requests from several callers.
 
-    ``run`` may be read while ``play`` goes on, to see what became of the
+    ``run`` may be read while ``send_all`` goes on, to see what became of the
     requests answered so far.
     """
 
@@ -50,7 +50,7 @@
         """Start no further requests."""
         self._stopped = True
 
-    async def play(self) -> TrafficRun:
+    async def send_all(self) -> TrafficRun:
         """Send all requests and return once each has come out."""
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=4)
         timeout = aiohttp.ClientTimeout(total=self._options.attempt_timeout_s)
--- a/libraries/workbench/src/sardinepier/workbench/traffic/records.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/records.py
@@ -32,7 +32,7 @@
     """The answer said nothing about the outcome, which no daemon may do."""
 
 
-UNSURE = frozenset(
+UNCERTAIN_KINDS = frozenset(
     (
         Kind.UNKNOWN,
         Kind.CUT,
--- a/libraries/workbench/src/sardinepier/workbench/traffic/report.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/report.py
@@ -7,7 +7,7 @@
 import msgspec
 from hdrh import histogram
 
-from sardinepier.workbench.traffic import generator, records, witness
+from sardinepier.workbench.traffic import generator, records, verification
 
 _US_PER_MS: Final = 1000
 _LONGEST_US: Final = 600_000_000
@@ -42,12 +42,12 @@
     problems: dict[str, int]
     first_attempt: Latency
     completed: Latency
-    verdict: witness.Verdict | None
+    verdict: verification.Verdict | None
 
 
 def summarise(
     run: generator.TrafficRun,
-    verdict: witness.Verdict | None,
+    verdict: verification.Verdict | None,
 ) -> TrafficReport:
     """Count ``run``; ``verdict`` is None when no target was asked."""
     attempts = [item for record in run.requests for item in record.attempts]
@@ -115,7 +115,7 @@
     return '\n'.join([*lines, *_render_verdict(report.verdict)])
 
 
-def _render_verdict(verdict: witness.Verdict | None) -> Sequence[str]:
+def _render_verdict(verdict: verification.Verdict | None) -> Sequence[str]:
     if verdict is None:
         return ('targets asked         none',)
     return (
--- a/libraries/workbench/tests/cover/test_bench.py
+++ b/libraries/workbench/tests/cover/test_bench.py
@@ -15,7 +15,7 @@
 
 def figures(rate_per_s, added_ms, failed=0):
     def way(latency_ms, bad):
-        return paired.WayFigures(
+        return paired.PathFigures(
             report.measure(latency_ms for _ in range(100)),
             report.measure([0.0]),
             bad,
@@ -72,8 +72,8 @@
     async with aiohttp.ClientSession() as session:
         run = paired.PairedRun(
             session,
-            paired.Way('direct', f'http://127.0.0.1:{port}/x', dict),
-            paired.Way('through', 'http://127.0.0.1:1/x', dict),
+            paired.RequestPath('direct', f'http://127.0.0.1:{port}/x', dict),
+            paired.RequestPath('through', 'http://127.0.0.1:1/x', dict),
             paired.Plan(pairs=2, slice_s=0.1, body=b'x'),
             clock.SystemClock(),
         )
--- a/libraries/workbench/tests/cover/test_faults_verdicts.py
+++ b/libraries/workbench/tests/cover/test_faults_verdicts.py
@@ -12,7 +12,7 @@
     table,
     verdicts,
 )
-from sardinepier.workbench.traffic import generator, records, witness
+from sardinepier.workbench.traffic import generator, records, verification
 
 Kind = records.Kind
 Promise = promises.Promise
@@ -35,14 +35,14 @@
     return observations.Observations(
         started_at_s=0.0,
         run=generator.TrafficRun([request(kind)]),
-        executions=witness.Executions(ran, tags),
+        executions=verification.Executions(ran, tags),
         **fields,
     )
 
 
 def judge(observed, **fields):
     case = cases.FaultCase('case', actions.Drain('t1'), **fields)
-    row = verdicts.judge(case, observed)
+    row = verdicts.evaluate(case, observed)
     return {broken.promise for broken in row.broken}
 
 
@@ -131,9 +131,9 @@
     observed.run.requests.append(request(Kind.UNKNOWN, 5.5, number=1))
     observed.run.requests.append(request(Kind.COMPLETED, 6.0, number=2))
     case = cases.FaultCase(
-        'case', actions.Break(target_faults.Fault(), ('t1',))
+        'case', actions.SetFault(target_faults.Fault(), ('t1',))
     )
-    assert verdicts.judge(case, observed).recover_s == 3.5
+    assert verdicts.evaluate(case, observed).recover_s == 3.5
 
 
 def test_names_of_cases_are_unique():
--- a/libraries/workbench/tests/cover/test_policy_emulator.py
+++ b/libraries/workbench/tests/cover/test_policy_emulator.py
@@ -8,9 +8,9 @@
 from sardinepier.entry import exploration
 from sardinepier.workbench.policy import (
     command,
+    emulation,
     floor,
     overrides,
-    play,
     scenario,
     targets,
     virtual_loop,
@@ -50,33 +50,39 @@
 
 
 def test_a_fleet_without_trouble_serves_everything():
-    counts = play.play(QUIET, 1)
-    assert counts.total.asked > 80
-    assert counts.total.served == counts.total.asked
+    counts = emulation.emulate(QUIET, 1)
+    assert counts.total.requests > 80
+    assert counts.total.served == counts.total.requests
     assert counts.worth() == pytest.approx(1.0, abs=0.01)
 
 
 def test_equal_seeds_play_equally_and_others_do_not():
-    first, again, other = (play.play(QUIET, seed) for seed in (1, 1, 2))
+    first, again, other = (emulation.emulate(QUIET, seed) for seed in (1, 1, 2))
     assert first.by_window == again.by_window
     assert first.by_window != other.by_window
 
 
 TROUBLES = (
-    scenario.Disturbance(scenario.Trouble.SHED, 1.0, 3.0, 'desk', 1.0, 0.9),
-    scenario.Disturbance(scenario.Trouble.SLOW, 1.0, 3.0, 'desk', 1.0, 20.0),
-    scenario.Disturbance(scenario.Trouble.CRASH, 1.0, 3.0, 'desk'),
-    scenario.Disturbance(scenario.Trouble.RESTART, 1.0, 3.0),
-    scenario.Disturbance(scenario.Trouble.BURST, 1.0, 3.0, strength=30.0),
+    scenario.Disturbance(
+        scenario.DisturbanceKind.SHED, 1.0, 3.0, 'desk', 1.0, 0.9
+    ),
+    scenario.Disturbance(
+        scenario.DisturbanceKind.SLOW, 1.0, 3.0, 'desk', 1.0, 20.0
+    ),
+    scenario.Disturbance(scenario.DisturbanceKind.CRASH, 1.0, 3.0, 'desk'),
+    scenario.Disturbance(scenario.DisturbanceKind.RESTART, 1.0, 3.0),
+    scenario.Disturbance(
+        scenario.DisturbanceKind.BURST, 1.0, 3.0, strength=30.0
+    ),
 )
 
 
 @pytest.mark.parametrize('trouble', TROUBLES, ids=lambda one: one.kind.value)
 def test_each_trouble_is_felt_while_it_lasts(trouble):
-    plain = play.play(QUIET, 1)
-    harmed = play.play(changed(disturbances=(trouble,)), 1)
+    plain = emulation.emulate(QUIET, 1)
+    harmed = emulation.emulate(changed(disturbances=(trouble,)), 1)
     assert harmed.total.share < plain.total.share - 0.05
-    assert harmed.by_window[0].asked
+    assert harmed.by_window[0].requests
 
 
 @pytest.mark.parametrize('manner', list(scenario.Manner))
@@ -90,7 +96,7 @@
         retry_percent=5.0,
         retry_burst=0,
     )
-    counts = play.play(setup, 3)
+    counts = emulation.emulate(setup, 3)
     assert 0.5 < counts.total.share < 1.0
 
 
@@ -172,11 +178,11 @@
     )
     found = targets.make(setup, random.Random(1))
     now_s = 10.0
-    found[0].asked_s = now_s - 1.9
-    found[1].asked_s = now_s - 2.1
-    found[2].asked_s = now_s - 0.1
-    found[3].failed_s = now_s - 1.9
+    found[0].last_request_s = now_s - 1.9
+    found[1].last_request_s = now_s - 2.1
+    found[2].last_request_s = now_s - 0.1
+    found[3].last_failure_s = now_s - 1.9
     watched = floor.Floor()
-    watched.look(found, now_s)
-    assert watched.least() == pytest.approx(2 / 3)
-    assert watched.broken() == 1.0
+    watched.sample(found, now_s)
+    assert watched.min_share() == pytest.approx(2 / 3)
+    assert watched.violation_share() == 1.0
--- a/libraries/workbench/tests/cover/test_policy_asked.py
+++ b/libraries/workbench/tests/cover/test_policy_statement_compliance.py
@@ -1,7 +1,11 @@
 """What targets ask for in their answers, under the load of a busy service."""
 
 import pytest
-from sardinepier.workbench.policy import asked, play, scenario
+from sardinepier.workbench.policy import (
+    emulation,
+    scenario,
+    statement_compliance,
+)
 
 SECONDS = 16.0
 AT_S = 4.0
@@ -42,8 +46,10 @@
     The pattern: a third of a busy service's targets name a limit. They answer
     well, so that they are as sure as the others. Requests come to all daemons.
     """
-    setup = busy(scenario.Trouble.LIMIT, limit_per_s, THIRD, daemons_a_zone)
-    assert play.play(setup, 1).asked.most_over_limit() <= 1
+    setup = busy(
+        scenario.DisturbanceKind.LIMIT, limit_per_s, THIRD, daemons_a_zone
+    )
+    assert emulation.emulate(setup, 1).compliance.max_limit_use() <= 1
 
 
 @pytest.mark.parametrize('daemons_a_zone', [1, 3])
@@ -53,8 +59,10 @@
     The pattern: targets leave while the platform is away, so that its list does
     not change, and say so in their answers only. Requests come to all daemons.
     """
-    setup = busy(scenario.Trouble.LEAVE, 1, THIRD, daemons_a_zone, per_s=20.0)
-    assert play.play(setup, 1).asked.after_leaving == 0
+    setup = busy(
+        scenario.DisturbanceKind.LEAVE, 1, THIRD, daemons_a_zone, per_s=20.0
+    )
+    assert emulation.emulate(setup, 1).compliance.arrivals_after_leaving == 0
 
 
 @pytest.mark.parametrize('share', [THIRD, 1.0])
@@ -65,21 +73,21 @@
     The pattern: a third, or all, of a busy service's targets turn away what they
     get, and each time ask for four seconds of rest.
     """
-    setup = busy(scenario.Trouble.REST, 4.0, share, daemons_a_zone)
-    assert play.play(setup, 1).asked.most_while_resting() <= 2
+    setup = busy(scenario.DisturbanceKind.REST, 4.0, share, daemons_a_zone)
+    assert emulation.emulate(setup, 1).compliance.max_arrivals_in_backoff() <= 2
 
 
 def test_the_watch_allows_what_the_users_allow():
-    watch = asked.Asked()
-    watch.limited('t', 'd', 10.0, 1.0)
-    watch.limited('t', 'e', 15.9, 1.0)
+    watch = statement_compliance.StatementCompliance()
+    watch.record_limit('t', 'd', 10.0, 1.0)
+    watch.record_limit('t', 'e', 15.9, 1.0)
     for _ in range(11):
-        watch.arrived('t', 'd', 11.0)
+        watch.record_arrival('t', 'd', 11.0)
     for _ in range(11):
-        watch.arrived('t', 'd', 16.0)
-        watch.arrived('t', 'e', 16.0)
-    assert watch.most_over_limit() == 1
-    watch.arrived('t', 'd', 19.9)
-    assert watch.most_over_limit() > 1
-    watch.unlimited('t')
-    assert watch.most_over_limit() == 0
+        watch.record_arrival('t', 'd', 16.0)
+        watch.record_arrival('t', 'e', 16.0)
+    assert watch.max_limit_use() == 1
+    watch.record_arrival('t', 'd', 19.9)
+    assert watch.max_limit_use() > 1
+    watch.clear_limit('t')
+    assert watch.max_limit_use() == 0
--- a/libraries/workbench/tests/cover/test_traffic.py
+++ b/libraries/workbench/tests/cover/test_traffic.py
@@ -20,7 +20,7 @@
     options,
     records,
     report,
-    witness,
+    verification,
 )
 
 Kind = records.Kind
@@ -140,9 +140,9 @@
             ),
             clock.SystemClock(),
         )
-        run = await load.play()
-        executions = await witness.ask_targets([target])
-        verdict = witness.compare(run.requests, executions)
+        run = await load.send_all()
+        executions = await verification.ask_targets([target])
+        verdict = verification.compare(run.requests, executions)
         return report.summarise(run, verdict), daemon.keys
 
 
@@ -197,7 +197,7 @@
 def test_killed_targets_are_read_from_their_files(tmp_path):
     path = tmp_path / 'executions'
     path.write_bytes(b'["k","t"]\n["k","t"]\n["","u"]\n')
-    counts = witness.read_files([path, tmp_path / 'none'])
+    counts = verification.read_files([path, tmp_path / 'none'])
     assert (counts.by_key, counts.by_tag) == ({'k': 2}, {'t': 2, 'u': 1})
     told = records.RequestRecord(
         'u',
@@ -207,7 +207,7 @@
             records.Attempt(records.Kind.NOT_RUN),
         ],
     )
-    verdict = witness.compare([told], counts)
+    verdict = verification.compare([told], counts)
     assert verdict.doubled == ('k',)
     assert verdict.false_not_run == ('u',)
 
--- a/libraries/workbench/tests/nocover/test_policy_load.py
+++ b/libraries/workbench/tests/nocover/test_policy_load.py
@@ -7,19 +7,19 @@
 import statistics
 
 import pytest
-from sardinepier.workbench.policy import play, scenario
+from sardinepier.workbench.policy import emulation, scenario
 
 SEEDS = range(2)
 
 
 def played(name):
     setup = scenario.load(name)
-    return [play.play(setup, seed) for seed in SEEDS]
+    return [emulation.emulate(setup, seed) for seed in SEEDS]
 
 
 def mean_served(counts):
     return statistics.fmean(
-        one.total.served / one.total.asked for one in counts
+        one.total.served / one.total.requests for one in counts
     )
 
 
