--- a/libraries/workbench/src/sardinepier/workbench/detection/contenders.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/contenders.py
@@ -8,7 +8,7 @@
 
 from sardinepier.core import clock as core_clock
 from sardinepier.health import options as health_options
-from sardinepier.workbench.detection import judge, pooled, rules, scenario
+from sardinepier.workbench.detection import detector, pooled, rules, scenario
 
 RED_TESIS_PER_DAY: Final = 0.01
 KLOOFNEK_PER_DAY: Final = 1.0
@@ -17,7 +17,7 @@
 
 Maker = Callable[
     [scenario.Service, int, core_clock.Clock],
-    judge.Judge,
+    detector.Detector,
 ]
 
 
@@ -44,11 +44,11 @@
     service: scenario.Service,
     seed: int,
     clock: core_clock.Clock,
-) -> judge.Judge:
+) -> detector.Detector:
     options = health_options.HealthOptions(
         false_ejections_per_target_day=per_day,
     )
-    return pooled.PooledJudge(service, options, seed, clock, alone)
+    return pooled.PooledDetector(service, options, seed, clock, alone)
 
 
 def rivals() -> tuple[Contender, ...]:
@@ -82,14 +82,14 @@
 
 
 def _rule(name: str, make_rule: _RuleMaker) -> Contender:
-    return Contender(name, functools.partial(_judge_of, make_rule))
+    return Contender(name, functools.partial(_detector_of, make_rule))
 
 
-def _judge_of(
+def _detector_of(
     make_rule: _RuleMaker,
     service: scenario.Service,
     _seed: int,
     _clock: core_clock.Clock,
-) -> judge.Judge:
+) -> detector.Detector:
     daemons = [make_rule() for _ in range(service.daemons)]
-    return rules.RuleJudge(daemons, service.targets)
+    return rules.RuleDetector(daemons, service.targets)
--- a/libraries/workbench/src/sardinepier/workbench/detection/cost.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/cost.py
@@ -11,7 +11,7 @@
 from sardinepier.core import ids
 from sardinepier.health import evidence, service_health, targets
 from sardinepier.health import options as health_options
-from sardinepier.workbench.detection import judge
+from sardinepier.workbench.detection import detector
 
 _TARGETS: Final = (6, 16, 47, 1000)
 _ROUTES: Final = (10, 100, 1000, 10000)
@@ -41,8 +41,8 @@
 
 class _Bench:
     def __init__(self, target_count: int, route_count: int, seed: int) -> None:
-        self._routes = [judge.route_name(at) for at in range(route_count)]
-        self._names = [judge.target_name(at) for at in range(target_count)]
+        self._routes = [detector.route_name(at) for at in range(route_count)]
+        self._names = [detector.target_name(at) for at in range(target_count)]
         self._random = random.Random(seed)
         self._clock = core_clock.ManualClock()
         self._attempt = 0
--- a/libraries/workbench/src/sardinepier/workbench/detection/judge.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/detector.py
@@ -11,7 +11,7 @@
 """A judge that does not know the peers' load says so."""
 
 
-class Judge(Protocol):
+class Detector(Protocol):
     """All daemons of one group, judging one service's targets.
 
     Targets and daemons are named by their place, from 0 upwards. All times
--- a/libraries/workbench/src/sardinepier/workbench/detection/experiment.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/experiment.py
@@ -11,9 +11,9 @@
     contenders,
     curve,
     driver,
-    panel,
     records,
     scenario,
+    shadow_run,
     tables,
 )
 
@@ -109,7 +109,7 @@
         for contender in acting:
             yield run_one(plan, contender)
         if with_rivals:
-            yield from panel.run(plan, contenders.rivals())
+            yield from shadow_run.run(plan, contenders.rivals())
 
 
 def run_one(
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/agenda.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/event_queue.py
@@ -8,7 +8,7 @@
 Action = Callable[[], None]
 
 
-class Agenda:
+class EventQueue:
     """Actions at moments of one clock, which only the agenda moves."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         """Return the present moment."""
         return self.clock.monotonic_s()
 
-    def at(self, moment_s: float, action: Action) -> None:
+    def call_at(self, moment_s: float, action: Action) -> None:
         """Plan an action; equal moments keep the order of planning."""
         self._order += 1
         heapq.heappush(self._actions, (moment_s, self._order, action))
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/faults.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/faults.py
@@ -13,7 +13,7 @@
 _CRASH_SHARE: Final = 0.02
 
 
-class Strike:
+class FaultModel:
     """Says what the fault does at one moment."""
 
     def __init__(
@@ -54,37 +54,43 @@
             return self._at_s
         return None
 
-    def loses(self, work: target_model.Work, now_s: float) -> bool:
+    def loses(
+        self, request: target_model.SimulatedRequest, now_s: float
+    ) -> bool:
         """Return whether the request never reaches its target."""
-        if self._fault.effect is not _Effect.CUT or work.target:
+        if self._fault.effect is not _Effect.CUT or request.target:
             return False
-        return work.daemon < self._fault.cut_daemons and self.is_on(now_s)
+        return request.daemon < self._fault.cut_daemons and self.is_on(now_s)
 
-    def crashes(self, work: target_model.Work, now_s: float) -> bool:
+    def crashes(
+        self, request: target_model.SimulatedRequest, now_s: float
+    ) -> bool:
         """Return whether this is the request that crashes its target."""
         if self._fault.effect is not _Effect.CRASHING_REQUEST:
             return False
         return self.is_on(now_s) and self._random.random() < _CRASH_SHARE
 
-    def slow_factor(self, work: target_model.Work, now_s: float) -> float:
+    def slow_factor(
+        self, request: target_model.SimulatedRequest, now_s: float
+    ) -> float:
         """Return by how much the request is slowed."""
         effect = self._fault.effect
         if not self.is_on(now_s):
             return 1.0
         if effect is _Effect.ALL_SLOW:
             return self._fault.amount
-        if effect is _Effect.SLOW and not work.target:
+        if effect is _Effect.SLOW and not request.target:
             return self._fault.amount
         return 1.0
 
     def end(
         self,
-        work: target_model.Work,
+        request: target_model.SimulatedRequest,
         now_s: float,
     ) -> evidence.AttemptOutcome:
         """Return how the request will end at its target."""
         effect = self._fault.effect
-        if not work.target and self.is_on(now_s):
+        if not request.target and self.is_on(now_s):
             if effect is _Effect.HANG:
                 return evidence.AttemptOutcome.TIMED_OUT
             if self._random.random() < self._fault.amount:
@@ -98,13 +104,13 @@
 
     def as_seen(
         self,
-        work: target_model.Work,
+        request: target_model.SimulatedRequest,
         end: evidence.AttemptOutcome,
         latency_ms: float,
         now_s: float,
     ) -> tuple[evidence.AttemptOutcome, float]:
         """Return the end as the daemon sees it; a gray one sees badly."""
-        gray = self._fault.effect is _Effect.GRAY_DAEMON and not work.daemon
+        gray = self._fault.effect is _Effect.GRAY_DAEMON and not request.daemon
         if not gray or not self.is_on(now_s):
             return end, latency_ms
         if self._random.random() < _GRAY_FAILURES:
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/target_model.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/target_model.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Work:
+class SimulatedRequest:
     """One attempt on its way to a target and back."""
 
     daemon: int
@@ -43,7 +43,7 @@
         self.incarnation = 0
         self.cold_until_s = 0.0
         self.running = 0
-        self.queue: collections.deque[Work] = collections.deque()
+        self.queue: collections.deque[SimulatedRequest] = collections.deque()
         self._service = service
         self._random = random_source
         self._speed = random_source.uniform(_LEAST_SPEED, _MOST_SPEED)
--- a/libraries/workbench/src/sardinepier/workbench/detection/measures.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/measurements.py
@@ -26,7 +26,7 @@
     slowed: int = 0
 
 
-class Measures:
+class Measurements:
     """Collects a run's measurements."""
 
     def __init__(
@@ -45,7 +45,7 @@
         self.cut_avoided = 0
         self.below_floor = 0
         self.ticks = 0
-        self.struck_sent = 0
+        self.requests_to_faulty_target = 0
         self.trials = 0
         self.last_s = 0.0
         self._service = service
@@ -55,27 +55,29 @@
         self._last_sent_s = [0.0 for _ in range(service.daemons)]
         self._detected_s = [math.inf for _ in range(service.daemons)]
 
-    def arrived(self, now_s: float) -> None:
+    def record_arrival(self, now_s: float) -> None:
         """Count a request that came in."""
         self.arrivals += 1
         self.last_s = now_s
 
-    def refused(self, now_s: float) -> None:
+    def record_refusal(self, now_s: float) -> None:
         """Count a request refused for want of slots."""
         self.refusals += 1
 
-    def sent(self, now_s: float, daemon: int, target: int, trial: bool) -> None:
+    def record_attempt(
+        self, now_s: float, daemon: int, target: int, trial: bool
+    ) -> None:
         """Note new work for a target."""
         if target or now_s < self.fault_at_s:
             return
         if trial:
             self.trials += 1
             return
-        self.struck_sent += 1
+        self.requests_to_faulty_target += 1
         if math.isinf(self._detected_s[daemon]):
             self._last_sent_s[daemon] = now_s
 
-    def ended(
+    def record_end(
         self,
         now_s: float,
         end: evidence.AttemptOutcome,
@@ -87,7 +89,7 @@
         part.failed += end not in _GOOD_ENDS
         part.slowed += slowness > _SLOW_FACTOR
 
-    def judged(
+    def record_weights(
         self,
         now_s: float,
         daemon: int,
--- a/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
@@ -8,13 +8,13 @@
 from sardinepier.core import ids
 from sardinepier.health import evidence, service_health, targets
 from sardinepier.health import options as health_options
-from sardinepier.workbench.detection import judge, scenario
+from sardinepier.workbench.detection import detector, scenario
 
 _REPORT_DELAY_S: Final = 0.02
 _PROBE_MS: Final = 25.0
 
 
-class PooledJudge:
+class PooledDetector:
     """A group of daemons with the library, in step with one clock."""
 
     def __init__(
@@ -28,9 +28,11 @@
         """Make the group; ``alone`` keeps the daemons from reporting."""
         self._clock = clock
         self._alone = alone
-        self._names = [judge.target_name(at) for at in range(service.targets)]
+        self._names = [
+            detector.target_name(at) for at in range(service.targets)
+        ]
         self._routes = [
-            judge.route_name(at) for at in range(len(service.route_ms))
+            detector.route_name(at) for at in range(len(service.route_ms))
         ]
         self._observers = [
             ids.InstanceId(f'd{at}~0') for at in range(service.daemons)
--- a/libraries/workbench/src/sardinepier/workbench/detection/records.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from sardinepier.workbench.detection import measures, scenario
+from sardinepier.workbench.detection import measurements, scenario
 
 
 class Record(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
 def record(
     contender: str,
     run: tuple[scenario.Service, scenario.Traffic, scenario.Fault, int],
-    measured: measures.Measures,
+    measured: measurements.Measurements,
 ) -> Record:
     """Return the record of one contender's measurements in a run."""
     service, traffic, fault, seed = run
@@ -56,6 +56,6 @@
         failed_after=after.failed / max(1, after.ended),
         slowed_before=before.slowed / max(1, before.ended),
         slowed_after=after.slowed / max(1, after.ended),
-        struck_requests=measured.struck_sent,
+        struck_requests=measured.requests_to_faulty_target,
         trials=measured.trials,
     )
--- a/libraries/workbench/src/sardinepier/workbench/detection/rules.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/rules.py
@@ -10,7 +10,7 @@
 from typing import Final, Protocol
 
 from sardinepier.health import evidence
-from sardinepier.workbench.detection import judge as judges
+from sardinepier.workbench.detection import detector as detectors
 
 _EJECTION_S: Final = 30.0
 _LOOK_EVERY_S: Final = 0.5
@@ -36,11 +36,11 @@
         """Take the end of one attempt."""
         ...
 
-    def sick(self, now_s: float) -> Sequence[int]:
+    def faulty_targets(self, now_s: float) -> Sequence[int]:
         """Return the targets which the rule condemns now."""
         ...
 
-    def forget(self, target: int) -> None:
+    def reset(self, target: int) -> None:
         """Start afresh for an ejected target."""
         ...
 
@@ -57,11 +57,11 @@
         """Lengthen the run or end it."""
         self._runs[target] = self._runs[target] + 1 if failed else 0
 
-    def sick(self, now_s: float) -> Sequence[int]:
+    def faulty_targets(self, now_s: float) -> Sequence[int]:
         """Return the targets with a long run."""
         return [at for at, run in self._runs.items() if run >= self._limit]
 
-    def forget(self, target: int) -> None:
+    def reset(self, target: int) -> None:
         """End the run."""
         self._runs[target] = 0
 
@@ -87,7 +87,7 @@
     def values(self, target: int) -> list[float]:
         return self.older.get(target, []) + self.newer.get(target, [])
 
-    def forget(self, target: int) -> None:
+    def reset(self, target: int) -> None:
         self.older.pop(target, None)
         self.newer.pop(target, None)
 
@@ -105,7 +105,7 @@
         """Add the attempt to the window."""
         self._windows.add(target, float(failed))
 
-    def sick(self, now_s: float) -> Sequence[int]:
+    def faulty_targets(self, now_s: float) -> Sequence[int]:
         """Return the targets with too large a share."""
         self._windows.turn(now_s)
         condemned = []
@@ -117,9 +117,9 @@
                 condemned.append(target)
         return condemned
 
-    def forget(self, target: int) -> None:
+    def reset(self, target: int) -> None:
         """Empty the window."""
-        self._windows.forget(target)
+        self._windows.reset(target)
 
 
 class LatencyQuantile:
@@ -143,7 +143,7 @@
         """Add the latency to the window."""
         self._windows.add(target, latency_ms)
 
-    def sick(self, now_s: float) -> Sequence[int]:
+    def faulty_targets(self, now_s: float) -> Sequence[int]:
         """Return the targets whose quantile is far above the mean."""
         self._windows.turn(now_s)
         if now_s < self._look_at_s:
@@ -155,9 +155,9 @@
         limit = self._factor * statistics.fmean(quantiles.values())
         return [at for at in sorted(quantiles) if quantiles[at] >= limit]
 
-    def forget(self, target: int) -> None:
+    def reset(self, target: int) -> None:
         """Empty the window."""
-        self._windows.forget(target)
+        self._windows.reset(target)
 
     def _quantiles(self) -> dict[int, float]:
         quantiles = {}
@@ -169,7 +169,7 @@
         return quantiles
 
 
-class RuleJudge:
+class RuleDetector:
     """A rule at every daemon, each for itself."""
 
     def __init__(self, rules: Sequence[Rule], targets: int) -> None:
@@ -201,11 +201,11 @@
         """Eject what the rule condemns."""
         self._now_s = now_s
         out_until_s = self._out_until_s[daemon]
-        for target in self._rules[daemon].sick(now_s):
+        for target in self._rules[daemon].faulty_targets(now_s):
             out = sum(until_s > now_s for until_s in out_until_s)
             if out_until_s[target] <= now_s and 2 * (out + 1) <= self._targets:
                 out_until_s[target] = now_s + _EJECTION_S
-                self._rules[daemon].forget(target)
+                self._rules[daemon].reset(target)
 
     def weights(self, daemon: int) -> Sequence[float]:
         """Return 0 for an ejected target and 1 for others."""
@@ -216,7 +216,7 @@
 
     def peers_in_flight(self, daemon: int) -> Sequence[int] | None:
         """Return None: the driver tells daemons the true counts."""
-        return judges.UNKNOWN
+        return detectors.UNKNOWN
 
     def is_trial(self, daemon: int, target: int) -> bool:
         """Return False: these rules know no trials."""
@@ -225,7 +225,7 @@
     def replaced(self, target: int, incarnation: int) -> None:
         """Start afresh for the new incarnation."""
         for daemon, rule in enumerate(self._rules):
-            rule.forget(target)
+            rule.reset(target)
             self._out_until_s[daemon][target] = 0
 
     def probed(self, daemon: int, target: int, good: bool) -> None:
--- a/libraries/workbench/src/sardinepier/workbench/detection/panel.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/shadow_run.py
@@ -10,23 +10,25 @@
 from sardinepier.health import evidence
 from sardinepier.workbench.detection import (
     contenders,
+    detector,
     driver,
-    judge,
-    measures,
+    measurements,
     records,
 )
 
 
-class Panel:
+class ShadowDetectors:
     """A judge that lets others look on and never ejects."""
 
     def __init__(
         self,
-        judges: Sequence[tuple[judge.Judge, measures.Measures]],
+        detectors: Sequence[
+            tuple[detector.Detector, measurements.Measurements]
+        ],
         targets: int,
     ) -> None:
-        """Let ``judges`` look on, each with measurements of its own."""
-        self._judges = judges
+        """Let ``detectors`` look on, each with measurements of its own."""
+        self._detectors = detectors
         self._everyone = [1.0 for _ in range(targets)]
         self._now_s = 0.0
 
@@ -34,13 +36,13 @@
         self, daemon: int, target: int, route: int, number: int
     ) -> None:
         """Show an attempt to all."""
-        for one, _ in self._judges:
+        for one, _ in self._detectors:
             one.started(daemon, target, route, number)
 
-    def sent(self, now_s: float, daemon: int, target: int) -> None:
+    def record_attempt(self, now_s: float, daemon: int, target: int) -> None:
         """Note the new work in all measurements."""
-        for _, measured in self._judges:
-            measured.sent(now_s, daemon, target, trial=False)
+        for _, measured in self._detectors:
+            measured.record_attempt(now_s, daemon, target, trial=False)
 
     def finished(
         self,
@@ -52,15 +54,15 @@
         latency_ms: float,
     ) -> None:
         """Show an end to all."""
-        for one, _ in self._judges:
+        for one, _ in self._detectors:
             one.finished(daemon, target, route, number, end, latency_ms)
 
     def tick(self, daemon: int, now_s: float) -> None:
         """Let all decide, and measure."""
-        for one, measured in self._judges:
+        for one, measured in self._detectors:
             one.tick(daemon, now_s)
-            measured.arrived(now_s)
-            measured.judged(now_s, daemon, one.weights(daemon))
+            measured.record_arrival(now_s)
+            measured.record_weights(now_s, daemon, one.weights(daemon))
 
     def weights(self, daemon: int) -> Sequence[float]:
         """Return full weights: nobody is ejected."""
@@ -68,7 +70,7 @@
 
     def peers_in_flight(self, daemon: int) -> Sequence[int] | None:
         """Return None: the driver tells daemons the true counts."""
-        return judge.UNKNOWN
+        return detector.UNKNOWN
 
     def is_trial(self, daemon: int, target: int) -> bool:
         """Return False."""
@@ -76,12 +78,12 @@
 
     def replaced(self, target: int, incarnation: int) -> None:
         """Tell all."""
-        for one, _ in self._judges:
+        for one, _ in self._detectors:
             one.replaced(target, incarnation)
 
     def probed(self, daemon: int, target: int, good: bool) -> None:
         """Tell all."""
-        for one, _ in self._judges:
+        for one, _ in self._detectors:
             one.probed(daemon, target, good)
 
     def due_probes(self, daemon: int, now_s: float) -> Sequence[int]:
@@ -95,18 +97,20 @@
 ) -> list[records.Record]:
     """Run one plan before all contenders at once; return their records."""
     one_run = driver.Driver(plan)
-    judges = [
+    detectors = [
         (
             contender.make(plan.service, plan.seed, one_run.clock),
-            measures.Measures(plan.service, plan.fault, plan.fault_at_s),
+            measurements.Measurements(
+                plan.service, plan.fault, plan.fault_at_s
+            ),
         )
         for contender in looking_on
     ]
-    panel = Panel(judges, plan.service.targets)
-    one_run.attach(panel, panel.sent)
+    shadow_detectors = ShadowDetectors(detectors, plan.service.targets)
+    one_run.attach(shadow_detectors, shadow_detectors.record_attempt)
     one_run.run()
     key = (plan.service, plan.traffic, plan.fault, plan.seed)
     return [
         records.record(contender.name, key, measured)
-        for contender, (_, measured) in zip(looking_on, judges, strict=True)
+        for contender, (_, measured) in zip(looking_on, detectors, strict=True)
     ]
--- a/libraries/workbench/src/sardinepier/workbench/load/comparisons.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/comparisons.py
@@ -46,7 +46,7 @@
 
     def __init__(self, seed: int, quick: bool) -> None:
         """Use ``seed`` for all runs; ``quick`` runs are shorter."""
-        self._runs = runs.Runs(seed, quick)
+        self._runs = runs.RunFactory(seed, quick)
 
     def policies(self) -> tables.Table:
         """Compare the choosers, all with home slots and counts."""
--- a/libraries/workbench/src/sardinepier/workbench/load/event_queue.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/event_queue.py
@@ -6,7 +6,7 @@
 
 _MS_PER_S: Final = 1000
 
-Act = Callable[[], None]
+Action = Callable[[], None]
 
 
 class EventQueue:
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         """Start at 0 s without events."""
         self._now_s = 0.0
-        self._events: list[tuple[float, int, Act]] = []
+        self._events: list[tuple[float, int, Action]] = []
         self._added = 0
 
     def monotonic_s(self) -> float:
@@ -30,20 +30,20 @@
         """Return the simulated time in milliseconds."""
         return int(self._now_s * _MS_PER_S)
 
-    def after(self, delay_s: float, act: Act) -> None:
-        """Run ``act`` in ``delay_s`` seconds of simulated time."""
-        self.at(self._now_s + delay_s, act)
+    def call_later(self, delay_s: float, action: Action) -> None:
+        """Run ``action`` in ``delay_s`` seconds of simulated time."""
+        self.call_at(self._now_s + delay_s, action)
 
-    def at(self, moment_s: float, act: Act) -> None:
-        """Run ``act`` at ``moment_s``, or now if that is past."""
+    def call_at(self, moment_s: float, action: Action) -> None:
+        """Run ``action`` at ``moment_s``, or now if that is past."""
         self._added += 1
-        event = (max(moment_s, self._now_s), self._added, act)
+        event = (max(moment_s, self._now_s), self._added, action)
         heapq.heappush(self._events, event)
 
     def run_until(self, end_s: float) -> None:
         """Run all events up to ``end_s`` and stop the clock there."""
         while self._events and self._events[0][0] <= end_s:
-            moment_s, _, act = heapq.heappop(self._events)
+            moment_s, _, action = heapq.heappop(self._events)
             self._now_s = moment_s
-            act()
+            action()
         self._now_s = end_s
--- a/libraries/workbench/src/sardinepier/workbench/load/incidents.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/incidents.py
@@ -66,7 +66,7 @@
 
     def __init__(self, seed: int, quick: bool) -> None:
         """Use ``seed`` for all runs; ``quick`` runs are shorter."""
-        self._runs = runs.Runs(seed, quick)
+        self._runs = runs.RunFactory(seed, quick)
 
     def priorities(self) -> tables.Table:
         """Sign-offs beside overnight reports, with and without priority."""
--- a/libraries/workbench/src/sardinepier/workbench/load/plots.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/plots.py
@@ -23,7 +23,7 @@
     The same seed draws the same file, byte for byte.
     """
     mpl.use('Agg')
-    maker = runs.Runs(seed, quick)
+    maker = runs.RunFactory(seed, quick)
     drawing = figure.Figure(figsize=(9, 4), layout='constrained')
     lost_axes, slow_axes = drawing.subplots(1, 2)
     for name, pooled, home_slots in _WAYS:
@@ -42,7 +42,7 @@
 
 
 def _figures(
-    maker: runs.Runs,
+    maker: runs.RunFactory,
     load_percent: float,
     pooled: bool,
     home_slots: bool,
--- a/libraries/workbench/src/sardinepier/workbench/load/runs.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/runs.py
@@ -9,7 +9,7 @@
 _QUICK_S: Final = 1.0
 
 
-class Runs:
+class RunFactory:
     """Makes runs with one seed; short ones when quick."""
 
     def __init__(self, seed: int, quick: bool) -> None:
--- a/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
@@ -64,7 +64,7 @@
             setup.slot_options,
         )
         self.retries = budget.RetryBudget(events, setup.retry_budget_percent)
-        self.line = wait_queue.WaitQueue(
+        self.wait_queue = wait_queue.WaitQueue(
             events,
             setup.queue_length,
             random_source,
@@ -85,16 +85,17 @@
         except errors.CallerLimitError:
             self.end(arrival, tally.End.LIMITED)
             return
-        self.queue(arrival)
+        self.enqueue(arrival)
 
-    def queue(self, arrival: Arrival, *, is_retry: bool = False) -> None:
+    def enqueue(self, arrival: Arrival, *, is_retry: bool = False) -> None:
         """Let a request wait for a slot, the first or a further time."""
         waiter = _Waiter(self, arrival, is_retry)
-        self.line.submit(waiter)
-        if len(self.line):
+        self.wait_queue.submit(waiter)
+        if len(self.wait_queue):
             self._start_rechecking()
-            self.events.at(
-                self.line.latest_start_s(waiter.request), self.line.dispatch
+            self.events.call_at(
+                self.wait_queue.latest_start_s(waiter.request),
+                self.wait_queue.dispatch,
             )
 
     def send(self, arrival: Arrival, target_id: ids.TargetId) -> None:
@@ -103,12 +104,12 @@
         latency_s = self._latency_s(target)
 
         def _answer(has_run: bool) -> None:  # noqa: WPS430 - event closure
-            self.events.after(
+            self.events.call_later(
                 latency_s,
                 lambda: self._answered(arrival, target_id, has_run),
             )
 
-        self.events.after(
+        self.events.call_later(
             latency_s,
             lambda: target.receive(
                 arrival.service_s,
@@ -138,13 +139,13 @@
         else:
             self.slots.shed(target_id)
             self._send_again(arrival)
-        self.line.dispatch()
+        self.wait_queue.dispatch()
 
     def _finish(self, arrival: Arrival) -> None:
         if self.events.monotonic_s() > arrival.deadline_s:
             self.end(arrival, tally.End.TIMED_OUT)
             return
-        self.line.observe_service_time(arrival.service_s)
+        self.wait_queue.observe_service_time(arrival.service_s)
         if arrival.fails():
             self._retry(arrival, tally.End.FAILED)
         else:
@@ -153,13 +154,13 @@
     def _send_again(self, arrival: Arrival) -> None:
         """Let a shed request wait, also while the budget is empty."""
         if self._setup.shed_waits:
-            self.queue(arrival, is_retry=True)
+            self.enqueue(arrival, is_retry=True)
         else:
             self._retry(arrival, tally.End.SHED)
 
     def _retry(self, arrival: Arrival, otherwise: tally.End) -> None:
         if self.retries.can_spend():
-            self.queue(arrival, is_retry=True)
+            self.enqueue(arrival, is_retry=True)
         else:
             self.end(arrival, otherwise)
 
@@ -170,12 +171,12 @@
     def _start_rechecking(self) -> None:
         if not self._rechecking:
             self._rechecking = True
-            self.events.after(_RECHECK_S, self._recheck)
+            self.events.call_later(_RECHECK_S, self._recheck)
 
     def _recheck(self) -> None:
         self._rechecking = False
-        self.line.dispatch()
-        if len(self.line):
+        self.wait_queue.dispatch()
+        if len(self.wait_queue):
             self._start_rechecking()
 
     def _latency_s(self, target: simulated_target.SimulatedTarget) -> float:
@@ -231,7 +232,7 @@
             self.zone,
             of_two,
             threshold,
-            lambda: (len(self.line) + 1) / local_slots,
+            lambda: (len(self.wait_queue) + 1) / local_slots,
         )
 
 
--- a/libraries/workbench/src/sardinepier/workbench/load/simulated_target.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulated_target.py
@@ -49,4 +49,4 @@
             self._busy -= 1
             answer(True)
 
-        self._events.after(used_s, _end)
+        self._events.call_later(used_s, _end)
--- a/libraries/workbench/src/sardinepier/workbench/load/simulation.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulation.py
@@ -91,7 +91,7 @@
             self._report_after(interval_s * self._random.random(), observer)
 
     def _report_after(self, delay_s: float, observer: ids.InstanceId) -> None:
-        self._events.after(delay_s, lambda: self._report(observer))
+        self._events.call_later(delay_s, lambda: self._report(observer))
 
     def _report(self, observer: ids.InstanceId) -> None:
         counts = self._daemons[observer].slots.report()
@@ -101,9 +101,9 @@
             for other, daemon in self._daemons.items():
                 if other != observer:
                     daemon.slots.receive_report(observer, counts)
-                    daemon.line.dispatch()
+                    daemon.wait_queue.dispatch()
 
-        self._events.after(latency_s, _deliver)
+        self._events.call_later(latency_s, _deliver)
         self._report_after(
             self._setup.report_interval_ms / _MS_PER_S,
             observer,
@@ -119,7 +119,7 @@
             self._receive_one()
             self._arrive(phase, until_s)
 
-        self._events.after(wait_s, _next)
+        self._events.call_later(wait_s, _next)
 
     def _receive_one(self) -> None:
         classes = self._setup.classes
--- a/libraries/workbench/tests/cover/test_detection_driver.py
+++ b/libraries/workbench/tests/cover/test_detection_driver.py
@@ -9,11 +9,11 @@
     contenders,
     driver,
     experiment,
-    measures,
-    panel,
+    measurements,
     records,
     rules,
     scenario,
+    shadow_run,
 )
 from sardinepier.workbench.detection import curve as curves
 from sardinepier.workbench.detection import tables
@@ -67,7 +67,7 @@
 
 def test_a_panel_judges_for_all_rivals_and_ejects_nothing():
     rivals = contenders.rivals()
-    done = panel.run(_plan('100% errors'), rivals)
+    done = shadow_run.run(_plan('100% errors'), rivals)
     assert [one.contender for one in done] == [one.name for one in rivals]
     assert len({one.struck_requests for one in done}) == 1
     found = {one.contender: one.detection_s for one in done}
@@ -77,18 +77,20 @@
 
 def test_measures_know_false_ejections_and_the_floor():
     service = scenario.SERVICES[0]
-    measured = measures.Measures(service, _NAMED['hang'], fault_at_s=10.0)
-    measured.judged(1.0, 0, [1, 0, 1, 1, 1, 1])
-    measured.judged(1.1, 1, [1, 0, 1, 1, 1, 1])
+    measured = measurements.Measurements(
+        service, _NAMED['hang'], fault_at_s=10.0
+    )
+    measured.record_weights(1.0, 0, [1, 0, 1, 1, 1, 1])
+    measured.record_weights(1.1, 1, [1, 0, 1, 1, 1, 1])
     assert measured.false_ejections == 1
-    measured.sent(10.5, 0, 0, trial=False)
+    measured.record_attempt(10.5, 0, 0, trial=False)
     for daemon in range(service.daemons):
-        measured.judged(11.0, daemon, [0, 1, 1, 1, 1, 1])
-    measured.sent(12.0, 0, 0, trial=True)
+        measured.record_weights(11.0, daemon, [0, 1, 1, 1, 1, 1])
+    measured.record_attempt(12.0, 0, 0, trial=True)
     assert measured.detection_s() == 0.5
     assert measured.false_ejections == 1
     assert measured.below_floor == 0
-    measured.judged(11.1, 0, [0, 0, 0, 0, 1, 1])
+    measured.record_weights(11.1, 0, [0, 0, 0, 0, 1, 1])
     assert measured.below_floor == 1
 
 
@@ -104,9 +106,9 @@
 def test_error_rules_condemn_as_their_names_say(rule, ends, sick):
     for failed in ends:
         rule.count(1, failed, 40.0)
-    assert (1 in rule.sick(1.0)) is sick
-    rule.forget(1)
-    assert 1 not in rule.sick(1.1)
+    assert (1 in rule.faulty_targets(1.0)) is sick
+    rule.reset(1)
+    assert 1 not in rule.faulty_targets(1.1)
 
 
 def test_the_latency_rule_compares_with_the_mean_of_all():
@@ -114,16 +116,16 @@
     for target, latency_ms in enumerate([40, 40, 40, 400]):
         for _ in range(3):
             rule.count(target, False, latency_ms)
-    assert rule.sick(1.0) == [3]
+    assert rule.faulty_targets(1.0) == [3]
 
 
 def test_a_rule_ejects_at_most_half_of_the_targets():
-    judge = rules.RuleJudge([rules.ConsecutiveErrors(1)], targets=4)
+    detector = rules.RuleDetector([rules.ConsecutiveErrors(1)], targets=4)
     for target in range(4):
-        judge.finished(0, target, 0, target, _END.FAILED, 5.0)
-    judge.finished(0, 0, 0, 9, _END.SHED, 5.0)
-    judge.tick(0, 1.0)
-    assert sum(judge.weights(0)) == 2
+        detector.finished(0, target, 0, target, _END.FAILED, 5.0)
+    detector.finished(0, 0, 0, 9, _END.SHED, 5.0)
+    detector.tick(0, 1.0)
+    assert sum(detector.weights(0)) == 2
 
 
 def test_records_survive_their_file_and_draw_the_same_figure(tmp_path):
@@ -150,8 +152,8 @@
 def test_an_undetected_fault_counts_as_the_horizon():
     plan = _plan('hang')
     key = (plan.service, plan.traffic, plan.fault, 1)
-    measured = measures.Measures(plan.service, plan.fault, 14.0)
-    measured.arrived(18.0)
+    measured = measurements.Measurements(plan.service, plan.fault, 14.0)
+    measured.record_arrival(18.0)
     record = records.record('group 1/day', key, measured)
     assert record.detection_s is None
     assert tables.mean_detection_s([record]) == 30.0
--- a/libraries/workbench/tests/cover/test_load_simulation.py
+++ b/libraries/workbench/tests/cover/test_load_simulation.py
@@ -23,10 +23,10 @@
 def test_events_run_in_order_of_time_then_of_arrival():
     events = event_queue.EventQueue()
     seen = []
-    events.after(2, lambda: seen.append('late'))
-    events.after(1, lambda: seen.append('first'))
-    events.after(1, lambda: seen.append('second'))
-    events.after(9, lambda: seen.append('never'))
+    events.call_later(2, lambda: seen.append('late'))
+    events.call_later(1, lambda: seen.append('first'))
+    events.call_later(1, lambda: seen.append('second'))
+    events.call_later(9, lambda: seen.append('never'))
     events.run_until(5)
     assert seen == ['first', 'second', 'late']
     assert events.monotonic_s() == 5
