--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -50,8 +50,8 @@
         """Log the versions and targets of ``services`` with each line."""
         self._services = services
         self._clock = clock
-        self._sent = _budget(clock, _ATTEMPT_LINES_PER_S)
-        self._failed = _budget(clock, _FAILURE_LINES_PER_S)
+        self._attempt_lines = _budget(clock, _ATTEMPT_LINES_PER_S)
+        self._failure_lines = _budget(clock, _FAILURE_LINES_PER_S)
 
     def log_attempt(
         self,
@@ -74,7 +74,7 @@
             belief_source=record.belief_source,
             in_flight=record.in_flight(now_s),
         )
-        if self._sent.allows():
+        if self._attempt_lines.allows():
             logs.write(
                 self._attempt_line(request, choice, now_s), is_routine=True
             )
@@ -87,7 +87,7 @@
         statement: statements.Statement,
     ) -> None:
         """Log what a target stated of itself."""
-        if not self._failed.allows():
+        if not self._failure_lines.allows():
             return
         backoff_s = statement.backoff_until_s - self._clock.monotonic_s()
         logs.write(
@@ -113,7 +113,7 @@
         taken_s: float,
     ) -> None:
         """Log that an attempt failed."""
-        if not self._failed.allows():
+        if not self._failure_lines.allows():
             return
         logs.write(
             events.AttemptFailed(
@@ -137,13 +137,13 @@
         is_plain = end.outcome is events.Outcome.ANSWERED
         if request is not None and is_plain and request.attempts == 1:
             return
-        if self._failed.allows():
+        if self._failure_lines.allows():
             logs.write(self._ended_line(request_id, request, end))
 
     def log_dropped(self) -> None:
         """Log how many lines were dropped since the last call, if any."""
-        sent = self._sent.pop_dropped_count()
-        failed = self._failed.pop_dropped_count()
+        sent = self._attempt_lines.pop_dropped_count()
+        failed = self._failure_lines.pop_dropped_count()
         if sent or failed:
             logs.write(events.LinesDropped(sent=sent, failed=failed))
 
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -77,7 +77,7 @@
         self.on_outcome: Callable[[bool], None] = _ignore_outcome
         self.shares_zone = False
         self.unreachable_zones: frozenset[ids.ZoneName] = frozenset()
-        self._overlooked = exploration.Explorer(clock, min_used_share)
+        self._explorer = exploration.Explorer(clock, min_used_share)
         self._typical_answer_bytes = 0.0
         self._hedge_delay = hedging.HedgeDelay(_HEDGE_PERCENTILE)
         # No floor: each of many daemons with a few requests would use it, so
@@ -182,7 +182,7 @@
         self._typical_answer_bytes += _SMOOTHING * deviation_bytes
         record.estimate.answered(self._clock.monotonic_s())
         record.belief_source = target_record.ObservationSource.OWN
-        self._overlooked.recent.record(is_failure=False)
+        self._explorer.recent.record(is_failure=False)
         record.is_exploration = False
         self.on_outcome(True)
         record.record_latency(latency_s, self.typical_latency_s)
@@ -225,13 +225,13 @@
         # were given up don't count either: the request was served by another
         # attempt, or its caller left.
         if not record.is_exploration and not is_given_up:
-            self._overlooked.recent.record(is_failure=True)
+            self._explorer.recent.record(is_failure=True)
         record.is_exploration = False
         self.on_outcome(False)
 
     def refused(self) -> None:
         """Record that a request was refused because no target could run it."""
-        self._overlooked.recent.record(is_failure=True)
+        self._explorer.recent.record(is_failure=True)
 
     def mark_full(self, record: target_record.TargetRecord) -> None:
         """Record that the target refused a request for want of a free slot."""
@@ -294,9 +294,7 @@
             shares_zone=self.shares_zone,
             unreachable_zones=self.unreachable_zones,
         )
-        to_explore = self._overlooked.find(
-            free, accepting, requirements, context
-        )
+        to_explore = self._explorer.find(free, accepting, requirements, context)
         chosen = to_explore or target_cost.cheapest(
             free,
             untried,
--- a/libraries/entry/tests/cover/test_entry_customers.py
+++ b/libraries/entry/tests/cover/test_entry_customers.py
@@ -332,7 +332,7 @@
     pool = customer_entry.shared.services.pool(support.SERVICE)
     for _ in range(7):
         assert (await customer_entry.ask(**with_key()))[0] == 200
-    assert not pool._overlooked.recent.exceed_limit()
+    assert not pool._explorer.recent.exceed_limit()
     for _ in range(2):
         assert (await customer_entry.ask(**with_key()))[0] == 429
-    assert pool._overlooked.recent.exceed_limit()
+    assert pool._explorer.recent.exceed_limit()
--- a/libraries/entry/tests/cover/test_entry_idle_targets.py
+++ b/libraries/entry/tests/cover/test_entry_idle_targets.py
@@ -203,7 +203,7 @@
         status, _, _ = await entry.ask(f'/once/{number}')
         assert status == 503
     pool = entry.shared.services.pool(support.SERVICE)
-    assert pool._overlooked.recent.exceed_limit()
+    assert pool._explorer.recent.exceed_limit()
 
 
 def test_the_installation_s_share_reaches_each_service():
@@ -215,7 +215,7 @@
         failure_estimate.EstimateOptions(),
         0.5,
     )
-    threshold = services.pool(support.SERVICE)._overlooked._threshold
+    threshold = services.pool(support.SERVICE)._explorer._threshold
     assert threshold._idle_share == pytest.approx(0.4)
 
 
@@ -265,7 +265,7 @@
         record = send_final(pool, clock)
         assert record.listed.target_id == 't2'
         pool.failed(record, 0)
-    assert not pool._overlooked.recent.exceed_limit()
+    assert not pool._explorer.recent.exceed_limit()
 
 
 def test_as_many_may_be_idle_as_the_installation_allows():
--- a/libraries/entry/tests/cover/test_entry_lines.py
+++ b/libraries/entry/tests/cover/test_entry_lines.py
@@ -153,7 +153,7 @@
         entry.shared.clock,
     )
     end = decision_log.End(events.Outcome.REFUSED, 503, 'NoTargetError', 'none')
-    allowed = [decisions._sent.allows() for _ in range(121)]
+    allowed = [decisions._attempt_lines.allows() for _ in range(121)]
     assert not allowed[-1]
     decisions.log_ended('id-2', None, end)
     assert lines.of('request-ended')[0]['request_id'] == 'id-2'
