--- a/libraries/routing/src/sardinepier/routing/in_flight.py
+++ b/libraries/routing/src/sardinepier/routing/in_flight.py
@@ -276,7 +276,7 @@
             record = self._records.find(target_id)
             if record is not None:
                 self._update(record)
-        if self._peers.fade(now_s):
+        if self._peers.update_weights(now_s):
             self._refresh_peers()
 
     def _refresh_peers(self) -> None:
--- a/libraries/routing/src/sardinepier/routing/internal/peer_counts.py
+++ b/libraries/routing/src/sardinepier/routing/internal/peer_counts.py
@@ -7,7 +7,7 @@
 from sardinepier.core import ids
 from sardinepier.routing.internal import home_slots
 
-_FADE_STEP_S: Final = 0.05
+_MIN_UPDATE_INTERVAL_S: Final = 0.05
 """Minimum interval between updates of the weights of reports."""
 
 _ROUNDING: Final = 1e-6
@@ -43,7 +43,7 @@
         # A dictionary instead of a set, whose order differs between processes:
         # the same seed has to give the same choices.
         self._changed: dict[ids.TargetId, None] = {}
-        self._next_fade_s = 0.0
+        self._next_update_s = 0.0
 
     @property
     def names(self) -> Collection[ids.InstanceId]:
@@ -91,11 +91,11 @@
         self._changed.clear()
         return changed
 
-    def fade(self, now_s: float) -> bool:
+    def update_weights(self, now_s: float) -> bool:
         """Reduce the weights of aging reports; return whether a count changed."""
-        if now_s < self._next_fade_s:
+        if now_s < self._next_update_s:
             return False
-        self._next_fade_s = now_s + _FADE_STEP_S
+        self._next_update_s = now_s + _MIN_UPDATE_INTERVAL_S
         for peer in self._peers.values():
             weight = self._weight(now_s - peer.received_s)
             if weight < peer.weight:
--- a/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
+++ b/libraries/routing/src/sardinepier/routing/internal/peer_liveness.py
@@ -7,8 +7,8 @@
 from sardinepier.core import ids
 
 _EXPIRY_S: Final = 30.0
-"""A silent daemon counts as gone after this time, unless a successor reports
-earlier. Until then it may be cut off together with callers that it serves."""
+"""A silent daemon counts as gone after this time, or earlier if a successor
+reports. It may be cut off together with its callers and still serve them."""
 
 _REPLACED_S: Final = 2.0
 """A silent daemon counts as replaced if another daemon of its zone reports
