--- a/libraries/zones/tests/cover/test_zones_usage.py
+++ b/libraries/zones/tests/cover/test_zones_usage.py
@@ -78,7 +78,7 @@
     first, second = carriers_of(zone)
     await send_requests(zone, (first, second), 3.0)
     first.services.limits.receives_updates = False
-    assert first.services.limits._knows_others(zone.clock.monotonic_s())
+    assert first.services.limits._has_recent_reports(zone.clock.monotonic_s())
 
 
 async def test_without_limits_no_usage_is_sent(monkeypatch):
