--- a/libraries/entry/src/sardinepier/entry/attempt_requirements.py
+++ b/libraries/entry/src/sardinepier/entry/attempt_requirements.py
@@ -10,7 +10,7 @@
 """Additional failure probability that is accepted without any wait: a slot of
 the best target comes free within a tenth of a second."""
 
-_MIN_TIMEOUT_S: Final = 0.01
+_MIN_WAIT_S: Final = 0.01
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,6 +31,6 @@
 
     def tolerance(self, now_s: float) -> float:
         """Return by how much the target may cost more than the best one."""
-        timeout_s = max(_MIN_TIMEOUT_S, self.prefer_best_until_s - self.since_s)
-        waited = (now_s - self.since_s) / timeout_s
-        return _TOLERANCE + max(0.0, waited)
+        wait_s = max(_MIN_WAIT_S, self.prefer_best_until_s - self.since_s)
+        waited_share = (now_s - self.since_s) / wait_s
+        return _TOLERANCE + max(0.0, waited_share)
--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -26,7 +26,7 @@
 
 _FAILURE_LINES_PER_S: Final = 120.0
 _BURST_S: Final = 2.0
-"""Seconds of the average rate that may be written at once."""
+"""Seconds' worth of lines at these rates that may be written at once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libraries/entry/src/sardinepier/entry/forwarding.py
+++ b/libraries/entry/src/sardinepier/entry/forwarding.py
@@ -23,7 +23,7 @@
 from sardinepier.gateway import errors
 from sardinepier.routing import admission
 
-_TIMEOUT_SHARE: Final = 0.3
+_WAIT_SHARE: Final = 0.3
 """Share of a route's target latency for which a request waits for the best
 target. The remainder is enough for the processing itself."""
 
@@ -189,12 +189,12 @@
     pool: service_pool.ServicePool,
     history: retries.AttemptHistory,
 ) -> attempt_requirements.AttemptRequirements:
-    timeout_s = _TIMEOUT_SHARE * request.route.target_latency_s
+    wait_s = _WAIT_SHARE * request.route.target_latency_s
     return attempt_requirements.AttemptRequirements(
         history.tried,
         len(request.body),
         request.arrived_s,
-        request.arrived_s + timeout_s,
+        request.arrived_s + wait_s,
         is_final_attempt=not retries.could_retry(request, pool, history),
     )
 
--- a/libraries/entry/src/sardinepier/entry/idle_threshold.py
+++ b/libraries/entry/src/sardinepier/entry/idle_threshold.py
@@ -56,10 +56,10 @@
         """Return the threshold for the targets of the service."""
         if context.now_s >= self._recompute_at_s:
             self._recompute_at_s = context.now_s + _RECOMPUTE_INTERVAL_S
-            self._probability = self._computed(records, context)
+            self._probability = self._compute(records, context)
         return self._probability
 
-    def _computed(
+    def _compute(
         self,
         records: Iterable[target_record.TargetRecord],
         context: target_cost.SelectionContext,
--- a/libraries/entry/src/sardinepier/entry/retries.py
+++ b/libraries/entry/src/sardinepier/entry/retries.py
@@ -86,9 +86,9 @@
     pool: service_pool.ServicePool,
     history: AttemptHistory,
 ) -> bool:
-    """Return whether an attempt that fails now could be retried.
+    """Return whether a retry could follow if the next attempt fails.
 
-    Nothing of the retry budget is spent.
+    This spends nothing of the retry budget.
     """
     if not has_attempts_left(request, history.ran + 1):
         return False
@@ -101,7 +101,7 @@
     history: AttemptHistory,
     error: errors.GatewayError,
 ) -> bool:
-    """Decide on a retry after ``error``; spends of the retry budget."""
+    """Decide on a retry after ``error``, and spend the retry budget for it."""
     if request.is_abandoned:
         return False
     if isinstance(error, errors.AnswerOverdueError):
@@ -122,7 +122,7 @@
     pool: service_pool.ServicePool,
     history: AttemptHistory,
 ) -> bool:
-    """Decide on a retry of a request that ran; spends of the retry budget."""
+    """Decide on a retry of a request that may have run, and spend for it."""
     if not has_attempts_left(request, history.ran):
         return False
     return pool.retry_budget.try_spend()
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -50,7 +50,7 @@
 
 
 class ServicePool:
-    """Chooses targets of one service and learns from what they answer.
+    """Selects targets of one service and learns from their outcomes.
 
     For example::
 
@@ -318,7 +318,7 @@
 
 def _no_target(pool: ServicePool) -> refusals.NoTargetError:
     return refusals.NoTargetError(
-        f'Service {pool.name} has no target that may take this request',
+        f'Service {pool.name} has no target that accepts this request',
         'Send it again after the stated time',
         pool.retry_after_s(),
     )
--- a/libraries/entry/src/sardinepier/entry/service_registry.py
+++ b/libraries/entry/src/sardinepier/entry/service_registry.py
@@ -74,12 +74,12 @@
         self._clock = clock
         self._random = random_source
         self._retry_percent = retry_percent
-        self.belief_options = options
+        self.estimate_options = options
         self._min_used_share = min_used_share
         self._retry_burst = 0.0
         self._shares_zone = False
-        self._lost_zones: frozenset[ids.ZoneName] = frozenset()
-        self._starts = incarnations.NewestIncarnations()
+        self._unreachable_zones: frozenset[ids.ZoneName] = frozenset()
+        self._incarnations = incarnations.NewestIncarnations()
         self._has_table = asyncio.Event()
         self._table: route_table.RouteTable | None = None
         self._pools: dict[ids.ServiceName, service_pool.ServicePool] = {}
@@ -125,7 +125,7 @@
         by_service: dict[ids.ServiceName, list[model.ListedTarget]] = {
             name: [] for name in self._pools
         }
-        for target in self._starts.keep_newest(offered.targets):
+        for target in self._incarnations.keep_newest(offered.targets):
             by_service.setdefault(target.service, []).append(target)
         for name, listed in by_service.items():
             self.pool(name).set_targets(listed)
@@ -141,12 +141,12 @@
                 self._clock,
                 self._random,
                 self._retry_percent,
-                self.belief_options,
+                self.estimate_options,
                 self._min_used_share,
             )
             pool.retry_budget.set_burst(self._retry_burst)
             pool.shares_zone = self._shares_zone
-            pool.unreachable_zones = self._lost_zones
+            pool.unreachable_zones = self._unreachable_zones
             pool.on_outcome = self.on_outcome
             self._pools[name] = pool
         return pool
@@ -165,7 +165,7 @@
 
     def set_unreachable_zones(self, zones: frozenset[ids.ZoneName]) -> None:
         """Explore targets of these zones, too, as no daemon there does."""
-        self._lost_zones = zones
+        self._unreachable_zones = zones
         for pool in self._pools.values():
             pool.unreachable_zones = zones
 
@@ -190,8 +190,8 @@
         """Return the routes in force; raise ``NotConfiguredError``."""
         if self._table is None:
             raise refusals.NotConfiguredError(
-                'This daemon knows no configuration yet',
-                'Ask again after the stated time, or ask another daemon',
+                'This daemon has no configuration yet',
+                'Retry after the stated time, or at another daemon',
                 _RETRY_AFTER_S,
             )
         return self._table
--- a/libraries/entry/src/sardinepier/entry/target_record.py
+++ b/libraries/entry/src/sardinepier/entry/target_record.py
@@ -14,9 +14,9 @@
 """Weight of the newest latency: about the last five determine the average."""
 
 _OVERDUE_FACTOR: Final = 4.0
-"""An attempt that takes this multiple of the typical latency has more likely
-hung than a long processing time. Measured processing times were below three
-times their mean in 99 of 100 requests."""
+"""An attempt that takes this multiple of the typical latency is more likely
+hung than still being processed. Measured processing times were below three times
+their mean in 99 of 100 requests."""
 
 _MIN_OVERDUE_S: Final = 0.5
 _OVERDUE_PROBABILITY: Final = 0.6
--- a/libraries/entry/src/sardinepier/entry/target_table.py
+++ b/libraries/entry/src/sardinepier/entry/target_table.py
@@ -77,12 +77,12 @@
         if self._records.get(record.listed.target_id) is not record:
             raise errors.TargetLeftError(
                 f'The target {record.listed.target_id} has just left',
-                'Send the request to another one',
+                'Send the request to another target',
             )
         if record.statements.is_backing_off(self._clock.monotonic_s()):
             raise errors.TargetRestsError(
                 f'The target {record.listed.target_id} asked for a backoff',
-                'Send the request to another one',
+                'Send the request to another target',
             )
 
     def records(self) -> Collection[target_record.TargetRecord]:
--- a/libraries/zones/src/sardinepier/zones/estimate_updates.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_updates.py
@@ -73,7 +73,7 @@
         sent = self._sent.get(estimate.target_id)
         if sent is None:
             sent = failure_estimate.FailureEstimate(
-                self._services.belief_options, now_s
+                self._services.estimate_options, now_s
             )
             self._sent[estimate.target_id] = sent
         elif (
