--- a/libraries/cli/src/sardinepier/cli/__init__.py
+++ b/libraries/cli/src/sardinepier/cli/__init__.py
@@ -1,1 +1,1 @@
-"""sardinepier: the command-line tool."""
+"""The command-line tool ``sardinepier``."""
--- a/libraries/cli/src/sardinepier/cli/addresses.py
+++ b/libraries/cli/src/sardinepier/cli/addresses.py
@@ -1,4 +1,4 @@
-"""``sardinepier addresses``: which daemons a caller should use."""
+"""``sardinepier addresses``: the daemons that a caller should use."""
 
 import msgspec
 from sardinepier.cli import answers, client, context, endpoints, exit_codes
@@ -6,29 +6,29 @@
 
 
 class AddressesReport(msgspec.Struct, frozen=True):
-    """The addresses of one service and how long they are good."""
+    """The addresses for one service and how long they are valid."""
 
     service: str
     addresses: tuple[answers.Address, ...]
     valid_s: float
 
     def lines(self) -> tuple[str, ...]:
-        """Return a table and the time for which it holds."""
+        """Return a table of the addresses and how long they are valid."""
         if not self.addresses:
             return ()
         return (
             *tables.table(
                 ('ADDRESS', 'ZONE', 'TICKET'),
                 [
-                    (f'{endpoint_of(each)}', each.zone, each.ticket)
-                    for each in self.addresses
+                    (f'{endpoint_of(address)}', address.zone, address.ticket)
+                    for address in self.addresses
                 ],
             ),
             f'good for {self.valid_s:g} s',
         )
 
     def diagnostics(self) -> tuple[str, ...]:
-        """Say so when there is no address."""
+        """Return a message when there is no address."""
         if self.addresses:
             return ()
         return (
@@ -37,14 +37,14 @@
         )
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """Having no address is a negative result."""
+        """Return ``NEGATIVE`` when there is no address."""
         if self.addresses:
             return exit_codes.ExitCode.OK
         return exit_codes.ExitCode.NEGATIVE
 
 
 def endpoint_of(address: answers.Address) -> endpoints.Endpoint:
-    """Return where to connect."""
+    """Return the endpoint to connect to."""
     return endpoints.Endpoint(address.ip, address.port)
 
 
@@ -55,7 +55,10 @@
     timeout_s: float,
     _: context.Context,
 ) -> AddressesReport:
-    """Ask ``daemon``; raises the errors of ``client.DaemonClient.get``."""
+    """Ask ``daemon`` for addresses.
+
+    Raises the errors of ``client.DaemonClient.get``.
+    """
     async with client.open_session(timeout_s) as session:
         answer = await client.DaemonClient(session).addresses(
             daemon,
--- a/libraries/cli/src/sardinepier/cli/answers.py
+++ b/libraries/cli/src/sardinepier/cli/answers.py
@@ -1,10 +1,10 @@
-"""What a daemon answers at its own paths, apart from telemetry's documents."""
+"""Answers of a daemon's own paths, except the documents of telemetry."""
 
 import msgspec
 
 
 class Address(msgspec.Struct, frozen=True):
-    """A daemon to which a caller may connect, with a ticket of that daemon."""
+    """The address of a daemon for a caller, with a ticket of that daemon."""
 
     ip: str
     port: int
@@ -13,14 +13,14 @@
 
 
 class AddressesAnswer(msgspec.Struct, frozen=True):
-    """The answer of ``/v1/addresses``, good for ``valid_s`` seconds."""
+    """The answer of ``/v1/addresses``, valid for ``valid_s`` seconds."""
 
     addresses: tuple[Address, ...]
     valid_s: float
 
 
 class ProblemDocument(msgspec.Struct, frozen=True):
-    """The members of ``application/problem+json`` that are shown."""
+    """The members of ``application/problem+json`` that the tool shows."""
 
     title: str = ''
     detail: str = ''
@@ -28,12 +28,12 @@
 
 
 def parse_addresses(text: bytes) -> AddressesAnswer:
-    """Read an answer; raises ``msgspec.DecodeError``."""
+    """Decode an answer; raises ``msgspec.DecodeError``."""
     return msgspec.json.decode(text, type=AddressesAnswer)
 
 
 def parse_problem(text: bytes) -> ProblemDocument:
-    """Read a problem document; anything else is an empty one."""
+    """Decode a problem document; return an empty one for other content."""
     try:
         return msgspec.json.decode(text, type=ProblemDocument)
     except msgspec.DecodeError:
--- a/libraries/cli/src/sardinepier/cli/check.py
+++ b/libraries/cli/src/sardinepier/cli/check.py
@@ -1,4 +1,4 @@
-"""``sardinepier check``: every mistake of some settings files at once."""
+"""``sardinepier check``: reports all mistakes of settings files at once."""
 
 import dataclasses
 import re
@@ -33,7 +33,7 @@
 
 
 class FileReport(msgspec.Struct, frozen=True):
-    """One file; ``kind`` is empty when its first section tells none."""
+    """One file; ``kind`` is empty when its first section names no kind."""
 
     file: str
     kind: str
@@ -41,57 +41,64 @@
 
 
 class CheckReport(msgspec.Struct, frozen=True):
-    """All files, and the mistakes that show only between them."""
+    """All files, and in ``together`` the mistakes between files."""
 
     files: tuple[FileReport, ...]
     together: tuple[FileReport, ...]
 
     def lines(self) -> tuple[str, ...]:
         """Return a line for each file and one for each mistake."""
-        written = []
-        for found in (*self.files, *self.together):
-            written.append(_headline(found))
-            written.extend(tables.indented(map(_line, found.problems)))
-        return tuple(written)
+        lines = []
+        for file_report in (*self.files, *self.together):
+            lines.append(_headline(file_report))
+            lines.extend(
+                tables.indented(map(_mistake_line, file_report.problems))
+            )
+        return tuple(lines)
 
     def diagnostics(self) -> tuple[str, ...]:
-        """Mistakes are the result, not trouble on the way to it."""
+        """Return nothing: mistakes are the report itself."""
         return ()
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """A mistake anywhere is a negative result."""
-        if any(each.problems for each in (*self.files, *self.together)):
+        """Return ``NEGATIVE`` when any file has a mistake."""
+        if any(
+            file_report.problems
+            for file_report in (*self.files, *self.together)
+        ):
             return exit_codes.ExitCode.NEGATIVE
         return exit_codes.ExitCode.OK
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Read:
+class _CheckedFile:
     report: FileReport
     settings: Checked | None = None
 
 
 async def report(paths: Iterable[str], _: context.Context) -> CheckReport:
-    """Check each file alone, and then those that are right together."""
-    read = [_read(path) for path in dict.fromkeys(paths)]
+    """Check each file by itself, then the valid files against each other."""
+    checked_files = [_check_file(path) for path in dict.fromkeys(paths)]
     return CheckReport(
-        tuple(each.report for each in read),
-        _grouped(_find_between(read)),
+        tuple(checked_file.report for checked_file in checked_files),
+        _group_by_source(_find_cross_file_problems(checked_files)),
     )
 
 
-def _read(path: str) -> _Read:
+def _check_file(path: str) -> _CheckedFile:
     kind = ''
     try:
         text = parsing.read_text(path)
         kind = _kind_of(text, path)
-        return _Read(FileReport(path, kind, ()), _PARSERS[kind](text, path))
-    except settings_errors.InvalidSettingsError as invalid:
-        problems = tuple(map(_mistake, invalid.problems))
-        return _Read(FileReport(path, kind, problems))
-    except core_errors.SardinepierError as failure:
-        mistake = Mistake(None, None, failure.what, failure.remedy)
-        return _Read(FileReport(path, kind, (mistake,)))
+        return _CheckedFile(
+            FileReport(path, kind, ()), _PARSERS[kind](text, path)
+        )
+    except settings_errors.InvalidSettingsError as error:
+        problems = tuple(map(_mistake, error.problems))
+        return _CheckedFile(FileReport(path, kind, problems))
+    except core_errors.SardinepierError as error:
+        mistake = Mistake(None, None, error.what, error.remedy)
+        return _CheckedFile(FileReport(path, kind, (mistake,)))
 
 
 def _kind_of(text: str, path: str) -> str:
@@ -113,11 +120,19 @@
     )
 
 
-def _find_between(read: Iterable[_Read]) -> Iterable[settings_errors.Problem]:
-    right = [each.settings for each in read]
-    fleets = [each for each in right if isinstance(each, model.FleetSettings)]
+def _find_cross_file_problems(
+    checked_files: Iterable[_CheckedFile],
+) -> Iterable[settings_errors.Problem]:
+    valid_settings = [checked_file.settings for checked_file in checked_files]
+    fleets = [
+        settings
+        for settings in valid_settings
+        if isinstance(settings, model.FleetSettings)
+    ]
     services = tuple(
-        each for each in right if isinstance(each, model.ServiceSettings)
+        settings
+        for settings in valid_settings
+        if isinstance(settings, model.ServiceSettings)
     )
     if len(fleets) > 1:
         yield settings_errors.Problem(
@@ -129,12 +144,12 @@
         )
     for fleet in fleets[:1]:
         yield from parsing.check_across_files(fleet, services)
-        for instance in right:
+        for instance in valid_settings:
             if isinstance(instance, model.InstanceSettings):
                 yield from parsing.check_instance(instance, fleet)
 
 
-def _grouped(
+def _group_by_source(
     problems: Iterable[settings_errors.Problem],
 ) -> tuple[FileReport, ...]:
     by_source: dict[str, list[Mistake]] = {}
@@ -155,14 +170,14 @@
     )
 
 
-def _headline(found: FileReport) -> str:
-    kind = found.kind or 'unknown kind'
-    if found.problems:
-        return f'{found.file} ({kind}): {len(found.problems)} problem(s)'
-    return f'{found.file} ({kind}): ok'
+def _headline(checked: FileReport) -> str:
+    kind = checked.kind or 'unknown kind'
+    if checked.problems:
+        return f'{checked.file} ({kind}): {len(checked.problems)} problem(s)'
+    return f'{checked.file} ({kind}): ok'
 
 
-def _line(mistake: Mistake) -> str:
+def _mistake_line(mistake: Mistake) -> str:
     place = ''
     if mistake.section is not None:
         place = f'[{mistake.section}] '
--- a/libraries/cli/src/sardinepier/cli/client.py
+++ b/libraries/cli/src/sardinepier/cli/client.py
@@ -1,4 +1,4 @@
-"""Questions to a daemon over HTTP, with typed answers and typed failures."""
+"""An HTTP client for a daemon's own paths, with typed answers and errors."""
 
 import asyncio
 import contextlib
@@ -19,16 +19,16 @@
 Query = Mapping[str, str]
 
 EXCHANGE_ERRORS: Final = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-"""All ways in which an exchange ends without a whole answer."""
+"""The errors of an exchange that ended without a whole answer."""
 
 
 @contextlib.asynccontextmanager
 async def open_session(
     timeout_s: float,
 ) -> AsyncIterator[aiohttp.ClientSession]:
-    """Open a session whose every exchange ends within ``timeout_s``.
+    """Open a session in which each exchange has the timeout ``timeout_s``.
 
-    Each exchange has a connection of its own: one command makes few.
+    Each exchange opens a new connection, since a command makes only a few.
     """
     connector = aiohttp.TCPConnector(force_close=True)
     async with aiohttp.ClientSession(
@@ -39,10 +39,10 @@
 
 
 class DaemonClient:
-    """Asks daemons at their own paths."""
+    """Sends requests to the daemons' own paths."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
-        """Ask over ``session``, which the caller closes."""
+        """Use ``session``, which remains open."""
         self._session = session
 
     async def addresses(
@@ -51,7 +51,7 @@
         service: str,
         zone: str,
     ) -> answers.AddressesAnswer:
-        """Ask for the addresses of ``service``, near ``zone`` if not empty.
+        """Get addresses for ``service``, near ``zone`` unless it is empty.
 
         Raises the errors of :meth:`get`.
         """
@@ -72,19 +72,20 @@
         query: Query,
         decode: Callable[[bytes], Answer],
     ) -> Answer:
-        """Return what ``decode`` makes of the answer of ``daemon``.
+        """Return the answer of ``daemon``, decoded by ``decode``.
 
-        Raises ``UnreachableDaemonError`` when no whole answer came,
-        ``RefusedError`` when the daemon refused, and ``BadAnswerError`` when
-        ``decode`` raises ``msgspec.DecodeError``.
+        Raises ``UnreachableDaemonError`` when no whole answer arrived,
+        ``RefusedError`` when the daemon answered with an error and a reason,
+        and ``BadAnswerError`` for any other error and when ``decode`` raises
+        ``msgspec.DecodeError``.
         """
         try:
             status, text = await self._fetch(daemon, path, query)
-        except EXCHANGE_ERRORS as problem:
+        except EXCHANGE_ERRORS as error:
             raise errors.UnreachableDaemonError(
-                f'{daemon} gave no whole answer ({describe(problem)})',
+                f'{daemon} gave no whole answer ({describe(error)})',
                 'Check the address, and that the daemon runs',
-            ) from problem
+            ) from error
         if status != _OK:
             raise _refusal(daemon, status, text)
         return _decoded(daemon, text, decode)
@@ -109,8 +110,8 @@
     Raises :class:`errors.BadAnswerError` when it is over 64 MiB.
     """
     body = bytearray()
-    async for part in answer.content.iter_any():
-        body.extend(part)
+    async for chunk in answer.content.iter_any():
+        body.extend(chunk)
         if len(body) > _MAX_ANSWER_BYTES:
             raise errors.BadAnswerError(
                 f'The answer is longer than {_MAX_ANSWER_BYTES} bytes',
@@ -119,13 +120,13 @@
     return bytes(body)
 
 
-def describe(problem: BaseException) -> str:
-    """Return a short reason for a lost exchange."""
-    if isinstance(problem, asyncio.TimeoutError):
+def describe(error: BaseException) -> str:
+    """Return a short reason for a failed exchange."""
+    if isinstance(error, asyncio.TimeoutError):
         return 'out of time'
-    if isinstance(problem, aiohttp.ClientConnectorError):
-        return os.strerror(problem.os_error.errno or errno.ECONNREFUSED)
-    return str(problem) or type(problem).__name__
+    if isinstance(error, aiohttp.ClientConnectorError):
+        return os.strerror(error.os_error.errno or errno.ECONNREFUSED)
+    return str(error) or type(error).__name__
 
 
 def _refusal(
@@ -153,8 +154,8 @@
 ) -> Answer:
     try:
         return decode(text)
-    except msgspec.DecodeError as problem:
+    except msgspec.DecodeError as error:
         raise errors.BadAnswerError(
-            f'{daemon} gave an answer that is not understood ({problem})',
+            f'{daemon} gave an answer that is not understood ({error})',
             'Use a tool of the same version as the daemon',
-        ) from problem
+        ) from error
--- a/libraries/cli/src/sardinepier/cli/commands.py
+++ b/libraries/cli/src/sardinepier/cli/commands.py
@@ -1,6 +1,6 @@
-"""The commands as the command line sees them.
+"""The commands of the command line, their options and help texts.
 
-A command only checks its arguments and returns an ``Invocation``.
+A command only validates its arguments and returns an ``Invocation``.
 """
 
 import functools
@@ -18,7 +18,7 @@
 from sardinepier.cli.from_files import explain, log_timeline
 from sardinepier.cli.internal import options
 
-_INTERVAL_S: Final = 1.0
+_POLL_INTERVAL_S: Final = 1.0
 _FOLLOW_S: Final = 60.0
 _TIMEOUT_S: Final = 5.0
 _CALLER_HEADER: Final = 'Sardinepier-Caller'
@@ -135,21 +135,21 @@
                     picture,
                 ),
             )
-        asked = endpoints.parse_endpoints(daemons)
+        daemon_endpoints = endpoints.parse_endpoints(daemons)
         after = options.since(since)
         execute: invocations.Execute = functools.partial(
             timeline.report,
-            asked,
+            daemon_endpoints,
             after,
             self._timeout_s,
         )
         if follow:
             execute = functools.partial(
                 timeline.follow,
-                asked,
+                daemon_endpoints,
                 after,
                 self._timeout_s,
-                timeline.FollowOptions(for_s, _INTERVAL_S, not self._json),
+                timeline.FollowOptions(for_s, _POLL_INTERVAL_S, not self._json),
             )
         return self._invocation(execute)
 
@@ -193,7 +193,7 @@
             caller: The name under which the request counts.
             once: Send with a key, for a request that must not run twice.
         """
-        asked = endpoints.parse_endpoint(daemon)
+        daemon_endpoint = endpoints.parse_endpoint(daemon)
         headers = request.body_headers(body)
         if caller:
             headers[self._caller_header] = options.header_value(caller)
@@ -208,7 +208,9 @@
         )
 
         return self._invocation(
-            functools.partial(request.report, asked, spec, self._timeout_s),
+            functools.partial(
+                request.report, daemon_endpoint, spec, self._timeout_s
+            ),
         )
 
     def _invocation(
--- a/libraries/cli/src/sardinepier/cli/context.py
+++ b/libraries/cli/src/sardinepier/cli/context.py
@@ -1,4 +1,4 @@
-"""What a command uses of the world around it, replaced in tests."""
+"""The external dependencies of a command, which tests replace."""
 
 import asyncio
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 def write_output(line: str) -> None:
-    """Write one line to standard output, at once."""
+    """Write one line to standard output and flush it."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
@@ -24,8 +24,9 @@
 class Context:
     """Clock, sleep, random source and output of a command.
 
-    ``random_source`` makes the unique part of a key, so by default it is the
-    operating system's: two tools started at once must not agree.
+    ``random_source`` generates the unique part of an idempotency key. The
+    default is the operating system's, so that two tools started at the same
+    time generate different keys.
     """
 
     clock: clocks.Clock = dataclasses.field(
--- a/libraries/cli/src/sardinepier/cli/endpoints.py
+++ b/libraries/cli/src/sardinepier/cli/endpoints.py
@@ -1,4 +1,4 @@
-"""Addresses of daemons on the command line: ``IP:PORT``."""
+"""Parses addresses of daemons on the command line: ``IP:PORT``."""
 
 import ipaddress
 from typing import Final
@@ -14,7 +14,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, order=True):
-    """Where a daemon serves HTTP."""
+    """The address at which a daemon serves HTTP."""
 
     ip: str
     port: int
@@ -29,17 +29,17 @@
 def parse_endpoint(text: str) -> Endpoint:
     """Return the endpoint that ``text`` names.
 
-    Raises :class:`errors.UsageError` for anything but ``IP:PORT``: names are
-    not looked up, because daemons are addressed by IP numbers.
+    Raises :class:`errors.UsageError` for anything but ``IP:PORT``. Host names
+    are not resolved, because daemons are addressed by IP address.
     """
     host, _, port = text.strip().rpartition(':')
     return Endpoint(_parse_ip(host, text), _parse_port(port, text))
 
 
 def parse_endpoints(text: str) -> tuple[Endpoint, ...]:
-    """Return the endpoints of a list with commas, each once, in order.
+    """Return the endpoints of a comma-separated list, without duplicates.
 
-    Raises :class:`errors.UsageError` when one is wrong or there is none.
+    Raises :class:`errors.UsageError` for an invalid endpoint or an empty list.
     """
     parts = [part for part in text.split(',') if part.strip()]
     if not parts:
@@ -48,22 +48,22 @@
 
 
 def _parse_ip(host: str, text: str) -> str:
-    bracketed = host.startswith('[') and host.endswith(']')
+    is_bracketed = host.startswith('[') and host.endswith(']')
     try:
         parsed = ipaddress.ip_address(host.strip('[]'))
-    except ValueError as problem:
-        raise _not_an_endpoint(text) from problem
-    if bracketed is not (parsed.version == _IPV6):
-        raise _not_an_endpoint(text)
+    except ValueError as error:
+        raise _invalid_endpoint(text) from error
+    if is_bracketed is not (parsed.version == _IPV6):
+        raise _invalid_endpoint(text)
     return str(parsed)
 
 
 def _parse_port(port: str, text: str) -> int:
-    valid = port.isascii() and port.isdecimal() and len(port) < 6
-    if not valid or not 0 < int(port) <= _MAX_PORT:
-        raise _not_an_endpoint(text)
+    is_number = port.isascii() and port.isdecimal() and len(port) < 6
+    if not is_number or not 0 < int(port) <= _MAX_PORT:
+        raise _invalid_endpoint(text)
     return int(port)
 
 
-def _not_an_endpoint(text: str) -> errors.UsageError:
+def _invalid_endpoint(text: str) -> errors.UsageError:
     return errors.UsageError(f'{text!r} is not an address', _REMEDY)
--- a/libraries/cli/src/sardinepier/cli/errors.py
+++ b/libraries/cli/src/sardinepier/cli/errors.py
@@ -1,23 +1,23 @@
-"""Failures of the command-line tool, each with its exit code."""
+"""Errors of the command-line tool, each with its exit code."""
 
 from sardinepier.cli import exit_codes
 from sardinepier.core import errors
 
 
 class CommandError(errors.SardinepierError):
-    """Root of the failures; a subclass sets the exit code."""
+    """Base of the errors; subclasses set the exit code."""
 
     exit_code = exit_codes.ExitCode.INTERNAL
 
 
 class UsageError(CommandError):
-    """The command line is wrong."""
+    """The command line is invalid."""
 
     exit_code = exit_codes.ExitCode.USAGE
 
 
 class RefusedError(CommandError):
-    """A daemon answered with a refusal."""
+    """A daemon refused a request, or knows no address for it."""
 
     exit_code = exit_codes.ExitCode.NEGATIVE
 
@@ -29,6 +29,6 @@
 
 
 class BadAnswerError(CommandError):
-    """What answered is not a daemon that this tool understands."""
+    """The answer isn't that of a daemon, or of an unsupported version."""
 
     exit_code = exit_codes.ExitCode.NO_ANSWER
--- a/libraries/cli/src/sardinepier/cli/exit_codes.py
+++ b/libraries/cli/src/sardinepier/cli/exit_codes.py
@@ -4,21 +4,21 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a script can learn without reading the output."""
+    """The result of a command, for scripts that don't parse its output."""
 
     OK = 0
-    """The command did all it was asked, and the result is good."""
+    """The command succeeded, and its result is positive."""
 
     NEGATIVE = 1
     """A clear negative result: problems in a file, a refused request."""
 
     USAGE = 2
-    """The command line itself is wrong. Nothing was read or sent."""
+    """The command line is invalid. Nothing was read or sent."""
 
     NO_ANSWER = 3
-    """A daemon gave no answer, or a request's outcome is not known.
+    """A daemon gave no answer, or a request's outcome is unknown.
 
-    What the other daemons answered is still printed.
+    The answers of the other daemons are still printed.
     """
 
     INTERNAL = 4
--- a/libraries/cli/src/sardinepier/cli/from_files/__init__.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/__init__.py
@@ -1,1 +1,1 @@
-"""Commands that read log files of entry instances instead of asking daemons."""
+"""Commands that read log files instead of requesting data from daemons."""
--- a/libraries/cli/src/sardinepier/cli/from_files/explain.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/explain.py
@@ -1,4 +1,4 @@
-"""``sardinepier explain``: the life of one request, from log files."""
+"""``sardinepier explain``: reconstructs one request from log files."""
 
 import enum
 from collections.abc import Iterator, Mapping, Sequence
@@ -16,7 +16,7 @@
 _STOPPED: Final = 'stopped'
 _MS_PER_S: Final = 1000
 
-_BELIEFS: Final = (
+_STATE_EVENTS: Final = (
     _STARTED,
     'configuration-in-force',
     'targets-changed',
@@ -27,11 +27,11 @@
     'confirmation-lost',
     'confirmation-regained',
 )
-"""Events after which a daemon decides by something else."""
+"""Events that change the state by which a daemon makes decisions."""
 
 
 class Cause(enum.Enum):
-    """What became of a request, as far as the lines tell."""
+    """The outcome of a request, as far as the log lines show."""
 
     ANSWERED = 'answered'
     TARGET_FAILED = 'target_failed'
@@ -42,13 +42,13 @@
 
 
 class UnknownRequestError(errors.CommandError):
-    """No line of the files has the request."""
+    """No line of the files is about the request."""
 
     exit_code = exit_codes.ExitCode.NEGATIVE
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One line about the request; ``after_ms`` counts from the first one."""
+    """One line about the request, ``after_ms`` after the first one."""
 
     after_ms: int
     instance_id: str
@@ -56,8 +56,8 @@
     fields: dict[str, Any]
 
 
-class Known(msgspec.Struct, frozen=True):
-    """What a daemon knew when it first decided, ``age_ms`` old then."""
+class KnownEvent(msgspec.Struct, frozen=True):
+    """A daemon's last event of a kind, ``age_ms`` before its first step."""
 
     instance_id: str
     event: str
@@ -66,32 +66,32 @@
 
 
 class ExplainReport(msgspec.Struct, frozen=True):
-    """The request's steps, what its daemons knew, and the cause."""
+    """The cause, the steps, and the state of the daemons before them."""
 
     request_id: str
     cause: Cause
     because: str
     steps: tuple[Step, ...]
-    known: tuple[Known, ...]
+    known: tuple[KnownEvent, ...]
     unsure: tuple[str, ...]
 
     def lines(self) -> Iterator[str]:
-        """Return the form for people."""
+        """Return the text form."""
         yield f'request {self.request_id}: {self.cause.value}'
         yield f'  {self.because}'
         yield 'steps'
         for step in self.steps:
-            yield _text(f'+{step.after_ms} ms', step)
+            yield _entry_text(f'+{step.after_ms} ms', step)
         yield 'what its daemons knew by then'
         for known in self.known:
-            yield _text(f'{known.age_ms} ms before', known)
+            yield _entry_text(f'{known.age_ms} ms before', known)
 
     def diagnostics(self) -> tuple[str, ...]:
-        """Return what makes the report unsure."""
+        """Return the reasons why the report may be wrong."""
         return self.unsure
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """Return that the request was found."""
+        """Return ``OK``: the request was found."""
         return exit_codes.ExitCode.OK
 
 
@@ -100,131 +100,144 @@
     paths: Sequence[str],
     _: context.Context,
 ) -> ExplainReport:
-    """Explain one request by the lines of the files.
+    """Explain one request from the lines of the files.
 
-    Raises ``UnknownRequestError`` and ``UsageError``.
+    Raises ``UnknownRequestError`` when no line is about the request, and
+    ``UsageError`` when a file can't be read.
     """
-    found = log_files.read(paths)
-    own = tuple(
-        line
-        for line in found.lines
-        if line.fields.get(_REQUEST_ID) == request_id
+    log = log_files.read(paths)
+    request_lines = tuple(
+        line for line in log.lines if line.fields.get(_REQUEST_ID) == request_id
     )
-    if not own:
+    if not request_lines:
         raise UnknownRequestError(
             f'No line of the files has the request {request_id!r}',
             'Check the id, and name the logs of all daemons of that time',
         )
-    cause, because = _cause(own, found.lines)
+    cause, because = _find_cause(request_lines, log.lines)
     return ExplainReport(
         request_id,
         cause,
         because,
-        tuple(_step(line, own[0]) for line in own),
-        tuple(_known(own, found.lines)),
-        found.diagnostics(),
+        tuple(_step(line, request_lines[0]) for line in request_lines),
+        tuple(_known_events(request_lines, log.lines)),
+        log.diagnostics(),
     )
 
 
-def _cause(
-    own: Sequence[log_files.LogLine],
+def _find_cause(
+    request_lines: Sequence[log_files.LogLine],
     all_lines: Sequence[log_files.LogLine],
 ) -> tuple[Cause, str]:
-    """Return the cause and a sentence that names it."""
-    last = own[-1]
+    """Return the cause and a sentence that explains it."""
+    last = request_lines[-1]
     if last.event == _ENDED:
-        return Cause(last.fields['outcome']), _end_text(last, own)
-    if _died_within(last, all_lines):
+        return Cause(last.fields['outcome']), _end_text(last, request_lines)
+    if _died_during_request(last, all_lines):
         return (
             Cause.LOST_WITH_DAEMON,
             f'{last.instance_id} died within the time of the request: it '
             'started again later and had not stopped in order. If the caller '
             'got no answer, it was lost then',
         )
-    failed = [line for line in own if line.event == _FAILED]
+    failed = [line for line in request_lines if line.event == _FAILED]
     if failed and last.event == _FAILED:
-        return Cause.UNKNOWN, f'The last line is of a failure: {_what(last)}'
+        return (
+            Cause.UNKNOWN,
+            f'The last line is of a failure: {_failure_text(last)}',
+        )
     return (
         Cause.ANSWERED,
-        'An attempt began and nothing else was written, as is usual for a '
+        'An attempt began and nothing else was written, as is typical for a '
         'request that was answered, unless lines were dropped',
     )
 
 
 def _end_text(
     last: log_files.LogLine,
-    own: Sequence[log_files.LogLine],
+    request_lines: Sequence[log_files.LogLine],
 ) -> str:
     fields = last.fields
-    failures = [_what(line) for line in own if line.event == _FAILED]
-    room = f'{fields["with_room"]} of {fields["targets"]} targets had room'
-    tries = '; '.join(failures) or 'no attempt failed'
-    return f'{_said(fields)}. Attempts: {tries}. At the end {room}'
+    failures = [
+        _failure_text(line) for line in request_lines if line.event == _FAILED
+    ]
+    free_slots = (
+        f'{fields["with_room"]} of {fields["targets"]} targets had a free slot'
+    )
+    attempts = '; '.join(failures) or 'no attempt failed'
+    return (
+        f'{_ending_text(fields)}. Attempts: {attempts}. At the end {free_slots}'
+    )
 
 
-def _said(fields: Mapping[str, Any]) -> str:
-    """Return how the request ended, in the words of its last line."""
+def _ending_text(fields: Mapping[str, Any]) -> str:
+    """Return how the request ended, from the fields of its last line."""
     if fields['outcome'] == Cause.ABANDONED.value:
         return f'The caller left after {fields["taken_ms"]} ms'
     return fields['what'] or f'Answered with status {fields["status"]}'
 
 
-def _what(line: log_files.LogLine) -> str:
+def _failure_text(line: log_files.LogLine) -> str:
     choice = line.fields.get('choice', {})
     target = choice.get('target', '?')
-    chance = choice.get('chance', '?')
+    failure_probability = choice.get('chance', '?')
     return (
         f'{target} after {line.fields.get("taken_ms", "?")} ms: '
-        f'{line.fields.get("what", "?")} (chosen at a chance of failure of '
-        f'{chance}, known for {choice.get("belief_age_ms", "?")} ms)'
+        f'{line.fields.get("what", "?")} (chosen with failure probability '
+        f'{failure_probability}, estimated {choice.get("belief_age_ms", "?")} ms '
+        'before)'
     )
 
 
-def _died_within(
+def _died_during_request(
     last: log_files.LogLine,
     all_lines: Sequence[log_files.LogLine],
 ) -> bool:
-    """Tell whether the daemon died while it may have had the request.
+    """Return whether the daemon died while the request may have been in flight.
 
-    Its next life begins without an end of this one in order, and its last
-    sign of life comes before the request's time was over: afterwards there
-    would be a line about a failure.
+    That is the case when the daemon's next event ``started`` follows without
+    ``stopped``, and its last line before that is within the deadline of the
+    request. After the deadline it would have logged a failure.
     """
-    seen = last.time
+    last_seen = last.time
     for line in all_lines:
         if line.instance_id != last.instance_id or line.time <= last.time:
             continue
         if line.event == _STOPPED:
             return False
         if line.event == _STARTED:
-            lived_ms = (seen - last.time).total_seconds() * _MS_PER_S
-            return lived_ms <= float(last.fields.get('left_ms', 0))
-        seen = line.time
+            alive_ms = (last_seen - last.time).total_seconds() * _MS_PER_S
+            return alive_ms <= float(last.fields.get('left_ms', 0))
+        last_seen = line.time
     return False
 
 
-def _known(
-    own: Sequence[log_files.LogLine],
+def _known_events(
+    request_lines: Sequence[log_files.LogLine],
     all_lines: Sequence[log_files.LogLine],
-) -> Iterator[Known]:
-    """Return the newest lines of each sort before each daemon's first step."""
-    for instance_id in dict.fromkeys(line.instance_id for line in own):
-        first = next(one for one in own if one.instance_id == instance_id)
+) -> Iterator[KnownEvent]:
+    """Return the newest state events before each daemon's first step."""
+    for instance_id in dict.fromkeys(
+        line.instance_id for line in request_lines
+    ):
+        first = next(
+            line for line in request_lines if line.instance_id == instance_id
+        )
         newest = {
             line.event: line
             for line in all_lines
             if line.instance_id == instance_id and line.time <= first.time
         }
-        told = [event for event in _BELIEFS if event in newest]
-        for event in told:
-            yield _known_line(newest[event], first)
+        known_kinds = [event for event in _STATE_EVENTS if event in newest]
+        for event in known_kinds:
+            yield _known_event(newest[event], first)
 
 
-def _known_line(
+def _known_event(
     line: log_files.LogLine,
     first: log_files.LogLine,
-) -> Known:
-    return Known(
+) -> KnownEvent:
+    return KnownEvent(
         line.instance_id,
         line.event,
         _ms_between(line, first),
@@ -252,6 +265,6 @@
     return round((later.time - earlier.time).total_seconds() * _MS_PER_S)
 
 
-def _text(when: str, told: Step | Known) -> str:
-    fields = msgspec.json.encode(told.fields).decode()
-    return f'  {when:>14}  {told.instance_id}  {told.event}  {fields}'
+def _entry_text(when: str, entry: Step | KnownEvent) -> str:
+    fields = msgspec.json.encode(entry.fields).decode()
+    return f'  {when:>14}  {entry.instance_id}  {entry.event}  {fields}'
--- a/libraries/cli/src/sardinepier/cli/from_files/log_files.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/log_files.py
@@ -1,4 +1,4 @@
-"""Log lines of many processes, read from files and put in one order."""
+"""Reads the log lines of many processes and sorts them by time."""
 
 import datetime
 import pathlib
@@ -9,9 +9,9 @@
 from sardinepier.cli import errors
 
 _BRACE: Final = '{'
-_SAME_CLOCK_S: Final = 1.0
-"""A clock that is corrected moves by less; a larger step back within one
-process's lines makes the order by time unsure."""
+_MAX_CLOCK_CORRECTION_S: Final = 1.0
+"""Clock corrections are smaller. After a larger step back within the lines of
+one process, the order by time is unreliable."""
 
 
 class LogLine(msgspec.Struct, frozen=True):
@@ -26,10 +26,10 @@
 
 
 class ReadLines(msgspec.Struct, frozen=True):
-    """The lines of all files by their times, and what was wrong with them.
+    """The lines of all files sorted by time, and the defects found.
 
-    ``broken`` counts lines that are no JSON lines of a daemon, and
-    ``stepped_back`` names the instances whose clock went back.
+    ``broken`` counts lines that can't be parsed, ``stepped_back`` has the
+    instances whose clock went back.
     """
 
     lines: tuple[LogLine, ...]
@@ -37,38 +37,38 @@
     stepped_back: tuple[str, ...]
 
     def diagnostics(self) -> tuple[str, ...]:
-        """Return a sentence for each thing that makes the lines unsure."""
-        found = []
+        """Return a sentence for each kind of defect."""
+        sentences = []
         if self.broken:
-            found.append(f'{self.broken} lines could not be read.')
+            sentences.append(f'{self.broken} lines could not be read.')
         if self.stepped_back:
-            named = ', '.join(self.stepped_back)
-            found.append(
-                f'The clock of {named} went back, so that the order of '
+            instances = ', '.join(self.stepped_back)
+            sentences.append(
+                f'The clock of {instances} went back, so that the order of '
                 'lines from different processes is unsure.',
             )
-        return tuple(found)
+        return tuple(sentences)
 
 
 def read(paths: Sequence[str]) -> ReadLines:
     """Return the lines of all files.
 
-    Lines may carry a prefix before the JSON object, as collectors add it.
-    Raises ``UsageError`` for a file that can't be read, and without files.
+    Lines may have a prefix before the JSON object, as log collectors add.
+    Raises ``UsageError`` without files, or for one that can't be read.
     """
     if not paths:
         raise errors.UsageError(
             'No log file is named',
             'Name the files with the lines of all processes',
         )
-    reading = _Reading()
+    collector = _LineCollector()
     for path in paths:
-        reading.take(_text(path))
-    return reading.result()
+        collector.add(_read_text(path))
+    return collector.collected()
 
 
-class _Reading:
-    """Gathers lines, those of each instance in the order of its file."""
+class _LineCollector:
+    """Collects lines and checks each instance's clock in file order."""
 
     def __init__(self) -> None:
         self._lines: list[LogLine] = []
@@ -76,44 +76,44 @@
         self._newest: dict[str, datetime.datetime] = {}
         self._stepped_back: set[str] = set()
 
-    def take(self, text: str) -> None:
-        for line in self._parsed(text.splitlines()):
+    def add(self, text: str) -> None:
+        for line in self._parse(text.splitlines()):
             self._lines.append(line)
             newest = self._newest.get(line.instance_id, line.time)
-            if (newest - line.time).total_seconds() > _SAME_CLOCK_S:
+            if (newest - line.time).total_seconds() > _MAX_CLOCK_CORRECTION_S:
                 self._stepped_back.add(line.instance_id)
             self._newest[line.instance_id] = max(newest, line.time)
 
-    def result(self) -> ReadLines:
+    def collected(self) -> ReadLines:
         return ReadLines(
             tuple(sorted(self._lines, key=_time_of)),
             self._broken,
             tuple(sorted(self._stepped_back)),
         )
 
-    def _parsed(self, texts: Iterable[str]) -> Iterator[LogLine]:
+    def _parse(self, texts: Iterable[str]) -> Iterator[LogLine]:
         for text in texts:
-            _, brace, rest = text.partition(_BRACE)
+            _, brace, remainder = text.partition(_BRACE)
             if not brace:
-                # Not of ours: collectors add headings and empty lines.
+                # Not of a daemon: collectors add headings and empty lines.
                 continue
             try:
-                yield msgspec.json.decode(brace + rest, type=LogLine)
+                yield msgspec.json.decode(brace + remainder, type=LogLine)
             except msgspec.DecodeError:
                 self._broken += 1
 
 
-def _text(path: str) -> str:
+def _read_text(path: str) -> str:
     try:
         return pathlib.Path(path).read_text(
             encoding='utf-8',
             errors='replace',
         )
-    except OSError as problem:
+    except OSError as error:
         raise errors.UsageError(
-            f'The file {path} cannot be read ({problem.strerror})',
+            f'The file {path} cannot be read ({error.strerror})',
             'Name files that exist',
-        ) from problem
+        ) from error
 
 
 def _time_of(line: LogLine) -> datetime.datetime:
--- a/libraries/cli/src/sardinepier/cli/from_files/log_plot.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/log_plot.py
@@ -1,4 +1,4 @@
-"""One picture of a day, from the lines of all its processes."""
+"""Plots request rates and state events from log lines."""
 
 import collections
 import datetime
@@ -13,12 +13,12 @@
 _WIDTH_INCH: Final = 11.0
 _HEIGHT_INCH: Final = 8.0
 _BIN_S: Final = 1.0
-_LONGEST_BINS: Final = 3600
-"""A picture is a few thousand pixels wide; longer days get wider bins."""
+_MAX_BINS: Final = 3600
+"""A picture is a few thousand pixels wide; longer spans get wider bins."""
 
-_ENDS: Final = 'request-ended'
-_ATTEMPTS: Final = ('request-sent', 'attempt-failed')
-_MOMENTS: Final = (
+_REQUEST_ENDED: Final = 'request-ended'
+_ATTEMPT_EVENTS: Final = ('request-sent', 'attempt-failed')
+_STATE_EVENTS: Final = (
     'started',
     'stopping',
     'stopped',
@@ -32,9 +32,9 @@
 
 
 def draw(lines: Sequence[log_files.LogLine], path: str) -> None:
-    """Write the picture to ``path``, in the format that its ending names.
+    """Write the picture to ``path``, in the format of its file extension.
 
-    Raises ``UsageError`` without lines, and when the file can't be written.
+    Raises ``UsageError`` without lines, or when the file can't be written.
     """
     if not lines:
         raise errors.UsageError(
@@ -44,81 +44,87 @@
     mpl.use('agg')
     picture = figure.Figure(figsize=(_WIDTH_INCH, _HEIGHT_INCH))
     upper, middle, lower = picture.subplots(3, 1, sharex=True)
-    day = _Day(lines)
-    _counts(upper, day, _of_attempts(lines), 'attempts a second')
-    _counts(middle, day, _of_ends(lines), 'requests a second')
-    _moments(lower, day)
+    span = _TimeSpan(lines)
+    _plot_rates(upper, span, _attempt_lines(lines), 'attempts a second')
+    _plot_rates(middle, span, _outcome_lines(lines), 'requests a second')
+    _plot_state_events(lower, span)
     lower.set_xlabel('seconds')
     picture.tight_layout()
     try:
         picture.savefig(path)
-    except (OSError, ValueError) as problem:
+    except (OSError, ValueError) as error:
         raise errors.UsageError(
-            f'The picture {path} cannot be written ({problem})',
+            f'The picture {path} cannot be written ({error})',
             'Name a file that ends with .png or .svg in a folder that exists',
-        ) from problem
+        ) from error
 
 
-class _Day:
-    """The span of the lines, cut in bins."""
+class _TimeSpan:
+    """The time span of the lines, divided into bins."""
 
     def __init__(self, lines: Sequence[log_files.LogLine]) -> None:
         self.lines = lines
-        self._began = lines[0].time
-        self.length_s = (lines[-1].time - self._began).total_seconds()
-        self.bin_s = max(_BIN_S, self.length_s / _LONGEST_BINS)
+        self._start = lines[0].time
+        self.length_s = (lines[-1].time - self._start).total_seconds()
+        self.bin_s = max(_BIN_S, self.length_s / _MAX_BINS)
         self.bins = int(self.length_s / self.bin_s) + 1
 
-    def second(self, moment: datetime.datetime) -> float:
-        return (moment - self._began).total_seconds()
+    def seconds_from_start(self, moment: datetime.datetime) -> float:
+        return (moment - self._start).total_seconds()
 
-    def place(self, moment: datetime.datetime) -> int:
-        return min(self.bins - 1, int(self.second(moment) / self.bin_s))
+    def bin_of(self, moment: datetime.datetime) -> int:
+        return min(
+            self.bins - 1, int(self.seconds_from_start(moment) / self.bin_s)
+        )
 
 
-_Named = Iterable[tuple[str, log_files.LogLine]]
+_NamedLines = Iterable[tuple[str, log_files.LogLine]]
 
 
-def _of_attempts(lines: Iterable[log_files.LogLine]) -> _Named:
-    return ((one.event, one) for one in lines if one.event in _ATTEMPTS)
+def _attempt_lines(lines: Iterable[log_files.LogLine]) -> _NamedLines:
+    return (
+        (line.event, line) for line in lines if line.event in _ATTEMPT_EVENTS
+    )
 
 
-def _of_ends(lines: Iterable[log_files.LogLine]) -> _Named:
+def _outcome_lines(lines: Iterable[log_files.LogLine]) -> _NamedLines:
     return (
-        (str(one.fields.get('outcome', 'unknown')), one)
-        for one in lines
-        if one.event == _ENDS
+        (str(line.fields.get('outcome', 'unknown')), line)
+        for line in lines
+        if line.event == _REQUEST_ENDED
     )
 
 
-def _counts(
+def _plot_rates(
     axis: axes.Axes,
-    day: _Day,
-    named: _Named,
+    span: _TimeSpan,
+    named_lines: _NamedLines,
     title: str,
 ) -> None:
-    """Draw a curve for each name: how many lines a second."""
-    counted: dict[str, collections.Counter[int]] = {}
-    for name, line in named:
-        found = counted.setdefault(name, collections.Counter())
-        found[day.place(line.time)] += 1
-    seconds = [place * day.bin_s for place in range(day.bins)]
-    for name in sorted(counted):
-        a_second = [
-            counted[name][place] / day.bin_s for place in range(day.bins)
+    """Plot the number of lines a second, a curve for each name."""
+    counts: dict[str, collections.Counter[int]] = {}
+    for name, line in named_lines:
+        counter = counts.setdefault(name, collections.Counter())
+        counter[span.bin_of(line.time)] += 1
+    seconds = [index * span.bin_s for index in range(span.bins)]
+    for name in sorted(counts):
+        rates_per_s = [
+            counts[name][index] / span.bin_s for index in range(span.bins)
         ]
-        axis.plot(seconds, a_second, label=name)
+        axis.plot(seconds, rates_per_s, label=name)
     axis.set_ylabel(title)
-    if counted:
+    if counts:
         axis.legend(loc='upper right', fontsize='small')
 
 
-def _moments(axis: axes.Axes, day: _Day) -> None:
-    """Draw a dot for each event that changes what a daemon does."""
-    for height, event in enumerate(_MOMENTS):
+def _plot_state_events(axis: axes.Axes, span: _TimeSpan) -> None:
+    """Plot a mark for each event that changes the state of a daemon."""
+    for height, event in enumerate(_STATE_EVENTS):
         seconds = [
-            day.second(line.time) for line in day.lines if line.event == event
+            span.seconds_from_start(line.time)
+            for line in span.lines
+            if line.event == event
         ]
         heights = [height for _ in seconds]
         axis.plot(seconds, heights, '|', markersize=10)
-    axis.set_yticks(range(len(_MOMENTS)), _MOMENTS)
+    axis.set_yticks(range(len(_STATE_EVENTS)), _STATE_EVENTS)
--- a/libraries/cli/src/sardinepier/cli/from_files/log_timeline.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/log_timeline.py
@@ -1,4 +1,4 @@
-"""``sardinepier timeline --files``: a time line, or a picture, from logs."""
+"""``sardinepier timeline`` with log files: a timeline or a picture."""
 
 import importlib
 from collections.abc import Sequence
@@ -8,15 +8,15 @@
 from sardinepier.cli import context, exit_codes
 from sardinepier.cli.from_files import log_files
 
-_REQUESTS: Final = frozenset(
+_REQUEST_EVENTS: Final = frozenset(
     ('request-sent', 'attempt-failed', 'request-ended', 'lines-dropped'),
 )
-_PLOTS: Final = 'sardinepier.cli.from_files.log_plot'
-"""Imported when a picture is wanted: its library takes half a second."""
+_PLOT_MODULE: Final = 'sardinepier.cli.from_files.log_plot'
+"""Imported only for a picture: importing matplotlib takes half a second."""
 
 
 class LogTimelineReport(msgspec.Struct, frozen=True):
-    """What the daemons did and came to know, by the times of their lines.
+    """The log lines of all daemons, sorted by time.
 
     Lines about single requests are left out: ``explain`` shows them.
     """
@@ -30,11 +30,11 @@
         return tuple(map(_text, self.entries))
 
     def diagnostics(self) -> tuple[str, ...]:
-        """Return what makes the order unsure."""
+        """Return the reasons why the order may be wrong."""
         return self.unsure
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """Return that the files were read."""
+        """Return ``OK``: the files were read."""
         return exit_codes.ExitCode.OK
 
 
@@ -43,22 +43,22 @@
     picture: str,
     _: context.Context,
 ) -> LogTimelineReport:
-    """Merge the lines of the files; draw them to ``picture`` if it is named.
+    """Merge the lines of the files; draw them to ``picture`` if it is given.
 
-    Raises ``UsageError``.
+    Raises ``UsageError`` when a file can't be read, or the picture written.
     """
-    found = log_files.read(paths)
+    log = log_files.read(paths)
     if picture:
-        importlib.import_module(_PLOTS).draw(found.lines, picture)
+        importlib.import_module(_PLOT_MODULE).draw(log.lines, picture)
     return LogTimelineReport(
-        tuple(line for line in found.lines if line.event not in _REQUESTS),
-        found.diagnostics(),
+        tuple(line for line in log.lines if line.event not in _REQUEST_EVENTS),
+        log.diagnostics(),
         picture,
     )
 
 
 def _text(line: log_files.LogLine) -> str:
     fields = msgspec.json.encode(line.fields).decode()
-    said = f' {line.message}' if line.message else ''
+    message = f' {line.message}' if line.message else ''
     moment = line.time.isoformat(timespec='milliseconds')
-    return f'{moment} {line.instance_id} {line.event}{said} {fields}'
+    return f'{moment} {line.instance_id} {line.event}{message} {fields}'
--- a/libraries/cli/src/sardinepier/cli/internal/fan_out.py
+++ b/libraries/cli/src/sardinepier/cli/internal/fan_out.py
@@ -1,4 +1,4 @@
-"""The same question to many daemons at once, a few at a time."""
+"""Sends the same request to many daemons with bounded concurrency."""
 
 import asyncio
 import dataclasses
@@ -7,29 +7,29 @@
 
 from sardinepier.cli import endpoints, errors, reports
 
-_AT_A_TIME: Final = 32
+_MAX_CONCURRENT_QUERIES: Final = 32
 
 Answer = TypeVar('Answer')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gathered(Generic[Answer]):
-    """The answers by daemon, in the order asked, and who gave none."""
+    """The answers by daemon, in order, and the daemons without one."""
 
     answers: dict[endpoints.Endpoint, Answer]
     unanswered: tuple[reports.Unanswered, ...]
 
 
-async def ask_all(
+async def query_all(
     daemons: Sequence[endpoints.Endpoint],
-    ask: Callable[[endpoints.Endpoint], Awaitable[Answer]],
+    query: Callable[[endpoints.Endpoint], Awaitable[Answer]],
 ) -> Gathered[Answer]:
-    """Ask every daemon; one that fails does not hide what others say."""
-    turns = asyncio.Semaphore(_AT_A_TIME)
-    found = await asyncio.gather(
-        *(_ask_one(daemon, ask, turns) for daemon in daemons),
+    """Send a request to every daemon and collect answers and failures."""
+    semaphore = asyncio.Semaphore(_MAX_CONCURRENT_QUERIES)
+    replies = await asyncio.gather(
+        *(_query_daemon(daemon, query, semaphore) for daemon in daemons),
     )
-    by_daemon = dict(zip(daemons, found, strict=True))
+    by_daemon = dict(zip(daemons, replies, strict=True))
     return Gathered(
         {
             daemon: answer
@@ -44,25 +44,25 @@
     )
 
 
-async def _ask_one(
+async def _query_daemon(
     daemon: endpoints.Endpoint,
-    ask: Callable[[endpoints.Endpoint], Awaitable[Answer]],
-    turns: asyncio.Semaphore,
+    query: Callable[[endpoints.Endpoint], Awaitable[Answer]],
+    semaphore: asyncio.Semaphore,
 ) -> Answer | errors.CommandError:
-    async with turns:
+    async with semaphore:
         try:
-            return await ask(daemon)
-        except errors.CommandError as problem:
-            return problem
+            return await query(daemon)
+        except errors.CommandError as error:
+            return error
 
 
 def _unanswered(
     daemon: endpoints.Endpoint,
-    problem: errors.CommandError,
+    error: errors.CommandError,
 ) -> reports.Unanswered:
     return reports.Unanswered(
         str(daemon),
-        type(problem).__name__,
-        problem.what,
-        problem.remedy,
+        type(error).__name__,
+        error.what,
+        error.remedy,
     )
--- a/libraries/cli/src/sardinepier/cli/internal/no_resend.py
+++ b/libraries/cli/src/sardinepier/cli/internal/no_resend.py
@@ -1,31 +1,31 @@
-"""Keeps aiohttp from sending a request a second time by itself."""
+"""Disables the automatic resends of aiohttp."""
 
 import aiohttp
 
 
 class NoResend:
-    """A client middleware for exactly one request.
+    """A client middleware for a single request.
 
-    After a lost connection aiohttp sends GET, PUT, DELETE and a few other
-    methods once more, also when the connection was new. Whether that is safe
-    is told by the operators' file and not by the method. The public interface
-    has no switch for it; it does pass every sending through the middlewares.
+    After a lost connection aiohttp resends GET, PUT, DELETE and a few other
+    methods once, also when the connection was new. The service file decides
+    whether that is safe, not the method. aiohttp has no public option to turn
+    it off, but each send goes through the middlewares.
     """
 
     def __init__(self) -> None:
-        """Let the first sending through."""
-        self._lost: aiohttp.ClientError | None = None
+        """Allow one send."""
+        self._connection_error: aiohttp.ClientError | None = None
 
     async def __call__(
         self,
         request: aiohttp.ClientRequest,
         handler: aiohttp.ClientHandlerType,
     ) -> aiohttp.ClientResponse:
-        """Send ``request``, or repeat the error of its first sending."""
-        if self._lost is not None:
-            raise self._lost
+        """Send ``request``, or raise the error of its first send again."""
+        if self._connection_error is not None:
+            raise self._connection_error
         try:
             return await handler(request)
-        except aiohttp.ClientError as problem:
-            self._lost = problem
+        except aiohttp.ClientError as error:
+            self._connection_error = error
             raise
--- a/libraries/cli/src/sardinepier/cli/internal/options.py
+++ b/libraries/cli/src/sardinepier/cli/internal/options.py
@@ -1,4 +1,4 @@
-"""Named checks of what stands on the command line."""
+"""Parsers and validators of command-line arguments."""
 
 import math
 import re
@@ -9,7 +9,7 @@
 from sardinepier.telemetry import stamps
 
 MAX_S: Final = 86_400.0
-"""No option of seconds may be longer than a day."""
+"""The maximum of options in seconds: one day."""
 
 _METHOD: Final = re.compile('[A-Z]{1,16}')
 _SERVICE: Final = re.compile(r'[A-Za-z0-9_.\-]{1,64}')
@@ -34,18 +34,18 @@
 
 
 def switch(text: str) -> bool:
-    """Return whether an option without a value of its own is on."""
-    found = _SWITCHES.get(text.lower())
-    if found is None:
+    """Return whether a switch is on."""
+    is_on = _SWITCHES.get(text.lower())
+    if is_on is None:
         raise errors.UsageError(
             f'{text!r} is neither true nor false',
             'Write the option without a value to switch it on',
         )
-    return found
+    return is_on
 
 
 def method(text: str) -> str:
-    """Return an HTTP method in capitals."""
+    """Return an HTTP method in upper case."""
     return _matching(_METHOD, text.upper(), 'an HTTP method', 'GET or POST')
 
 
@@ -55,12 +55,12 @@
 
 
 def path(text: str) -> str:
-    """Return a path of printable ASCII; the rest must be percent-encoded."""
+    """Return a path of printable ASCII, with the rest percent-encoded."""
     return _matching(_PATH, text, 'a path', '/theses/7?lang=es')
 
 
 def header_value(text: str) -> str:
-    """Return the value of a header, printable ASCII on one line."""
+    """Return a header value: printable ASCII on one line."""
     return _matching(_HEADER_VALUE, text, 'a caller name', 'library-7')
 
 
@@ -70,7 +70,7 @@
 
 
 def files(paths: tuple[str, ...]) -> tuple[str, ...]:
-    """Return the paths, of which there must be one."""
+    """Return the paths; at least one is required."""
     if not paths:
         raise errors.UsageError(
             'No file is named',
@@ -80,7 +80,7 @@
 
 
 def require_one_source(daemons: str, log_files: tuple[str, ...]) -> None:
-    """Raise ``UsageError`` unless just one of the two is there."""
+    """Raise ``UsageError`` unless exactly one of the two is given."""
     if bool(daemons) == bool(log_files):
         raise errors.UsageError(
             'Either daemons or log files have to be named',
@@ -94,8 +94,8 @@
         return None
     try:
         return stamps.parse_stamp(text)
-    except telemetry_errors.BadStampError as problem:
-        raise errors.UsageError(problem.what, problem.remedy) from problem
+    except telemetry_errors.BadStampError as error:
+        raise errors.UsageError(error.what, error.remedy) from error
 
 
 def _matching(
--- a/libraries/cli/src/sardinepier/cli/internal/status_text.py
+++ b/libraries/cli/src/sardinepier/cli/internal/status_text.py
@@ -1,4 +1,4 @@
-"""The status of a daemon as plain text."""
+"""Formats the status of a daemon as plain text."""
 
 import collections
 from collections.abc import Iterable, Sequence
@@ -21,9 +21,9 @@
 
 def daemon_lines(daemon: documents.DaemonStatus) -> tuple[str, ...]:
     """Return the block of one daemon."""
-    below = (
+    details = (
         _members_line(daemon.members),
-        *(_member_line(each) for each in _not_alive(daemon.members)),
+        *(_member_line(member) for member in _not_alive(daemon.members)),
         *_file_lines(daemon.files),
         *_service_lines(daemon.services),
         *traffic_lines(daemon.outcomes, daemon.latencies),
@@ -33,7 +33,7 @@
         f'{daemon.instance_id}: {daemon.state} in zone {daemon.zone}, '
         f'region {daemon.region}, up for {daemon.uptime_s:.1f} s'
     )
-    return (tables.plain(headline), *tables.indented(below))
+    return (tables.plain(headline), *tables.indented(details))
 
 
 def traffic_lines(
@@ -42,18 +42,19 @@
 ) -> tuple[str, ...]:
     """Return the tables of outcomes and latencies, if there are any."""
     counted = [
-        (each.outcome, each.service, str(each.requests)) for each in outcomes
+        (count.outcome, count.service, str(count.requests))
+        for count in outcomes
     ]
     measured = [
         (
-            each.name,
-            each.service,
-            str(each.requests),
-            f'{each.p50_ms:.3g} ms',
-            f'{each.p99_ms:.3g} ms',
-            f'{each.max_ms:.3g} ms',
+            summary.name,
+            summary.service,
+            str(summary.requests),
+            f'{summary.p50_ms:.3g} ms',
+            f'{summary.p99_ms:.3g} ms',
+            f'{summary.max_ms:.3g} ms',
         )
-        for each in latencies
+        for summary in latencies
     ]
     return (
         *_table_if_any(('OUTCOME', 'SERVICE', 'REQUESTS'), counted),
@@ -70,7 +71,7 @@
 def _not_alive(
     members: Iterable[documents.MemberStatus],
 ) -> tuple[documents.MemberStatus, ...]:
-    return tuple(each for each in members if each.state != _ALIVE)
+    return tuple(member for member in members if member.state != _ALIVE)
 
 
 def _member_line(member: documents.MemberStatus) -> str:
@@ -80,9 +81,9 @@
 
 
 def _file_lines(files: Iterable[documents.FileStatus]) -> Iterable[str]:
-    for each in files:
-        yield tables.plain(f'file {each.name}: revision {each.revision}')
-        for problem in each.problems:
+    for file in files:
+        yield tables.plain(f'file {file.name}: revision {file.revision}')
+        for problem in file.problems:
             yield tables.plain(f'  a newer revision was rejected: {problem}')
 
 
--- a/libraries/cli/src/sardinepier/cli/internal/tables.py
+++ b/libraries/cli/src/sardinepier/cli/internal/tables.py
@@ -1,27 +1,27 @@
-"""Plain text for people: aligned columns and harmless characters."""
+"""Formats plain text: aligned columns, escaped control characters."""
 
 from collections.abc import Iterable, Sequence
 from typing import Final
 
-_GAP: Final = '  '
-_HARMLESS: Final = '\n\t'
+_COLUMN_GAP: Final = '  '
+_ALLOWED_CONTROLS: Final = '\n\t'
 
 
 def plain(text: str) -> str:
-    """Return ``text`` with control characters written out.
+    """Return ``text`` with control characters escaped.
 
-    What a daemon or target sends must not be able to steer the terminal.
+    Text from a daemon or target must not control the terminal.
     """
     return ''.join(
         character
-        if character.isprintable() or character in _HARMLESS
+        if character.isprintable() or character in _ALLOWED_CONTROLS
         else character.encode('unicode_escape').decode()
         for character in text
     )
 
 
 def quantity(number: float | None) -> str:
-    """Return a number with two decimals, or say that it is not finite."""
+    """Return a number with two decimals, or ``not-finite`` for None."""
     if number is None:
         return 'not-finite'
     return f'{number:.2f}'
@@ -38,10 +38,10 @@
 
 
 def indented(lines: Iterable[str], depth: int = 1) -> tuple[str, ...]:
-    """Return ``lines`` moved to the right by ``depth`` steps."""
-    return tuple(f'{_GAP * depth}{line}' for line in lines)
+    """Return ``lines`` indented by ``depth`` levels."""
+    return tuple(f'{_COLUMN_GAP * depth}{line}' for line in lines)
 
 
 def _aligned(row: Sequence[str], widths: Sequence[int]) -> str:
     cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
-    return _GAP.join(cells).rstrip()
+    return _COLUMN_GAP.join(cells).rstrip()
--- a/libraries/cli/src/sardinepier/cli/internal/timeline_text.py
+++ b/libraries/cli/src/sardinepier/cli/internal/timeline_text.py
@@ -1,4 +1,4 @@
-"""One entry of the time line as one line of plain text."""
+"""Formats a timeline entry as one line of plain text."""
 
 import datetime
 from typing import Final
@@ -10,12 +10,14 @@
 
 
 def entry_line(entry: timeline.TimelineEntry) -> str:
-    """Return stamp, wall time, daemon, kind and fields of ``entry``."""
+    """Return stamp, wall time, instance id, kind and fields of ``entry``."""
     fields = events.fields_of(entry.event)
-    shown = ' '.join(f'{name}={_shown(fields[name])}' for name in fields)
+    field_texts = ' '.join(
+        f'{name}={_field_text(fields[name])}' for name in fields
+    )
     line = (
         f'{stamps.format_stamp(entry.stamp)} {_wall_time(entry.stamp)} '
-        f'{entry.instance_id} {events.kind_of(entry.event)} {shown}'
+        f'{entry.instance_id} {events.kind_of(entry.event)} {field_texts}'
     )
     return tables.plain(line.replace('\n', ' ').rstrip())
 
@@ -31,7 +33,7 @@
     return moment.isoformat(timespec='milliseconds')
 
 
-def _shown(value: object) -> str:
+def _field_text(value: object) -> str:
     if isinstance(value, tuple):
         return ','.join(map(str, value)) or '-'
     if value is None:
--- a/libraries/cli/src/sardinepier/cli/invocations.py
+++ b/libraries/cli/src/sardinepier/cli/invocations.py
@@ -1,4 +1,4 @@
-"""A command that was understood and has not run yet."""
+"""A parsed command that has not run yet."""
 
 import dataclasses
 from collections.abc import Awaitable, Callable
@@ -11,16 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invocation:
-    """What the command line asks for.
+    """A command with its arguments, ready to run.
 
-    It runs after the whole command line was understood: otherwise ``request``
-    with a misspelt option would be sent first and refused afterwards.
+    It runs only after the whole command line was parsed: otherwise ``request``
+    with a misspelt option would send the request and fail afterwards.
     """
 
     execute: Execute
     as_json: bool
 
-    # Overridden because the command-line library offers whatever it lists.
+    # Overridden because fire offers all listed members as subcommands.
     def __dir__(self) -> tuple[str, ...]:  # noqa: WPS603 (see above)
-        """Offer nothing to a command line that goes on after the command."""
+        """Return no members, so that fire accepts no further arguments."""
         return ()
--- a/libraries/cli/src/sardinepier/cli/main.py
+++ b/libraries/cli/src/sardinepier/cli/main.py
@@ -1,4 +1,4 @@
-"""The program ``sardinepier``: reads the command line, runs one command."""
+"""The program ``sardinepier``: parses the command line, runs the command."""
 
 import asyncio
 import os
@@ -20,7 +20,7 @@
 from sardinepier.core import errors as core_errors
 
 _NAME: Final = 'sardinepier'
-_ONE_LETTER: Final = re.compile('-[a-gi-z](=.*)?')
+_ONE_LETTER_OPTION: Final = re.compile('-[a-gi-z](=.*)?')
 _SWITCHES: Final = frozenset(('--json', '--once', '--follow'))
 
 
@@ -30,13 +30,14 @@
 
 
 def run(arguments: Sequence[str], around: context.Context) -> int:
-    """Run one command line and return its exit code; raise nothing."""
+    """Run one command line and return its exit code; never raises."""
     try:
         return asyncio.run(execute(arguments, around))
     except KeyboardInterrupt:
         return exit_codes.ExitCode.INTERRUPTED
     except BrokenPipeError:
-        # The reader has seen enough. Nothing may be written at exit either.
+        # The reader closed the pipe. Redirect standard output, so that the
+        # flush at exit doesn't fail as well.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return exit_codes.ExitCode.OK
 
@@ -48,74 +49,77 @@
     """Run one command line in a running event loop; return its exit code."""
     as_json = '--json' in arguments
     try:
-        invocation = _understand(arguments)
+        invocation = _parse_command_line(arguments)
         if invocation is None:
             return exit_codes.ExitCode.USAGE
-        return _show(
+        return _print_report(
             await invocation.execute(around),
             around,
             as_json=invocation.as_json,
         )
-    except core_errors.SardinepierError as problem:
-        return _show_failure(problem, around, as_json=as_json)
-    except SystemExit as leaving:
-        # The command-line library leaves so after its help or usage text.
-        return exit_codes.ExitCode(int(leaving.code or 0))
-    except Exception as problem:
-        if isinstance(problem, BrokenPipeError):
+    except core_errors.SardinepierError as error:
+        return _print_failure(error, around, as_json=as_json)
+    except SystemExit as exit_error:
+        # fire exits like this after printing help or usage.
+        return exit_codes.ExitCode(int(exit_error.code or 0))
+    except Exception as error:
+        if isinstance(error, BrokenPipeError):
             raise
-        return _show_failure(_internal(problem), around, as_json=as_json)
+        return _print_failure(_internal_error(error), around, as_json=as_json)
 
 
-def _understand(arguments: Sequence[str]) -> invocations.Invocation | None:
-    """Return the command that ``arguments`` describe, or None for a help."""
+def _parse_command_line(
+    arguments: Sequence[str],
+) -> invocations.Invocation | None:
+    """Return the command of ``arguments``, or None after printing help."""
     _set_parsers()
-    # Help goes straight to the terminal: a pager would be another process.
-    fire.core.Display = _display
-    found = fire.Fire(
+    # Print help directly: fire's default starts a pager process.
+    fire.core.Display = _print_help
+    component = fire.Fire(
         commands.Commands,
-        command=[_explicit(argument) for argument in arguments],
+        command=[_normalize_switch(argument) for argument in arguments],
         name=_NAME,
-        serialize=_left_out,
+        serialize=_omit_invocation,
     )
-    return found if isinstance(found, invocations.Invocation) else None
+    return component if isinstance(component, invocations.Invocation) else None
 
 
 def _set_parsers() -> None:
-    """Keep arguments as text: ``--body 1e3`` must not become a number."""
-    # The library would list its own attribute in every help text, had it no
-    # underscore.
+    """Keep arguments as text: fire would turn ``--body 1e3`` into a number."""
+    # Without the underscore, fire would list its own attribute in every help
+    # text.
     fire.decorators.FIRE_METADATA = '_fire_metadata'
-    shared = commands.Commands
+    command_class = commands.Commands
     for command in (
-        shared,
-        shared.check,
-        shared.addresses,
-        shared.status,
-        shared.timeline,
-        shared.explain,
-        shared.request,
+        command_class,
+        command_class.check,
+        command_class.addresses,
+        command_class.status,
+        command_class.timeline,
+        command_class.explain,
+        command_class.request,
     ):
         fire.decorators.SetParseFn(str)(command)
     fire.decorators.SetParseFns(
         json=options.switch,
         timeout_s=options.seconds,
         caller_header=options.header_name,
-    )(shared)
-    fire.decorators.SetParseFns(once=options.switch)(shared.request)
+    )(command_class)
+    fire.decorators.SetParseFns(once=options.switch)(command_class.request)
     fire.decorators.SetParseFns(
         follow=options.switch,
         for_s=options.seconds,
-    )(shared.timeline)
+    )(command_class.timeline)
 
 
-def _explicit(argument: str) -> str:
-    """Give a switch its value, or it would take the next argument for it.
+def _normalize_switch(argument: str) -> str:
+    """Append ``=true`` to a switch, so it doesn't consume the next argument.
 
     Raises :class:`errors.UsageError` for an option of one letter.
     """
-    if _ONE_LETTER.fullmatch(argument):
-        # Guessed from first letters: -c would name the header, not a caller.
+    if _ONE_LETTER_OPTION.fullmatch(argument):
+        # fire matches first letters: -c would set the caller header instead of
+        # the caller.
         raise errors.UsageError(
             f'The option {argument} is too short',
             'Write options in full, for example --service',
@@ -125,57 +129,57 @@
     return argument
 
 
-def _left_out(found: object) -> object:
-    return None if isinstance(found, invocations.Invocation) else found
+def _omit_invocation(component: object) -> object:
+    return None if isinstance(component, invocations.Invocation) else component
 
 
-def _display(lines: Sequence[str], out: TextIO) -> None:
+def _print_help(lines: Sequence[str], out: TextIO) -> None:
     out.write('\n'.join(lines))
     out.write('\n')
 
 
-def _show(
+def _print_report(
     report: reports.Report,
-    around: context.Context,
+    command_context: context.Context,
     *,
     as_json: bool,
 ) -> exit_codes.ExitCode:
     if as_json:
-        around.write(reports.to_json(report))
+        command_context.write(reports.to_json(report))
     else:
         for line in report.lines():
-            around.write(line)
-    for complaint in report.diagnostics():
-        around.write_error(complaint)
+            command_context.write(line)
+    for diagnostic in report.diagnostics():
+        command_context.write_error(diagnostic)
     return report.exit_code()
 
 
-def _show_failure(
-    problem: core_errors.SardinepierError,
-    around: context.Context,
+def _print_failure(
+    error: core_errors.SardinepierError,
+    command_context: context.Context,
     *,
     as_json: bool,
 ) -> exit_codes.ExitCode:
     exit_code = exit_codes.ExitCode.INTERNAL
-    if isinstance(problem, errors.CommandError):
-        exit_code = problem.exit_code
+    if isinstance(error, errors.CommandError):
+        exit_code = error.exit_code
     if as_json:
-        around.write(
+        command_context.write(
             reports.to_json(
                 reports.Failure(
-                    type(problem).__name__,
-                    problem.what,
-                    problem.remedy,
+                    type(error).__name__,
+                    error.what,
+                    error.remedy,
                     exit_code,
                 ),
             ),
         )
-    around.write_error(f'{_NAME}: {problem.what}. {problem.remedy}.')
+    command_context.write_error(f'{_NAME}: {error.what}. {error.remedy}.')
     return exit_code
 
 
-def _internal(problem: Exception) -> errors.CommandError:
+def _internal_error(error: Exception) -> errors.CommandError:
     return errors.CommandError(
-        f'The tool failed: {type(problem).__name__}: {problem}',
+        f'The tool failed: {type(error).__name__}: {error}',
         'Please report this with the command line',
     )
--- a/libraries/cli/src/sardinepier/cli/reports.py
+++ b/libraries/cli/src/sardinepier/cli/reports.py
@@ -1,4 +1,4 @@
-"""What every command ends with: one document in two forms."""
+"""Reports of commands, printed as text or as JSON."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -8,18 +8,18 @@
 
 
 class Report(Protocol):
-    """A msgspec Struct that knows its form for people and its exit code."""
+    """A msgspec Struct with a text form and an exit code."""
 
     def lines(self) -> Iterable[str]:
-        """Return the form for people, for standard output."""
+        """Return the text form, for standard output."""
         ...
 
     def diagnostics(self) -> Iterable[str]:
-        """Return what went wrong on the way, for standard error."""
+        """Return warnings and errors, for standard error."""
         ...
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """Return what a script should learn."""
+        """Return the exit code of the command."""
         ...
 
 
@@ -37,7 +37,7 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Return the sentence for people."""
+        """Return the reason and the remedy as text."""
         return f'{self.what}. {self.remedy}.'
 
 
--- a/libraries/cli/src/sardinepier/cli/request.py
+++ b/libraries/cli/src/sardinepier/cli/request.py
@@ -1,4 +1,4 @@
-"""``sardinepier request``: send one request as a careful caller would."""
+"""``sardinepier request``: sends one request, with safe resends."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -20,20 +20,20 @@
 from sardinepier.core import outcomes
 
 MAX_RESENDS: Final = 2
-"""How often a request with a key is sent again after an unknown outcome."""
+"""How often a request with a key is resent after an unknown outcome."""
 
 _KEY_HEADER: Final = 'Idempotency-Key'
 _OUTCOME_HEADER: Final = 'Sardinepier-Outcome'
-_RETRY_HEADER: Final = 'Retry-After'
-_TYPE_HEADER: Final = 'Content-Type'
-_PROBLEM_TYPE: Final = 'application/problem+json'
+_RETRY_AFTER_HEADER: Final = 'Retry-After'
+_CONTENT_TYPE_HEADER: Final = 'Content-Type'
+_PROBLEM_CONTENT_TYPE: Final = 'application/problem+json'
 _CALLER_PART_BITS: Final = 128
 _FIRST_ERROR_STATUS: Final = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """What to send. ``once`` asks for a key and allows resends."""
+    """The request to send. ``once`` adds a key and allows resends."""
 
     method: str
     path: str
@@ -45,9 +45,9 @@
 
 
 class Attempt(msgspec.Struct, frozen=True, kw_only=True):
-    """One sending and what came of it.
+    """One attempt to send the request, and its outcome.
 
-    ``status`` is None when no whole answer came; ``detail`` then says why.
+    ``status`` is None when no whole answer arrived; ``detail`` has the reason.
     """
 
     daemon: str
@@ -60,9 +60,9 @@
 
 
 class RequestReport(msgspec.Struct, frozen=True, kw_only=True):
-    """The outcome over all sendings; ``key`` is empty without ``--once``.
+    """The outcome of all attempts; ``key`` is empty without ``--once``.
 
-    ``status`` and ``body`` are those of the last whole answer.
+    ``status`` and ``body`` are those of the last attempt.
     """
 
     outcome: outcomes.Outcome
@@ -72,17 +72,17 @@
     attempts: tuple[Attempt, ...]
 
     def lines(self) -> tuple[str, ...]:
-        """Return outcome, key, sendings, and the body after an empty line."""
-        written = [f'outcome: {self.outcome.value}']
+        """Return outcome, key, attempts, and the body after an empty line."""
+        lines = [f'outcome: {self.outcome.value}']
         if self.key:
-            written.append(f'key: {self.key}')
-        written.extend(map(_attempt_line, self.attempts))
+            lines.append(f'key: {self.key}')
+        lines.extend(map(_attempt_line, self.attempts))
         if self.body:
-            written.extend(('', tables.plain(self.body)))
-        return tuple(written)
+            lines.extend(('', tables.plain(self.body)))
+        return tuple(lines)
 
     def diagnostics(self) -> tuple[str, ...]:
-        """Return the reason and remedy of the last answer, if any."""
+        """Return the reason and remedy of the last attempt, if any."""
         last = self.attempts[-1]
         if self.exit_code() is exit_codes.ExitCode.OK or not last.detail:
             return ()
@@ -90,7 +90,7 @@
         return (tables.plain(f'{last.detail}. {remedy}.'),)
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """An unknown outcome is no answer; an error answer is negative."""
+        """Return the exit code for the outcome and the status."""
         if self.outcome is outcomes.Outcome.UNKNOWN:
             return exit_codes.ExitCode.NO_ANSWER
         failed = self.status is None or self.status >= _FIRST_ERROR_STATUS
@@ -103,14 +103,16 @@
     daemon: endpoints.Endpoint,
     spec: RequestSpec,
     timeout_s: float,
-    around: context.Context,
+    command_context: context.Context,
 ) -> RequestReport:
-    """Ask ``daemon`` for addresses and send there.
+    """Get addresses from ``daemon`` and send the request to them.
 
-    Raises the errors of ``client.DaemonClient.get`` when there are no
-    addresses to send to. Nothing has been sent then.
+    Raises ``RefusedError`` without addresses, and the errors of
+    ``client.DaemonClient.get``. In both cases the request wasn't sent.
     """
-    part = f'{around.random_source.getrandbits(_CALLER_PART_BITS):032x}'
+    caller_part = (
+        f'{command_context.random_source.getrandbits(_CALLER_PART_BITS):032x}'
+    )
     async with client.open_session(timeout_s) as session:
         answer = await client.DaemonClient(session).addresses(
             daemon,
@@ -122,12 +124,12 @@
                 f'{daemon} knows no daemon that serves {spec.service}',
                 'Ask another daemon',
             )
-        sender = _Sender(session, spec, part)
+        sender = _Sender(session, spec, caller_part)
         return await sender.send_all(answer.addresses)
 
 
 class _Sender:
-    """Sends an order until its fate is known or the resends are used up."""
+    """Sends a request until its outcome is known or no resend is left."""
 
     def __init__(
         self,
@@ -144,28 +146,29 @@
 
     async def send_all(
         self,
-        known: Sequence[answers.Address],
+        daemon_addresses: Sequence[answers.Address],
     ) -> RequestReport:
         for number in range(1 + MAX_RESENDS):
-            address = known[number % len(known)]
+            address = daemon_addresses[number % len(daemon_addresses)]
             if self._spec.once and not self._may_have_run:
-                # The key is bound to the home that its ticket names. As long
-                # as nothing can have run, another home is as good.
+                # The key is bound to the home that its ticket names. Until
+                # the request may have run, it can use another home.
                 self._key = f'{address.ticket}.{self._caller_part}'
             attempt = await self._send(addresses.endpoint_of(address))
             self._attempts.append(attempt)
-            if self._is_settled(attempt):
+            if self._is_final(attempt):
                 break
         return self._report()
 
-    def _is_settled(self, attempt: Attempt) -> bool:
+    def _is_final(self, attempt: Attempt) -> bool:
         if attempt.outcome is outcomes.Outcome.COMPLETED:
             return True
         if attempt.outcome is outcomes.Outcome.UNKNOWN:
             self._may_have_run = True
             return not self._spec.once
-        # Not run: an answer that says so is final, a failed connection is
-        # not. After an unknown sending it speaks for this sending alone.
+        # An answer "not run" is final, a failed connection is not. After an
+        # attempt with an unknown outcome, "not run" holds for this attempt
+        # only.
         return attempt.status is not None and not self._may_have_run
 
     def _report(self) -> RequestReport:
@@ -187,13 +190,13 @@
             headers[_KEY_HEADER] = self._key
         try:
             return await self._exchange(daemon, headers)
-        except aiohttp.ClientConnectorError as problem:
-            # No connection, so nothing was written: it is proved not run.
-            return _lost(daemon, problem, outcomes.Outcome.NOT_RUN)
-        except client.EXCHANGE_ERRORS as problem:
-            return _lost(daemon, problem, outcomes.Outcome.UNKNOWN)
-        except errors.BadAnswerError as problem:
-            return _lost(daemon, problem, outcomes.Outcome.UNKNOWN)
+        except aiohttp.ClientConnectorError as error:
+            # Without a connection nothing was sent, so the request hasn't run.
+            return _unanswered_attempt(daemon, error, outcomes.Outcome.NOT_RUN)
+        except client.EXCHANGE_ERRORS as error:
+            return _unanswered_attempt(daemon, error, outcomes.Outcome.UNKNOWN)
+        except errors.BadAnswerError as error:
+            return _unanswered_attempt(daemon, error, outcomes.Outcome.UNKNOWN)
 
     async def _exchange(
         self,
@@ -204,29 +207,31 @@
         path = spec.path.lstrip('/')
         async with self._session.request(
             spec.method,
-            # As it was written: `a/../b` must not leave the service's paths.
+            # Unnormalized: `a/../b` must not leave the service's paths.
             yarl.URL(f'http://{daemon}/{spec.service}/{path}', encoded=True),
             data=spec.body.encode() or None,
             headers=headers,
             allow_redirects=False,
             middlewares=(no_resend.NoResend(),),
         ) as answer:
-            return _answered(daemon, answer, await client.read_bounded(answer))
+            return _answered_attempt(
+                daemon, answer, await client.read_bounded(answer)
+            )
 
 
-def _answered(
+def _answered_attempt(
     daemon: endpoints.Endpoint,
     answer: aiohttp.ClientResponse,
     body: bytes,
 ) -> Attempt:
     problem = answers.ProblemDocument()
-    if answer.content_type == _PROBLEM_TYPE:
+    if answer.content_type == _PROBLEM_CONTENT_TYPE:
         problem = answers.parse_problem(body)
     return Attempt(
         daemon=str(daemon),
         outcome=_outcome_of(answer),
         status=answer.status,
-        retry_after=answer.headers.get(_RETRY_HEADER, ''),
+        retry_after=answer.headers.get(_RETRY_AFTER_HEADER, ''),
         detail=(problem.detail or problem.title).rstrip('.'),
         remedy=problem.remedy.rstrip('.'),
         body=body.decode(errors='replace'),
@@ -237,19 +242,19 @@
     try:
         return outcomes.Outcome(answer.headers.get(_OUTCOME_HEADER))
     except ValueError:
-        # Whatever answered, it proves nothing about the request.
+        # Without a known outcome the request may have run or not.
         return outcomes.Outcome.UNKNOWN
 
 
-def _lost(
+def _unanswered_attempt(
     daemon: endpoints.Endpoint,
-    problem: BaseException,
+    error: BaseException,
     outcome: outcomes.Outcome,
 ) -> Attempt:
     return Attempt(
         daemon=str(daemon),
         outcome=outcome,
-        detail=f'{daemon} gave no whole answer ({client.describe(problem)})',
+        detail=f'{daemon} gave no whole answer ({client.describe(error)})',
         remedy='Check the address, and that the daemon runs',
     )
 
@@ -265,11 +270,11 @@
 
 
 def body_headers(body: str) -> dict[str, str]:
-    """Return the content type of ``body``: JSON when it is that."""
+    """Return a content type header: JSON if ``body`` is, else plain text."""
     if not body:
         return {}
     try:
         msgspec.json.decode(body)
     except msgspec.DecodeError:
-        return {_TYPE_HEADER: 'text/plain; charset=utf-8'}
-    return {_TYPE_HEADER: 'application/json'}
+        return {_CONTENT_TYPE_HEADER: 'text/plain; charset=utf-8'}
+    return {_CONTENT_TYPE_HEADER: 'application/json'}
--- a/libraries/cli/src/sardinepier/cli/status.py
+++ b/libraries/cli/src/sardinepier/cli/status.py
@@ -1,4 +1,4 @@
-"""``sardinepier status``: what each daemon says, and the sum of all."""
+"""``sardinepier status``: the status of each daemon, and the totals."""
 
 import functools
 from collections.abc import Sequence
@@ -19,42 +19,42 @@
 
 
 class Totals(msgspec.Struct, frozen=True):
-    """The outcomes and latencies of all daemons that answered."""
+    """The merged outcomes and latencies of all daemons that answered."""
 
     outcomes: tuple[documents.OutcomeCount, ...]
     latencies: tuple[documents.LatencySummary, ...]
 
 
 class StatusReport(msgspec.Struct, frozen=True):
-    """One document for each daemon that answered, and the rest."""
+    """The document of each daemon that answered, and who did not."""
 
     daemons: tuple[documents.DaemonStatus, ...]
     totals: Totals
     unanswered: tuple[reports.Unanswered, ...]
 
     def lines(self) -> tuple[str, ...]:
-        """Return a block for each daemon and one for the sum."""
-        written: list[str] = []
-        for each in self.daemons:
-            written.extend(status_text.daemon_lines(each))
-            written.append('')
+        """Return a block for each daemon and one for the totals."""
+        lines: list[str] = []
+        for daemon in self.daemons:
+            lines.extend(status_text.daemon_lines(daemon))
+            lines.append('')
         answered = len(self.daemons)
-        asked = answered + len(self.unanswered)
-        written.append(f'{answered} of {asked} daemons answered')
-        written.extend(
+        requested = answered + len(self.unanswered)
+        lines.append(f'{answered} of {requested} daemons answered')
+        lines.extend(
             status_text.traffic_lines(
                 self.totals.outcomes,
                 self.totals.latencies,
             ),
         )
-        return tuple(written)
+        return tuple(lines)
 
     def diagnostics(self) -> tuple[str, ...]:
         """Return a line for each daemon that did not answer."""
         return tuple(map(str, self.unanswered))
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """A daemon without an answer makes the report partial."""
+        """Return ``NO_ANSWER`` when a daemon did not answer."""
         if self.unanswered:
             return exit_codes.ExitCode.NO_ANSWER
         return exit_codes.ExitCode.OK
@@ -67,16 +67,16 @@
 ) -> StatusReport:
     """Ask all ``daemons``.
 
-    Raises ``BadAnswerError`` when their histograms cannot be added up.
+    Raises ``BadAnswerError`` when their histograms can't be merged.
     """
     async with client.open_session(timeout_s) as session:
-        ask = functools.partial(
+        fetch_status = functools.partial(
             client.DaemonClient(session).get,
             path='/v1/status',
             query={},
             decode=documents.decode,
         )
-        gathered = await fan_out.ask_all(daemons, ask)
+        gathered = await fan_out.query_all(daemons, fetch_status)
     answered = tuple(gathered.answers.values())
     return StatusReport(answered, _totals(answered), gathered.unanswered)
 
@@ -84,11 +84,11 @@
 def _totals(answered: Sequence[documents.DaemonStatus]) -> Totals:
     try:
         latencies = summaries.merge_latencies(
-            summary for each in answered for summary in each.latencies
+            summary for daemon in answered for summary in daemon.latencies
         )
-    except telemetry_errors.BadHistogramError as problem:
-        raise errors.BadAnswerError(problem.what, problem.remedy) from problem
+    except telemetry_errors.BadHistogramError as error:
+        raise errors.BadAnswerError(error.what, error.remedy) from error
     outcomes = summaries.merge_outcomes(
-        count for each in answered for count in each.outcomes
+        count for daemon in answered for count in daemon.outcomes
     )
     return Totals(outcomes, latencies)
--- a/libraries/cli/src/sardinepier/cli/timeline.py
+++ b/libraries/cli/src/sardinepier/cli/timeline.py
@@ -1,4 +1,4 @@
-"""``sardinepier timeline``: the events of all daemons in one order."""
+"""``sardinepier timeline``: the events of all daemons, merged in order."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -11,11 +11,11 @@
 from sardinepier.telemetry import timeline as rings
 
 _Entries: TypeAlias = tuple[rings.TimelineEntry, ...]
-_Asked: TypeAlias = fan_out.Gathered[rings.TimelineDocument]
+_GatheredTimelines: TypeAlias = fan_out.Gathered[rings.TimelineDocument]
 
 
 class Dropped(msgspec.Struct, frozen=True):
-    """How many of its oldest entries a daemon no longer has."""
+    """How many of its oldest entries a daemon has discarded."""
 
     instance_id: str
     entries: int
@@ -36,33 +36,33 @@
         """Return a line for each gap."""
         return (
             *(
-                f'{each.instance_id}: its {each.entries} oldest entries '
+                f'{dropped.instance_id}: its {dropped.entries} oldest entries '
                 'are gone from its ring.'
-                for each in self.dropped
+                for dropped in self.dropped
             ),
             *map(str, self.unanswered),
         )
 
     def exit_code(self) -> exit_codes.ExitCode:
-        """A daemon without an answer makes the time line partial."""
+        """Return ``NO_ANSWER`` when a daemon did not answer."""
         if self.unanswered:
             return exit_codes.ExitCode.NO_ANSWER
         return exit_codes.ExitCode.OK
 
 
 class FollowedReport(TimelineReport, frozen=True):
-    """A time line whose entries were written while they came in."""
+    """A timeline whose entries were printed as they arrived."""
 
     def lines(self) -> tuple[str, ...]:
-        """Return nothing: the lines have been written."""
+        """Return nothing: the entries are printed already."""
         return ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FollowOptions:
-    """How to keep asking: for how long, how often, and where to write.
+    """How to poll: for how long and how often.
 
-    ``prints_entries`` says whether entries are written while they come in.
+    ``prints_entries`` tells whether entries are printed as they arrive.
     """
 
     for_s: float
@@ -78,9 +78,9 @@
 ) -> TimelineReport:
     """Ask all ``daemons`` once for their entries after ``since``."""
     async with client.open_session(timeout_s) as session:
-        asker = _Asker(client.DaemonClient(session), daemons, since)
-        gathered = await asker.ask()
-    return TimelineReport(asker.entries, _dropped(gathered), asker.unanswered)
+        poller = _TimelinePoller(client.DaemonClient(session), daemons, since)
+        gathered = await poller.poll()
+    return TimelineReport(poller.entries, _dropped(gathered), poller.unanswered)
 
 
 async def follow(
@@ -88,41 +88,45 @@
     since: stamps.Stamp | None,
     timeout_s: float,
     follow_options: FollowOptions,
-    around: context.Context,
+    command_context: context.Context,
 ) -> TimelineReport:
-    """Keep asking all ``daemons`` until the time is over.
+    """Poll all ``daemons`` until ``follow_options.for_s`` has passed.
 
-    Each round is merged for itself, so a line written later may carry an
-    earlier stamp; the report holds all entries in their order.
+    Entries are printed in order within each poll only, so a later line may
+    have an earlier stamp. The report has all entries in order.
     """
-    deadline_s = around.clock.monotonic_s() + follow_options.for_s
+    deadline_s = command_context.clock.monotonic_s() + follow_options.for_s
     async with client.open_session(timeout_s) as session:
-        asker = _Asker(client.DaemonClient(session), daemons, since)
+        poller = _TimelinePoller(client.DaemonClient(session), daemons, since)
         while True:
-            gathered = await asker.ask()
+            gathered = await poller.poll()
             if follow_options.prints_entries:
-                for entry in asker.newest:
-                    around.write(timeline_text.entry_line(entry))
-            left_s = deadline_s - around.clock.monotonic_s()
-            if left_s <= 0:
+                for entry in poller.newest_entries:
+                    command_context.write(timeline_text.entry_line(entry))
+            remaining_s = deadline_s - command_context.clock.monotonic_s()
+            if remaining_s <= 0:
                 break
-            await around.sleep(min(left_s, follow_options.interval_s))
-    kind = FollowedReport if follow_options.prints_entries else TimelineReport
-    return kind(asker.entries, _dropped(gathered), asker.unanswered)
+            await command_context.sleep(
+                min(remaining_s, follow_options.interval_s)
+            )
+    report_class = (
+        FollowedReport if follow_options.prints_entries else TimelineReport
+    )
+    return report_class(poller.entries, _dropped(gathered), poller.unanswered)
 
 
-class _Asker:
-    """Asks all daemons again and again, each for what it has not told."""
+class _TimelinePoller:
+    """Polls all daemons, each for entries newer than those received."""
 
     def __init__(
         self,
-        asking: client.DaemonClient,
+        daemon_client: client.DaemonClient,
         daemons: Sequence[endpoints.Endpoint],
         since: stamps.Stamp | None,
     ) -> None:
-        self.newest: _Entries = ()
+        self.newest_entries: _Entries = ()
         self.entries: _Entries = ()
-        self._asking = asking
+        self._daemon_client = daemon_client
         self._daemons = daemons
         self._since = dict.fromkeys(daemons, since)
         self._unanswered: dict[str, reports.Unanswered] = {}
@@ -132,25 +136,25 @@
         """Return the daemons that failed to answer at least once."""
         return tuple(self._unanswered.values())
 
-    async def ask(self) -> _Asked:
-        gathered = await fan_out.ask_all(self._daemons, self._ask_one)
+    async def poll(self) -> _GatheredTimelines:
+        gathered = await fan_out.query_all(self._daemons, self._poll_daemon)
         for daemon, answer in gathered.answers.items():
             if answer.entries:
                 self._since[daemon] = answer.entries[-1].stamp
         for unanswered in gathered.unanswered:
             self._unanswered[unanswered.daemon] = unanswered
-        self.newest = rings.merge(
+        self.newest_entries = rings.merge(
             *(document.entries for document in gathered.answers.values()),
         )
-        self.entries = rings.merge(self.entries, self.newest)
+        self.entries = rings.merge(self.entries, self.newest_entries)
         return gathered
 
-    async def _ask_one(
+    async def _poll_daemon(
         self,
         daemon: endpoints.Endpoint,
     ) -> rings.TimelineDocument:
         since = self._since[daemon]
-        return await self._asking.get(
+        return await self._daemon_client.get(
             daemon,
             '/v1/timeline',
             {} if since is None else {'since': stamps.format_stamp(since)},
@@ -158,7 +162,7 @@
         )
 
 
-def _dropped(gathered: _Asked) -> tuple[Dropped, ...]:
+def _dropped(gathered: _GatheredTimelines) -> tuple[Dropped, ...]:
     return tuple(
         Dropped(document.instance_id, document.dropped)
         for document in gathered.answers.values()
--- a/libraries/cli/tests/cli_support.py
+++ b/libraries/cli/tests/cli_support.py
@@ -1,4 +1,4 @@
-"""Lines of the log files that the tool reads."""
+"""Generates lines of log files."""
 
 import json
 
--- a/libraries/cli/tests/conftest.py
+++ b/libraries/cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small daemon in the test's own process, and a tool whose output is kept."""
+"""Fixtures: fake daemons in the test process, a tool with captured output."""
 
 import dataclasses
 import random
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """What the fake daemon does with one request; status 0 cuts it off."""
+    """The reply of a fake daemon; status 0 aborts the connection."""
 
     status: int = 200
     outcome: str = 'completed'
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass
 class FakeDaemon:
-    """Serves scripted documents and keeps what it was asked."""
+    """Serves scripted documents and replies, and records the requests."""
 
     documents: dict = dataclasses.field(default_factory=dict)
     replies: list = dataclasses.field(default_factory=list)
@@ -71,10 +71,10 @@
 
 @pytest_asyncio.fixture
 async def daemons():
-    """Two fake daemons; the first answers addresses with both."""
-    started = [FakeDaemon(), FakeDaemon()]
+    """Two fake daemons; the first serves the addresses of both."""
+    fakes = [FakeDaemon(), FakeDaemon()]
     runners = []
-    for fake in started:
+    for fake in fakes:
         application = web.Application()
         application.router.add_route('*', '/{path:.*}', fake.handle)
         runner = web.AppRunner(application)
@@ -83,52 +83,52 @@
         await site.start()
         fake.port = runner.addresses[0][1]
         runners.append(runner)
-    listed = ','.join(
-        f'{{"ip":"127.0.0.1","port":{each.port},"zone":"a{index}",'
+    addresses = ','.join(
+        f'{{"ip":"127.0.0.1","port":{daemon.port},"zone":"a{index}",'
         f'"ticket":"d{index}~0a.0.0b"}}'
-        for index, each in enumerate(started)
+        for index, daemon in enumerate(fakes)
     )
-    started[0].documents['/v1/addresses'] = (
-        f'{{"addresses":[{listed}],"valid_s":30}}'.encode()
+    fakes[0].documents['/v1/addresses'] = (
+        f'{{"addresses":[{addresses}],"valid_s":30}}'.encode()
     )
-    yield started
+    yield fakes
     for runner in runners:
         await runner.cleanup()
 
 
 class Tool:
-    """Runs command lines; ``out`` and ``err`` hold the last one's lines."""
+    """Runs command lines; ``out`` and ``err`` have the last one's lines."""
 
     def __init__(self, daemons):
         self.out = []
         self.err = []
-        self.naps_s = []
+        self.sleeps_s = []
         self._daemons = daemons
         self._clock = clocks.ManualClock(100.0)
 
     async def __call__(self, *arguments):
         self.out.clear()
         self.err.clear()
-        around = context.Context(
+        command_context = context.Context(
             clock=self._clock,
             sleep=self._sleep,
             random_source=random.Random(7),
             write=self.out.append,
             write_error=self.err.append,
         )
-        return await main.execute(arguments, around)
+        return await main.execute(arguments, command_context)
 
     @property
     def text(self):
-        """All that was written, with ports that change put out of sight."""
+        """The whole output, with placeholders for the variable ports."""
         text = '\n'.join((*self.out, '---', *self.err))
         for index, fake in enumerate(self._daemons):
             text = text.replace(str(fake.port), f'PORT{index}')
         return text
 
-    async def _sleep(self, nap_s):
-        self.naps_s.append(nap_s)
-        self._clock.advance(nap_s)
+    async def _sleep(self, duration_s):
+        self.sleeps_s.append(duration_s)
+        self._clock.advance(duration_s)
 
 
 @pytest.fixture
--- a/libraries/cli/tests/cover/test_cli_explain.py
+++ b/libraries/cli/tests/cover/test_cli_explain.py
@@ -1,4 +1,4 @@
-"""``sardinepier explain`` finds the cause in the logs of many processes."""
+"""``sardinepier explain`` finds the cause in the logs of many daemons."""
 
 import asyncio
 import json
@@ -84,7 +84,7 @@
 
 
 class Shell:
-    """Runs the tool on log files and keeps what it printed."""
+    """Runs ``explain`` on log files and captures its output."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -98,12 +98,12 @@
         self.files.append(str(path))
 
     def run(self, *arguments):
-        around = context.Context(
+        command_context = context.Context(
             write=self.printed.append,
             write_error=self.errors.append,
         )
         return asyncio.run(
-            main.execute(['explain', *arguments, *self.files], around),
+            main.execute(['explain', *arguments, *self.files], command_context),
         )
 
     @property
@@ -113,10 +113,10 @@
 
 @pytest.fixture
 def shell(tmp_path):
-    made = Shell(tmp_path)
-    made.log('one.log', *FAILED)
-    made.log('two.log', *REFUSED, *LOST)
-    return made
+    log_shell = Shell(tmp_path)
+    log_shell.log('one.log', *FAILED)
+    log_shell.log('two.log', *REFUSED, *LOST)
+    return log_shell
 
 
 @pytest.mark.parametrize(
@@ -133,17 +133,17 @@
     assert because in shell.text
 
 
-def test_what_the_daemon_knew_is_shown_with_its_age(shell):
+def test_state_events_are_shown_with_their_age(shell):
     shell.run('a', '--json')
     document = json.loads(shell.text)
     known = document['known']
-    assert [(one['event'], one['age_ms']) for one in known] == [
+    assert [(event['event'], event['age_ms']) for event in known] == [
         ('configuration-in-force', 4000),
     ]
     assert [step['after_ms'] for step in document['steps']] == [0, 4, 5]
 
 
-def test_a_caller_that_left_is_told_so(shell):
+def test_a_caller_that_disconnected_is_reported(shell):
     left = {**ENDED, 'outcome': 'abandoned', 'status': 0, 'taken_ms': 211}
     shell.log(
         'left.log',
@@ -153,13 +153,13 @@
     assert 'The caller left after 211 ms' in shell.text
 
 
-def test_an_unknown_id_is_a_clear_answer(shell):
+def test_an_unknown_id_is_a_negative_result(shell):
     assert shell.run('nobody') is exit_codes.ExitCode.NEGATIVE
     assert "has the request 'nobody'" in shell.errors[0]
 
 
-def test_a_daemon_that_lived_on_past_the_deadline_lost_nothing(shell):
-    """Else each request it ever answered would count as lost."""
+def test_a_request_is_not_lost_if_its_daemon_ran_past_the_deadline(shell):
+    """Otherwise each answered request of a daemon would count as lost."""
     shell.log(
         'lived.log',
         sent(1.0, 'd6', 'i'),
@@ -172,7 +172,7 @@
     assert 'request j: lost_with_daemon' in shell.text
 
 
-def test_a_daemon_that_stopped_in_order_lost_nothing(shell):
+def test_a_request_is_not_lost_if_its_daemon_shut_down_normally(shell):
     shell.log(
         'three.log',
         sent(1.0, 'd4', 'd'),
@@ -189,23 +189,23 @@
     assert shell.errors == ['2 lines could not be read.']
 
 
-def test_a_prefix_before_the_line_is_passed_over(shell):
+def test_a_prefix_before_the_json_object_is_ignored(shell):
     shell.log('prefixed.log', f'  5.5 edge-1 {sent(5.5, "d9", "e")}')
     shell.run('e')
     assert 'd9  request-sent' in shell.text
 
 
-def test_a_clock_that_went_back_is_told(shell):
+def test_a_clock_that_went_back_is_reported(shell):
     shell.log('clock.log', sent(30.0, 'd5', 'f'), sent(20.0, 'd5', 'g'))
     shell.run('f')
-    assert any('d5 went back' in told for told in shell.errors)
+    assert any('d5 went back' in message for message in shell.errors)
 
 
-def test_a_file_that_is_not_there_is_wrong_usage(shell):
+def test_a_missing_file_is_a_usage_error(shell):
     shell.files.append(str(shell.folder / 'nowhere.log'))
     assert shell.run('a') is exit_codes.ExitCode.USAGE
 
 
-def test_no_file_is_wrong_usage(shell):
+def test_no_file_is_a_usage_error(shell):
     shell.files.clear()
     assert shell.run('a') is exit_codes.ExitCode.USAGE
--- a/libraries/cli/tests/cover/test_cli_forms.py
+++ b/libraries/cli/tests/cover/test_cli_forms.py
@@ -1,4 +1,4 @@
-"""The forms for people and for scripts, pinned by snapshots."""
+"""Text and JSON output of the commands, compared with snapshots."""
 
 import json
 import pathlib
@@ -17,7 +17,7 @@
     timeline,
 )
 
-# Compressed bytes differ between versions of the system's zlib.
+# The compressed histograms differ between versions of zlib.
 ENCODED = re.compile('HIST[^"]*')
 
 FLEET = """[fleet]
@@ -63,13 +63,13 @@
 
 
 def status_document(index):
-    measured = metrics.Metrics()
-    histogram = measured.histogram('request_added_ms', service='search')
+    registry = metrics.Metrics()
+    histogram = registry.histogram('request_added_ms', service='search')
     for latency_ms in range(1, 101):
         histogram.record(latency_ms * (index + 1))
     text = STATUS % {'index': index, 'count': 99 + index}
     document = status.decode(text.encode())
-    latencies = summaries.latencies(measured.snapshot())
+    latencies = summaries.latencies(registry.snapshot())
     return status.encode(
         msgspec.structs.replace(document, latencies=latencies),
     )
@@ -85,21 +85,21 @@
 
 
 @pytest.fixture
-def filled(daemons):
+def fleet(daemons):
     for index, fake in enumerate(daemons):
         fake.documents['/v1/status'] = status_document(index)
         fake.documents['/v1/timeline'] = timeline_document(index)
     return daemons
 
 
-def named(daemons):
+def addresses_of(daemons):
     return ','.join(fake.address for fake in daemons)
 
 
 @pytest.mark.parametrize('form', [(), ('--json',)])
 @pytest.mark.parametrize('command', ['status', 'timeline'])
-async def test_reports_over_all_daemons(filled, tool, command, form, snapshot):
-    assert await tool(command, '--daemons', named(filled), *form) == 0
+async def test_reports_over_all_daemons(fleet, tool, command, form, snapshot):
+    assert await tool(command, '--daemons', addresses_of(fleet), *form) == 0
     assert ENCODED.sub('', tool.text) == snapshot
     assert '\x1b' not in tool.text
 
@@ -123,16 +123,16 @@
     }
     for file_name, text in written.items():
         pathlib.Path(tmp_path, file_name).write_text(text, encoding='utf-8')
-    paths = [str(tmp_path / each) for each in written]
+    paths = [str(tmp_path / file_name) for file_name in written]
 
     assert await tool('check', '--json', *paths) == 1
     document = json.loads(tool.out[0])
     found = {
-        (pathlib.Path(each['file']).name, each['kind']): each['problems']
-        for each in (*document['files'], *document['together'])
+        (pathlib.Path(report['file']).name, report['kind']): report['problems']
+        for report in (*document['files'], *document['together'])
     }
     places = {
-        file: [(each['section'], each['key']) for each in problems]
+        file: [(problem['section'], problem['key']) for problem in problems]
         for file, problems in found.items()
     }
     assert places == {
@@ -153,8 +153,8 @@
     assert [line.rpartition(' ')[2] for line in tool.out] == ['ok', 'ok']
 
 
-async def test_the_sum_is_merged_and_not_averaged(filled, tool):
-    assert await tool('status', '--json', '--daemons', named(filled)) == 0
+async def test_totals_are_merged_and_not_averaged(fleet, tool):
+    assert await tool('status', '--json', '--daemons', addresses_of(fleet)) == 0
     totals = json.loads(tool.out[0])['totals']
 
     assert totals['outcomes'][0]['requests'] == 99 + 100
@@ -164,9 +164,11 @@
 
 
 @pytest.mark.parametrize('command', ['status', 'timeline'])
-async def test_a_missing_daemon_leaves_it_partial(filled, tool, reply, command):
-    filled[1].documents = {f'/v1/{command}': reply(body='{"entries":7}')}
-    line = (command, '--daemons', named(filled))
+async def test_a_report_without_one_daemon_is_partial(
+    fleet, tool, reply, command
+):
+    fleet[1].documents = {f'/v1/{command}': reply(body='{"entries":7}')}
+    line = (command, '--daemons', addresses_of(fleet))
 
     assert await tool(*line) == 3
     assert 'd0~0a' in tool.text
@@ -176,26 +178,26 @@
     assert document['unanswered'][0]['error'] == 'BadAnswerError'
 
 
-async def test_an_unreadable_histogram_is_a_bad_answer(filled, tool):
+async def test_an_unreadable_histogram_is_a_bad_answer(fleet, tool):
     document = status.decode(status_document(0))
     broken = msgspec.structs.replace(document.latencies[0], histogram='x')
-    filled[0].documents['/v1/status'] = status.encode(
+    fleet[0].documents['/v1/status'] = status.encode(
         msgspec.structs.replace(document, latencies=(broken,)),
     )
 
-    assert await tool('status', '--daemons', filled[0].address) == 3
+    assert await tool('status', '--daemons', fleet[0].address) == 3
     assert 'unreadable' in tool.err[-1]
 
 
-async def test_following_asks_for_what_is_new_until_its_time(filled, tool):
+async def test_follow_polls_for_new_entries_until_its_deadline(fleet, tool):
     later = timeline_document(0, 1_700_000_009.0, recorded=1)
     answers = [timeline_document(0), later, later, later]
-    filled[0].documents['/v1/timeline'] = answers
-    line = ('timeline', '--daemons', filled[0].address, '--follow')
+    fleet[0].documents['/v1/timeline'] = answers
+    line = ('timeline', '--daemons', fleet[0].address, '--follow')
 
     assert await tool(*line, '--for_s', '2.5') == 0
-    assert tool.naps_s == [1.0, 1.0, 0.5]
-    assert [query.get('since') for query in filled[0].queries] == [
+    assert tool.sleeps_s == [1.0, 1.0, 0.5]
+    assert [query.get('since') for query in fleet[0].queries] == [
         None,
         '1700000000500.0',
         '1700000009000.1',
@@ -205,7 +207,7 @@
     assert '1700000009000.1 2023-11-14T22:13:29.000+00:00' in tool.out[1]
 
 
-async def test_a_number_that_json_lacks_stays_readable(daemons, tool):
+async def test_an_infinite_number_is_shown_as_not_finite(daemons, tool):
     ring = timeline.Timeline(ids.InstanceId('d~0a'), clocks.ManualClock())
     ring.record(
         target_events.TargetSuspected('s', 't', 'bad\nline', float('inf')),
--- a/libraries/cli/tests/cover/test_cli_log_timeline.py
+++ b/libraries/cli/tests/cover/test_cli_log_timeline.py
@@ -1,4 +1,4 @@
-"""The time line and the picture of a day, from log files."""
+"""The timeline and the picture from log files."""
 
 import asyncio
 
@@ -8,18 +8,20 @@
 
 
 class Shell:
-    """Runs the tool and keeps what it printed."""
+    """Runs ``timeline`` and captures its output."""
 
     def __init__(self):
         self.printed = []
         self.errors = []
 
     def run(self, *arguments):
-        around = context.Context(
+        command_context = context.Context(
             write=self.printed.append,
             write_error=self.errors.append,
         )
-        return asyncio.run(main.execute(['timeline', *arguments], around))
+        return asyncio.run(
+            main.execute(['timeline', *arguments], command_context)
+        )
 
 
 @pytest.fixture
@@ -29,8 +31,8 @@
 
 @pytest.fixture
 def logs(tmp_path):
-    one = tmp_path / 'one.log'
-    one.write_text(
+    first_log = tmp_path / 'one.log'
+    first_log.write_text(
         '\n'.join(
             (
                 cli_support.line(1, 'd1', 'started', zone='z1'),
@@ -41,8 +43,8 @@
             ),
         ),
     )
-    other = tmp_path / 'other.log'
-    other.write_text(
+    second_log = tmp_path / 'other.log'
+    second_log.write_text(
         '\n'.join(
             (
                 cli_support.line(4, 'd2', 'carrier-changed', is_carrier=True),
@@ -52,10 +54,10 @@
             ),
         ),
     )
-    return str(one), str(other)
+    return str(first_log), str(second_log)
 
 
-def test_lines_of_all_files_come_in_the_order_of_their_times(shell, logs):
+def test_lines_of_all_files_are_sorted_by_time(shell, logs):
     assert shell.run(*logs) is exit_codes.ExitCode.OK
     events = [printed.split()[2] for printed in shell.printed]
     assert events == ['started', 'carrier-changed', 'platform-lost']
@@ -67,20 +69,20 @@
     assert picture.read_bytes().startswith(b'\x89PNG')
 
 
-def test_a_picture_that_can_t_be_written_is_wrong_usage(shell, logs):
+def test_a_picture_that_cannot_be_written_is_a_usage_error(shell, logs):
     code = shell.run(*logs, '--picture=/nowhere/at/all.png')
     assert code is exit_codes.ExitCode.USAGE
     assert 'cannot be written' in shell.errors[0]
 
 
-def test_a_picture_of_nothing_is_wrong_usage(shell, tmp_path):
+def test_a_picture_without_lines_is_a_usage_error(shell, tmp_path):
     empty = tmp_path / 'empty.log'
     empty.write_text('')
     code = shell.run(str(empty), f'--picture={tmp_path / "day.png"}')
     assert code is exit_codes.ExitCode.USAGE
 
 
-@pytest.mark.parametrize('both', [False, True])
-def test_files_or_daemons_have_to_be_named(shell, logs, both):
-    named = (*logs, '--daemons=127.0.0.1:1') if both else ()
-    assert shell.run(*named) is exit_codes.ExitCode.USAGE
+@pytest.mark.parametrize('with_daemons', [False, True])
+def test_either_files_or_daemons_are_required(shell, logs, with_daemons):
+    sources = (*logs, '--daemons=127.0.0.1:1') if with_daemons else ()
+    assert shell.run(*sources) is exit_codes.ExitCode.USAGE
--- a/libraries/cli/tests/cover/test_cli_reference.py
+++ b/libraries/cli/tests/cover/test_cli_reference.py
@@ -1,4 +1,4 @@
-"""The page for operators names all codes, kinds and keys there are."""
+"""The operators' page names all exit codes, causes, events and JSON keys."""
 
 import pathlib
 import typing
@@ -23,7 +23,7 @@
     check.Mistake,
     log_timeline.LogTimelineReport,
     explain.ExplainReport,
-    explain.Known,
+    explain.KnownEvent,
     explain.Step,
     request.Attempt,
     request.RequestReport,
--- a/libraries/cli/tests/cover/test_cli_request.py
+++ b/libraries/cli/tests/cover/test_cli_request.py
@@ -1,5 +1,5 @@
-"""A request keeps its key, is resent a bounded number of times, and never
-claims more about its fate than is proved."""
+"""Resends keep their key and are bounded, and the reported outcome is
+``unknown`` unless it is proved."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 LOST = {'status': 0}
 UNKNOWN = {'status': 504, 'outcome': 'unknown'}
-DONE = {'status': 201}
+COMPLETED = {'status': 201}
 SHED = {
     'status': 503,
     'outcome': 'not-run',
@@ -19,49 +19,49 @@
 
 @pytest.fixture
 def send(daemons, tool, reply):
-    """Script the daemons' replies in the order of sending, then send."""
+    """Script the daemons' replies, alternating, then send the request."""
 
     async def run(script, *options, method='post'):
-        for number, each in enumerate(script):
-            daemons[number % 2].replies.append(reply(**each))
+        for number, fields in enumerate(script):
+            daemons[number % 2].replies.append(reply(**fields))
         line = f'request {method} /a/../deposits?a=%20b --service theses'
-        asked = ('--daemon', daemons[0].address)
-        return await tool(*line.split(), *asked, *options)
+        daemon_option = ('--daemon', daemons[0].address)
+        return await tool(*line.split(), *daemon_option, *options)
 
     return run
 
 
-def sent(daemons):
+def count_requests(daemons):
     return sum(len(fake.requests) for fake in daemons)
 
 
 @pytest.mark.parametrize(
-    ('script', 'outcome', 'code', 'sendings'),
+    ('script', 'outcome', 'code', 'attempts'),
     [
-        ([DONE], 'completed', 0, 1),
+        ([COMPLETED], 'completed', 0, 1),
         ([{'status': 404}], 'completed', 1, 1),
         ([SHED], 'not-run', 1, 1),
-        ([LOST, DONE], 'completed', 0, 2),
-        ([UNKNOWN, DONE], 'completed', 0, 2),
-        ([UNKNOWN, LOST, DONE], 'completed', 0, 3),
+        ([LOST, COMPLETED], 'completed', 0, 2),
+        ([UNKNOWN, COMPLETED], 'completed', 0, 2),
+        ([UNKNOWN, LOST, COMPLETED], 'completed', 0, 3),
         ([UNKNOWN, UNKNOWN, UNKNOWN], 'unknown', 3, 3),
         ([LOST, LOST, LOST], 'unknown', 3, 3),
-        # A refusal proves nothing about the sending before it.
+        # "Not run" proves nothing about the previous attempt.
         ([LOST, SHED, SHED], 'unknown', 3, 3),
-        ([UNKNOWN, SHED, DONE], 'completed', 0, 3),
-        # Something else than a daemon answered.
-        ([{'outcome': ''}, DONE], 'completed', 0, 2),
+        ([UNKNOWN, SHED, COMPLETED], 'completed', 0, 3),
+        # The answer has no valid outcome, so it isn't that of a daemon.
+        ([{'outcome': ''}, COMPLETED], 'completed', 0, 2),
         ([{'outcome': 'done'}, LOST, LOST], 'unknown', 3, 3),
     ],
 )
-async def test_sendings_with_a_key(
+async def test_resends_with_a_key(
     daemons,
     tool,
     send,
     script,
     outcome,
     code,
-    sendings,
+    attempts,
 ):
     assert await send(script, '--once', '--json') == code
     document = json.loads(tool.out[0])
@@ -72,7 +72,7 @@
     }
 
     assert document['outcome'] == outcome
-    assert len(document['attempts']) == sent(daemons) == sendings
+    assert len(document['attempts']) == count_requests(daemons) == attempts
     assert keys == {document['key']}
     assert document['key'].startswith('d0~0a.0.0b.')
 
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize(
     ('script', 'outcome', 'code'),
     [
-        ([DONE], 'completed', 0),
+        ([COMPLETED], 'completed', 0),
         ([UNKNOWN], 'unknown', 3),
         ([LOST], 'unknown', 3),
         ([SHED], 'not-run', 1),
@@ -96,14 +96,14 @@
 ):
     assert await send(script) == code
     assert tool.out[0] == f'outcome: {outcome}'
-    assert sent(daemons) == 1
+    assert count_requests(daemons) == 1
     assert 'Idempotency-Key' not in daemons[0].requests[0]
 
 
 @pytest.mark.parametrize('method', ['GET', 'PUT', 'DELETE', 'PATCH'])
-async def test_no_method_is_sent_twice_by_itself(daemons, send, method):
-    assert await send([LOST, DONE, DONE], method=method) == 3
-    assert sent(daemons) == 1
+async def test_no_method_is_resent_by_the_http_client(daemons, send, method):
+    assert await send([LOST, COMPLETED, COMPLETED], method=method) == 3
+    assert count_requests(daemons) == 1
 
 
 async def test_a_failed_connection_moves_to_another_home(daemons, tool, reply):
@@ -118,7 +118,7 @@
     assert await tool(*line, daemons[0].address, '--json') == 0
     document = json.loads(tool.out[0])
     key = daemons[1].requests[0]['Idempotency-Key']
-    assert [each['outcome'] for each in document['attempts']] == [
+    assert [attempt['outcome'] for attempt in document['attempts']] == [
         'not-run',
         'completed',
     ]
@@ -126,7 +126,7 @@
     assert key.startswith('d1~0a')
 
 
-async def test_without_any_connection_it_is_proved_not_run(daemons, tool):
+async def test_without_a_connection_the_outcome_is_not_run(daemons, tool):
     daemons[0].documents['/v1/addresses'] = (
         b'{"valid_s":1,"addresses":'
         b'[{"ip":"127.0.0.1","port":1,"zone":"a","ticket":"t"}]}'
@@ -146,10 +146,10 @@
         ('a=1', 'text/plain; charset=utf-8'),
     ],
 )
-async def test_it_goes_out_as_it_was_written(daemons, send, body, content_type):
+async def test_the_request_is_sent_unchanged(daemons, send, body, content_type):
     options = ('--body', body, '--caller', '007', '--caller_header', 'By')
 
-    assert await send([DONE], *options) == 0
+    assert await send([COMPLETED], *options) == 0
     request = daemons[0].requests[0]
     assert request['target'] == 'POST /theses/a/../deposits?a=%20b'
     assert request['body'] == body
@@ -158,14 +158,14 @@
 
 
 @pytest.mark.parametrize('form', [(), ('--json',)])
-@pytest.mark.parametrize('script', [[LOST, DONE], [SHED]])
+@pytest.mark.parametrize('script', [[LOST, COMPLETED], [SHED]])
 async def test_forms_of_an_outcome(tool, send, script, form, snapshot):
     await send(script, '--once', *form)
     assert tool.text == snapshot
 
 
 @pytest.mark.parametrize(
-    ('answer', 'code', 'said'),
+    ('answer', 'code', 'expected_text'),
     [
         ({'body': '{"addresses":[],"valid_s":1}'}, 1, 'no daemon that serves'),
         (
@@ -184,10 +184,10 @@
     send,
     answer,
     code,
-    said,
+    expected_text,
 ):
     daemons[0].documents['/v1/addresses'] = reply(**answer)
 
     assert await send([], '--once') == code
-    assert said in tool.err[0]
-    assert not sent(daemons)
+    assert expected_text in tool.err[0]
+    assert not count_requests(daemons)
--- a/libraries/settings/src/sardinepier/settings/__init__.py
+++ b/libraries/settings/src/sardinepier/settings/__init__.py
@@ -1,1 +1,1 @@
-"""INI files in, one checked immutable snapshot per file out."""
+"""Parses INI settings files into validated, immutable snapshots."""
--- a/libraries/settings/src/sardinepier/settings/errors.py
+++ b/libraries/settings/src/sardinepier/settings/errors.py
@@ -1,8 +1,8 @@
-"""Failures of reading settings, each with everything that was wrong.
+"""Errors of reading settings files.
 
-An operator corrects a file once, not once a mistake. The errors here
-therefore carry all the problems of a file as values: a command line prints
-them one a line, a daemon puts them into its log and its status.
+An ``InvalidSettingsError`` carries all problems of a file, so that an
+operator can correct them in one go. The command line prints one problem a
+line, a daemon writes them to its log and its status.
 """
 
 import dataclasses
@@ -12,13 +12,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One mistake in one settings file.
+    """One problem in one settings file.
 
     ``section`` is the title between the brackets. ``section`` and ``key`` are
-    ``None`` where the mistake belongs to no single one. ``what`` and
-    ``remedy`` are sentences without a final full stop.
+    ``None`` when the problem isn't tied to a single section or key. ``what``
+    and ``remedy`` are sentences without a final full stop.
 
-    The text form fits on one line::
+    ``str`` gives a single line, for example::
 
         service/search [target a] port: `x` is not a whole number from 1 to
         65535. Write a whole number from 1 to 65535.
@@ -31,7 +31,7 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Give the place, the mistake and the remedy on one line."""
+        """Return the place, the problem and the remedy on one line."""
         place = self.source
         if self.section is not None:
             place = f'{place} [{self.section}]'
@@ -41,16 +41,16 @@
 
 
 class InvalidSettingsError(errors.SardinepierError):
-    """A settings file breaks its rules. All mistakes are in ``problems``.
+    """A settings file is invalid. ``problems`` holds every problem found.
 
     The message is one line with the number of problems, followed by one line
     for each problem.
     """
 
     def __init__(self, problems: tuple[Problem, ...]) -> None:
-        """Keep the problems and build the message from them."""
+        """Store the problems and build the message from them."""
         sources = sorted({problem.source for problem in problems})
-        # The root error ends the text with a full stop of its own.
+        # The base class appends a full stop, so the last one is cut off here.
         lines = '\n'.join(str(problem) for problem in problems)
         super().__init__(
             f'Found {len(problems)} problem(s) in {", ".join(sources)}',
@@ -60,11 +60,11 @@
 
 
 class SettingsFileError(errors.SardinepierError):
-    """A settings file on disk could not be turned into text."""
+    """A settings file on disk could not be read as text."""
 
 
 class UnreadableFileError(SettingsFileError):
-    """The file is missing, is no plain file, or may not be read."""
+    """The file is missing, is not a regular file, or is not readable."""
 
 
 class UndecodableFileError(SettingsFileError):
@@ -72,8 +72,8 @@
 
 
 class OversizedFileError(SettingsFileError):
-    """The file is larger than a settings file may be."""
+    """The file exceeds the maximum size of a settings file."""
 
 
 class DuplicateRouteError(errors.SardinepierError):
-    """A route table was given two routes that no request can tell apart."""
+    """Two routes of a route table match exactly the same requests."""
--- a/libraries/settings/src/sardinepier/settings/internal/address_types.py
+++ b/libraries/settings/src/sardinepier/settings/internal/address_types.py
@@ -1,4 +1,4 @@
-"""The types of addresses: one machine, lists of peers, lists of URLs."""
+"""Field types for addresses: an IPv4 address, peer seeds, HTTP URLs."""
 
 import ipaddress
 import re
@@ -70,13 +70,13 @@
 def _read_url(word: str) -> str:
     try:
         parts = url_parse.urlsplit(word)
-        has_place = bool(parts.hostname) and parts.port != 0
+        has_valid_authority = bool(parts.hostname) and parts.port != 0
     except ValueError as error:
         raise rejection.not_of_kind(word, _URLS_KIND) from error
-    plain = f'{parts.scheme}://{parts.netloc}{parts.path}'
-    if parts.scheme not in _SCHEMES or not has_place:
+    without_query = f'{parts.scheme}://{parts.netloc}{parts.path}'
+    if parts.scheme not in _SCHEMES or not has_valid_authority:
         raise rejection.not_of_kind(word, _URLS_KIND)
-    if plain != word or '@' in parts.netloc:
+    if without_query != word or '@' in parts.netloc:
         raise rejection.not_of_kind(word, _URLS_KIND)
     return word.rstrip('/')
 
--- a/libraries/settings/src/sardinepier/settings/internal/checking.py
+++ b/libraries/settings/src/sardinepier/settings/internal/checking.py
@@ -1,4 +1,4 @@
-"""From the raw sections of a file to checked ones, all problems collected."""
+"""Validates the raw sections of a file and collects all problems."""
 
 import dataclasses
 import difflib
@@ -26,24 +26,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Layout:
-    """The sections of a file: titles alone, and kinds that carry a name.
+    """The sections that a kind of file may have.
 
-    ``[fleet]`` stands alone, ``[zone NAME]`` carries a name.
+    ``single`` maps titles of sections without a name, such as ``[fleet]``.
+    ``named`` maps the first word of titles with a name: ``[zone NAME]``.
     """
 
     single: Mapping[str, type[schema.Section]]
     named: Mapping[str, type[schema.Section]]
 
     def titles(self) -> list[str]:
-        """Give all allowed titles as an operator writes them."""
+        """Return all allowed titles, such as ``fleet`` and ``zone NAME``."""
         return [*self.single, *(f'{kind} NAME' for kind in self.named)]
 
 
 class FileCheck:
-    """The check of one file, which collects problems until the end."""
+    """Validates one file and collects its problems."""
 
     def __init__(self, text: str, source: str, layout: Layout) -> None:
-        """Read the syntax and refuse unknown sections."""
+        """Read the sections and report unknown titles.
+
+        Raises ``InvalidSettingsError`` when the file can't be read as INI.
+        """
         self.source = source
         self.problems: list[errors.Problem] = []
         self._layout = layout
@@ -56,7 +60,7 @@
             self._check_title(section.title)
 
     def single(self, kind: type[SectionT]) -> SectionT | None:
-        """Check a section that stands alone. ``None`` when it is faulty."""
+        """Validate a section without a name; return ``None`` if invalid."""
         title = _find_title(self._layout.single, kind)
         for section in self._sections:
             if section.title == title:
@@ -70,18 +74,18 @@
         return None
 
     def named(self, kind: type[SectionT]) -> dict[str, SectionT]:
-        """Check all sections of a kind. Faulty ones are left out."""
+        """Validate all sections of a named kind; leave invalid ones out."""
         prefix = _find_title(self._layout.named, kind)
-        found: dict[str, SectionT] = {}
+        valid_sections: dict[str, SectionT] = {}
         is_present = False
         for section in self._sections:
-            word, _, name = section.title.partition(_SEPARATOR)
-            if word != prefix:
+            title_kind, _, name = section.title.partition(_SEPARATOR)
+            if title_kind != prefix:
                 continue
             is_present = True
-            checked = self._check(section, kind)
-            if checked is not None:
-                found[name] = checked
+            valid_section = self._check(section, kind)
+            if valid_section is not None:
+                valid_sections[name] = valid_section
         if not is_present:
             self.report(
                 None,
@@ -89,7 +93,7 @@
                 f'No section `[{prefix} NAME]` is there',
                 f'Add at least one `[{prefix} NAME]`',
             )
-        return found
+        return valid_sections
 
     def report(
         self,
@@ -104,11 +108,11 @@
         )
 
     def error(self) -> errors.InvalidSettingsError:
-        """Give the error that carries the problems, up to a bound."""
-        shown = self.problems[:MAX_PROBLEMS]
+        """Return the error with at most ``MAX_PROBLEMS`` problems listed."""
+        listed_problems = self.problems[:MAX_PROBLEMS]
         if len(self.problems) > MAX_PROBLEMS:
             hidden = len(self.problems) - MAX_PROBLEMS
-            shown.append(
+            listed_problems.append(
                 errors.Problem(
                     self.source,
                     section=None,
@@ -117,7 +121,7 @@
                     remedy='Correct the others first',
                 ),
             )
-        return errors.InvalidSettingsError(tuple(shown))
+        return errors.InvalidSettingsError(tuple(listed_problems))
 
     def _check_title(self, title: str) -> None:
         if title in self._layout.single:
@@ -137,8 +141,8 @@
         if len(self.problems) >= MAX_PROBLEMS:
             return _NOT_LISTED
         known = self._layout.titles()
-        near = difflib.get_close_matches(title, known, n=1)
-        allowed = [f'[{word}]' for word in near or known]
+        close_matches = difflib.get_close_matches(title, known, n=1)
+        allowed = [f'[{near_title}]' for near_title in close_matches or known]
         return f'Write {display.listed(allowed)}'
 
     def _check_name(self, title: str, name: str) -> None:
@@ -172,7 +176,7 @@
     ) -> None:
         key = str(fault['loc'][0])
         what, remedy = _NOT_LISTED, _NOT_LISTED
-        # Others are only counted, and finding a remedy takes long.
+        # Later problems are only counted: finding their remedies is slow.
         if len(self.problems) < MAX_PROBLEMS:
             what, remedy = _explain(key, kind, fault)
         self.report(
@@ -211,9 +215,9 @@
 
 def _unknown_key_remedy(key: str, kind: type[schema.Section]) -> str:
     known = list(kind.model_fields)
-    near = difflib.get_close_matches(key.lower(), known, n=1)
-    if near:
-        return f'Write {display.quoted(near[0])}, or remove the line'
+    close_matches = difflib.get_close_matches(key.lower(), known, n=1)
+    if close_matches:
+        return f'Write {display.quoted(close_matches[0])}, or remove the line'
     return f'Remove the line. Known keys are {display.listed(known, "and")}'
 
 
--- a/libraries/settings/src/sardinepier/settings/internal/display.py
+++ b/libraries/settings/src/sardinepier/settings/internal/display.py
@@ -1,35 +1,35 @@
-"""How foreign text is shown in a message: short, on one line, printable."""
+"""Formats text from files for messages: short, one line, printable."""
 
 from typing import Final
 
-_SHOWN_CHARACTERS: Final = 60
+_MAX_SHOWN_CHARACTERS: Final = 60
 
 
 def plain(text: str) -> str:
-    """Escape what does not print, line ends too, and cut what is long."""
-    escaped = ''.join(_printable(character) for character in _cut(text))
-    if len(text) > _SHOWN_CHARACTERS:
+    """Escape unprintable characters and line ends, and truncate the text."""
+    escaped = ''.join(_printable(character) for character in _truncate(text))
+    if len(text) > _MAX_SHOWN_CHARACTERS:
         return f'{escaped}...'
     return escaped
 
 
 def quoted(text: str) -> str:
-    """Give the text as :func:`plain` does, between back quotes."""
+    """Return the text of :func:`plain` between backticks."""
     if not text:
         return '(empty)'
     return f'`{plain(text)}`'
 
 
 def listed(words: list[str], conjunction: str = 'or') -> str:
-    """Join quoted words as a sentence does: ```a`, `b` or `c```."""
+    """Join quoted words for a sentence: ```a`, `b` or `c```."""
     shown = [quoted(word) for word in words]
     if len(shown) < 2:
         return ''.join(shown)
     return f'{", ".join(shown[:-1])} {conjunction} {shown[-1]}'
 
 
-def _cut(text: str) -> str:
-    return text[:_SHOWN_CHARACTERS]
+def _truncate(text: str) -> str:
+    return text[:_MAX_SHOWN_CHARACTERS]
 
 
 def _printable(character: str) -> str:
--- a/libraries/settings/src/sardinepier/settings/internal/examples.py
+++ b/libraries/settings/src/sardinepier/settings/internal/examples.py
@@ -1,4 +1,4 @@
-"""One good file of each kind, shown in the reference for operators."""
+"""A valid example of each kind of file, shown in the reference."""
 
 from typing import Final
 
--- a/libraries/settings/src/sardinepier/settings/internal/fleet_rules.py
+++ b/libraries/settings/src/sardinepier/settings/internal/fleet_rules.py
@@ -1,4 +1,4 @@
-"""Rules between the keys of the fleet file, and between it and others."""
+"""Rules between keys of the fleet file, and between it and services."""
 
 from collections import Counter
 from collections.abc import Iterator, Mapping
@@ -9,14 +9,14 @@
 from sardinepier.settings.internal import display, schema
 
 _TITLE: Final = 'fleet'
-_LATEST: Final = 'addresses_valid_s'
+_VALID_S_KEY: Final = 'addresses_valid_s'
 
 
 def find_problems(
     source: str,
     fleet: schema.FleetSection,
 ) -> Iterator[errors.Problem]:
-    """Compare the keys that depend on each other."""
+    """Yield a problem for each broken rule between two keys."""
     valid_s = fleet.addresses_valid_s
     if fleet.shutdown_grace_s < valid_s:
         yield errors.Problem(
@@ -24,7 +24,7 @@
             _TITLE,
             'shutdown_grace_s',
             f'A daemon would end while callers still hold its address: '
-            f'{fleet.shutdown_grace_s:g} is less than `{_LATEST}`',
+            f'{fleet.shutdown_grace_s:g} is less than `{_VALID_S_KEY}`',
             f'Write at least {valid_s:g}',
         )
     if fleet.ticket_epoch_s * fleet.ticket_valid_epochs < valid_s:
@@ -33,7 +33,7 @@
             _TITLE,
             'ticket_valid_epochs',
             f'A ticket would expire before the address it came with: '
-            f'`ticket_epoch_s` times this is less than `{_LATEST}`',
+            f'`ticket_epoch_s` times this is less than `{_VALID_S_KEY}`',
             'Write a larger number',
         )
     if fleet.suspicion_timeout_ms <= fleet.heartbeat_interval_ms:
@@ -51,7 +51,7 @@
     fleet: schema.FleetSection,
     zones: Mapping[str, schema.ZoneSection],
 ) -> model.FleetSettings:
-    """Make the snapshot from sections without problems."""
+    """Build the snapshot from valid sections."""
     return model.FleetSettings(
         zones=tuple(
             model.ZoneSettings(
@@ -68,7 +68,7 @@
     fleet: model.FleetSettings,
     services: tuple[model.ServiceSettings, ...],
 ) -> tuple[errors.Problem, ...]:
-    """Find unknown zones and services that are described twice."""
+    """Return problems for unknown zones and duplicate services."""
     zones: list[str] = [zone.name for zone in fleet.zones]
     problems = [
         errors.Problem(
@@ -82,11 +82,11 @@
         for target in service.targets
         if target.zone not in zones
     ]
-    problems.extend(_find_repeated(services))
+    problems.extend(_find_duplicate_services(services))
     return tuple(problems)
 
 
-def _find_repeated(
+def _find_duplicate_services(
     services: tuple[model.ServiceSettings, ...],
 ) -> Iterator[errors.Problem]:
     counts = Counter(service.name for service in services)
--- a/libraries/settings/src/sardinepier/settings/internal/ini.py
+++ b/libraries/settings/src/sardinepier/settings/internal/ini.py
@@ -1,9 +1,9 @@
-"""Text to sections, with every mistake of syntax found in one go.
+"""Reads INI text into sections and reports all syntax errors at once.
 
 ``configparser`` stops at the first duplicate and at the first line outside a
-section. To report all mistakes at once, the faulty line is noted, taken out
-and the text read again. The number of such rounds is bounded, because each
-costs a whole pass over the text.
+section. To find all errors, ``read`` records the faulty line, replaces it and
+parses the text again. The number of passes is bounded, because each one
+parses the whole text.
 """
 
 import configparser
@@ -15,17 +15,18 @@
 from sardinepier.settings import errors
 from sardinepier.settings.internal import display
 
-# Both bound what a faulty file can cost: the library's own report of bad
-# lines takes quadratic time.
+# Both bound the cost of a faulty file: ``configparser`` takes quadratic time
+# to report bad lines.
 MAX_CHARACTERS: Final = 1_048_576
 MAX_LINES: Final = 10_000
-_MAX_ROUNDS: Final = 50
+_MAX_PASSES: Final = 50
 _HEADER: Final = re.compile(r'\[(?P<header>[^\]]+)\]$')
 _KEY_VALUE: Final = re.compile(
     r'(?P<option>[^=]+)(?P<vi>=)\s*(?P<value>.*)$',
 )
-# Marks the title of a repeated section. No file that is read contains it.
-_REPEATED: Final = '\0'
+# Prefix of the title that replaces that of a duplicate section. Files with
+# this character are rejected, so no real title begins with it.
+_DUPLICATE_MARK: Final = '\0'
 _KEY_VALUE_REMEDY: Final = (
     'Write `key = value`, a `[section]`, or a comment that starts with `#`'
 )
@@ -33,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Section:
-    """The raw content of one section: keys and values as written."""
+    """One section with its keys and values as written."""
 
     title: str
     entries: dict[str, str]
@@ -41,10 +42,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """What could be read, and what could not.
+    """The sections of a file and the syntax errors.
 
-    When ``complete`` is false, reading stopped early: ``sections`` is empty
-    and says nothing about what the file holds.
+    When ``complete`` is false, reading stopped early and ``sections`` is empty
+    whatever the file contains.
     """
 
     sections: tuple[Section, ...]
@@ -53,12 +54,12 @@
 
 
 class _Parser(configparser.RawConfigParser):
-    """INI without surprises.
+    """An INI parser that is stricter than ``configparser``'s default.
 
-    Keys keep their case. ``DEFAULT`` is a section like any other, because a
-    header cannot be empty. The patterns are stricter than the library's: no
-    text may follow a header, only ``=`` separates, and a line of blanks does
-    not make the match take quadratic time.
+    Keys keep their case. The default section has the empty title, which no
+    header can have, so ``DEFAULT`` is an ordinary section. The patterns allow
+    no text after a header and only ``=`` as separator, and a line of blanks
+    doesn't make the match take quadratic time.
     """
 
     SECTCRE = _HEADER  # noqa: WPS115 the library's name
@@ -76,32 +77,32 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Fault:
-    """A line to take out, and the problem to report for it."""
+class _FaultyLine:
+    """A line to replace, and the problem to report for it."""
 
     line_number: int
     problem: errors.Problem
 
 
 def read(text: str, source: str) -> Document:
-    """Read all sections. Mistakes are returned, never raised."""
-    unfit = _find_unfit(text, source)
-    if unfit is not None:
-        return Document((), (unfit,), complete=False)
+    """Read all sections. Problems are returned, never raised."""
+    file_problem = _find_file_problem(text, source)
+    if file_problem is not None:
+        return Document((), (file_problem,), complete=False)
     lines = text.split('\n')
     problems: list[errors.Problem] = []
-    for _ in range(_MAX_ROUNDS):
+    for _ in range(_MAX_PASSES):
         parser = _Parser()
-        faults = _parse(parser, lines, source)
-        if not faults:
+        faulty_lines = _parse(parser, lines, source)
+        if not faulty_lines:
             return Document(_sections(parser), tuple(problems), complete=True)
-        problems.extend(fault.problem for fault in faults)
-        for fault in faults:
-            lines[fault.line_number - 1] = _replacement(fault)
+        problems.extend(faulty_line.problem for faulty_line in faulty_lines)
+        for faulty_line in faulty_lines:
+            lines[faulty_line.line_number - 1] = _replacement(faulty_line)
     problems.append(
-        _whole_file(
+        _file_problem(
             source,
-            f'Reading stopped after {_MAX_ROUNDS} repeated lines',
+            f'Reading stopped after {_MAX_PASSES} repeated lines',
             'Correct these first',
         ),
     )
@@ -109,10 +110,9 @@
 
 
 def write(sections: list[Section]) -> str:
-    """Write sections as text that :func:`read` takes.
+    """Return sections as text for :func:`read`.
 
-    A repeated title is written as often as it comes, so that reading the
-    text reports it.
+    A duplicate title is written each time, so that :func:`read` reports it.
     """
     text = io.StringIO()
     for section in sections:
@@ -126,19 +126,19 @@
     parser: _Parser,
     lines: list[str],
     source: str,
-) -> list[_Fault]:
+) -> list[_FaultyLine]:
     try:
         parser.read_string('\n'.join(lines), source)
     except configparser.Error as error:
-        return _faults(error, lines, source)
+        return _faulty_lines(error, lines, source)
     return []
 
 
-def _faults(
+def _faulty_lines(
     error: configparser.Error,
     lines: list[str],
     source: str,
-) -> list[_Fault]:
+) -> list[_FaultyLine]:
     match error:
         case configparser.DuplicateSectionError():
             return [_duplicate_section(error, source)]
@@ -148,17 +148,20 @@
             return [_missing_header(error, source)]
         case configparser.ParsingError():
             return [
-                _syntax(line_number, lines, source)
+                _syntax_error(line_number, lines, source)
                 for line_number, _ in error.errors
             ]
     raise error
 
 
-def _replacement(fault: _Fault) -> str:
-    # A repeated header becomes a section of its own, which nobody reads:
-    # its keys must not fall into the section above.
-    if fault.problem.key is None and fault.problem.section is not None:
-        return f'[{_REPEATED}{fault.line_number}]'
+def _replacement(faulty_line: _FaultyLine) -> str:
+    # The header of a duplicate section gets a unique title that is ignored
+    # later. Without a header its keys would join the section above.
+    if (
+        faulty_line.problem.key is None
+        and faulty_line.problem.section is not None
+    ):
+        return f'[{_DUPLICATE_MARK}{faulty_line.line_number}]'
     return '#'
 
 
@@ -166,27 +169,27 @@
     return tuple(
         Section(title, dict(parser.items(title)))
         for title in parser.sections()
-        if not title.startswith(_REPEATED)
+        if not title.startswith(_DUPLICATE_MARK)
     )
 
 
-def _find_unfit(text: str, source: str) -> errors.Problem | None:
+def _find_file_problem(text: str, source: str) -> errors.Problem | None:
     if len(text) > MAX_CHARACTERS:
-        return _whole_file(
+        return _file_problem(
             source,
             f'The file has {len(text)} characters',
             f'Keep it within {MAX_CHARACTERS} characters',
         )
     line_count = text.count('\n') + 1
     if line_count > MAX_LINES:
-        return _whole_file(
+        return _file_problem(
             source,
             f'The file has {line_count} lines',
             f'Keep it within {MAX_LINES} lines',
         )
-    if _REPEATED in text:
-        line_number = text[: text.index(_REPEATED)].count('\n') + 1
-        return _whole_file(
+    if _DUPLICATE_MARK in text:
+        line_number = text[: text.index(_DUPLICATE_MARK)].count('\n') + 1
+        return _file_problem(
             source,
             f'Line {line_number} holds a NUL character',
             'Save the file as plain text',
@@ -194,16 +197,16 @@
     return None
 
 
-def _whole_file(source: str, what: str, remedy: str) -> errors.Problem:
+def _file_problem(source: str, what: str, remedy: str) -> errors.Problem:
     return errors.Problem(source, None, None, what, remedy)
 
 
 def _duplicate_section(
     error: configparser.DuplicateSectionError,
     source: str,
-) -> _Fault:
+) -> _FaultyLine:
     line_number = error.lineno or 1
-    return _Fault(
+    return _FaultyLine(
         line_number,
         errors.Problem(
             source,
@@ -218,9 +221,9 @@
 def _duplicate_key(
     error: configparser.DuplicateOptionError,
     source: str,
-) -> _Fault:
+) -> _FaultyLine:
     line_number = error.lineno or 1
-    return _Fault(
+    return _FaultyLine(
         line_number,
         errors.Problem(
             source,
@@ -235,8 +238,8 @@
 def _missing_header(
     error: configparser.MissingSectionHeaderError,
     source: str,
-) -> _Fault:
-    return _Fault(
+) -> _FaultyLine:
+    return _FaultyLine(
         error.lineno,
         errors.Problem(
             source,
@@ -251,9 +254,11 @@
     )
 
 
-def _syntax(line_number: int, lines: list[str], source: str) -> _Fault:
+def _syntax_error(
+    line_number: int, lines: list[str], source: str
+) -> _FaultyLine:
     shown = display.quoted(lines[line_number - 1].strip())
-    return _Fault(
+    return _FaultyLine(
         line_number,
         errors.Problem(
             source,
--- a/libraries/settings/src/sardinepier/settings/internal/instance_rules.py
+++ b/libraries/settings/src/sardinepier/settings/internal/instance_rules.py
@@ -1,4 +1,4 @@
-"""Rules between the keys of the instance file, and to the fleet file."""
+"""Rules between keys of the instance file, and between it and the fleet."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -14,7 +14,7 @@
     source: str,
     instance: schema.InstanceSection,
 ) -> Iterator[errors.Problem]:
-    """Compare the keys that depend on each other."""
+    """Yield a problem for each broken rule between two keys."""
     if instance.http_port == instance.peer_port:
         yield errors.Problem(
             source,
@@ -26,7 +26,7 @@
 
 
 def build(instance: schema.InstanceSection) -> model.InstanceSettings:
-    """Make the snapshot from a section without problems."""
+    """Build the snapshot from a valid section."""
     return model.InstanceSettings(
         daemon_id=ids.DaemonId(instance.daemon_id),
         zone=ids.ZoneName(instance.zone),
@@ -48,7 +48,7 @@
     instance: model.InstanceSettings,
     fleet: model.FleetSettings,
 ) -> tuple[errors.Problem, ...]:
-    """Find a zone that the fleet does not know, or knows elsewhere."""
+    """Return a problem if the zone is unknown or in another region."""
     regions: dict[str, str] = {zone.name: zone.region for zone in fleet.zones}
     source = f'instance of {instance.daemon_id}'
     if instance.zone not in regions:
--- a/libraries/settings/src/sardinepier/settings/internal/kinds.py
+++ b/libraries/settings/src/sardinepier/settings/internal/kinds.py
@@ -1,4 +1,4 @@
-"""How a value that a file may hold is named in messages and in the docs."""
+"""Descriptions of value types, for messages and the reference."""
 
 import dataclasses
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kind:
-    """Annotation of a value type: a noun phrase and one good value.
+    """Annotation of a field type: a noun phrase and a valid example.
 
     ``phrase`` fits after "write" and after "is not": ``a whole number``.
     """
@@ -19,12 +19,16 @@
 
 
 def find_kind(field: fields.FieldInfo) -> Kind:
-    """Give the kind with which the type of the field is annotated."""
-    return next(item for item in field.metadata if isinstance(item, Kind))
+    """Return the ``Kind`` with which the field's type is annotated."""
+    return next(
+        annotation
+        for annotation in field.metadata
+        if isinstance(annotation, Kind)
+    )
 
 
 def range_phrase(field: fields.FieldInfo) -> str:
-    """Give the bounds as words: ``from 1 to 65535``. Empty without bounds."""
+    """Return the bounds: ``from 1 to 65535``. Empty without bounds."""
     highest = _find_bound(field, annotated_types.Le, 'le')
     if highest is None:
         return ''
@@ -36,7 +40,7 @@
 
 
 def full_phrase(field: fields.FieldInfo) -> str:
-    """Give kind and bounds: ``a whole number from 1 to 65535``."""
+    """Return kind and bounds: ``a whole number from 1 to 65535``."""
     phrase = find_kind(field).phrase
     return f'{phrase} {range_phrase(field)}'.rstrip()
 
@@ -46,7 +50,7 @@
     kind: type,
     attribute: str,
 ) -> Any:
-    for item in field.metadata:
-        if isinstance(item, kind):
-            return getattr(item, attribute)
+    for annotation in field.metadata:
+        if isinstance(annotation, kind):
+            return getattr(annotation, attribute)
     return None
--- a/libraries/settings/src/sardinepier/settings/internal/layouts.py
+++ b/libraries/settings/src/sardinepier/settings/internal/layouts.py
@@ -1,4 +1,4 @@
-"""Which sections make up which file."""
+"""The sections that each kind of file has."""
 
 from typing import Final
 
--- a/libraries/settings/src/sardinepier/settings/internal/number_types.py
+++ b/libraries/settings/src/sardinepier/settings/internal/number_types.py
@@ -1,4 +1,4 @@
-"""The types of numbers, each with its range and its name in words."""
+"""Field types for numbers, each with its bounds and description."""
 
 from typing import Annotated, Final
 
--- a/libraries/settings/src/sardinepier/settings/internal/overlaps.py
+++ b/libraries/settings/src/sardinepier/settings/internal/overlaps.py
@@ -1,4 +1,4 @@
-"""Routes that the same request would fit, with nothing to choose by."""
+"""Finds routes that match the same request without a precedence rule."""
 
 import itertools
 from collections.abc import Iterator, Mapping
@@ -8,27 +8,28 @@
 from sardinepier.settings.internal import display, paths, schema
 
 _Segments = tuple[str | None, ...]
-_Shape = tuple[str, _Segments]
-_Clash = tuple[str, list[str]]
+_RequestPattern = tuple[str, _Segments]
+_Overlap = tuple[str, list[str]]
 _Positions = frozenset[int]
 _Groups = dict[tuple[str, int], dict[_Positions, list[str]]]
 _PATH: Final = 'path'
-_SHOWN_RIVALS: Final = 3
+_MAX_SHOWN_ROUTES: Final = 3
 
 
 def find_problems(
     source: str,
     routes: Mapping[str, schema.RouteSection],
 ) -> Iterator[errors.Problem]:
-    """Find routes with one shape, and pairs of which neither is narrower.
+    """Find duplicate routes, and overlapping ones without precedence.
 
-    ``/a/{x}`` and ``/{y}/b`` both fit ``/a/b``. ``/a/b`` beside them is fine:
-    it is narrower than each, because literal segments go first.
+    ``/a/{x}`` and ``/{y}/b`` both match ``/a/b``, and neither is narrower. A
+    route ``/a/b`` overlaps both without a problem: it is narrower than each,
+    because literal segments take precedence.
     """
     templates = {
         name: paths.parse(route.path) for name, route in routes.items()
     }
-    yield from _find_repeated(source, routes, templates)
+    yield from _find_duplicate_routes(source, routes, templates)
     for group in _grouped(routes, templates).values():
         for first, second in itertools.combinations(group, 2):
             if first <= second or second <= first:
@@ -39,25 +40,25 @@
                 sorted(first & second),
                 templates,
             )
-            for name, rivals in pairs:
-                yield _ambiguous(source, name, rivals)
+            for name, overlapping_names in pairs:
+                yield _ambiguous(source, name, overlapping_names)
 
 
-def _find_repeated(
+def _find_duplicate_routes(
     source: str,
     routes: Mapping[str, schema.RouteSection],
     templates: Mapping[str, paths.Template],
 ) -> Iterator[errors.Problem]:
-    owners: dict[_Shape, str] = {}
+    first_names: dict[_RequestPattern, str] = {}
     for name, route in routes.items():
-        shape = (route.method, templates[name].segments)
-        owner = owners.setdefault(shape, name)
-        if owner != name:
+        request_pattern = (route.method, templates[name].segments)
+        first_name = first_names.setdefault(request_pattern, name)
+        if first_name != name:
             yield errors.Problem(
                 source,
                 f'route {name}',
                 _PATH,
-                f'`[route {owner}]` has the same method and the same path',
+                f'`[route {first_name}]` has the same method and the same path',
                 'Remove one of them, or change its path',
             )
 
@@ -76,33 +77,40 @@
 
 def _overlapping(
     names: list[str],
-    others: list[str],
-    common: list[int],
+    other_names: list[str],
+    literal_in_both: list[int],
     templates: Mapping[str, paths.Template],
-) -> Iterator[_Clash]:
-    # Two templates fit a common path when they agree wherever both are
-    # literal. A lookup by these segments spares comparing every pair.
+) -> Iterator[_Overlap]:
+    # Two templates overlap when they agree in all positions where both are
+    # literal. Indexing by these segments avoids comparing every pair.
     by_segments: dict[_Segments, list[str]] = {}
     for name in names:
-        segments = _chosen(templates[name], common)
+        segments = _segments_at(templates[name], literal_in_both)
         by_segments.setdefault(segments, []).append(name)
-    for other in others:
-        rivals = by_segments.get(_chosen(templates[other], common))
-        if rivals is not None:
-            yield other, rivals
+    for other_name in other_names:
+        overlapping_names = by_segments.get(
+            _segments_at(templates[other_name], literal_in_both)
+        )
+        if overlapping_names is not None:
+            yield other_name, overlapping_names
 
 
-def _chosen(
+def _segments_at(
     template: paths.Template,
     positions: list[int],
 ) -> _Segments:
     return tuple(template.segments[position] for position in positions)
 
 
-def _ambiguous(source: str, name: str, rivals: list[str]) -> errors.Problem:
-    titles = [f'[route {rival}]' for rival in rivals[:_SHOWN_RIVALS]]
-    if len(rivals) > _SHOWN_RIVALS:
-        titles.append(f'{len(rivals) - _SHOWN_RIVALS} more')
+def _ambiguous(
+    source: str, name: str, overlapping_names: list[str]
+) -> errors.Problem:
+    titles = [
+        f'[route {overlapping_name}]'
+        for overlapping_name in overlapping_names[:_MAX_SHOWN_ROUTES]
+    ]
+    if len(overlapping_names) > _MAX_SHOWN_ROUTES:
+        titles.append(f'{len(overlapping_names) - _MAX_SHOWN_ROUTES} more')
     return errors.Problem(
         source,
         f'route {name}',
--- a/libraries/settings/src/sardinepier/settings/internal/paths.py
+++ b/libraries/settings/src/sardinepier/settings/internal/paths.py
@@ -1,4 +1,4 @@
-"""Path templates: ``/theses/{id}/embargo`` and the rules for writing one."""
+"""Parses and validates path templates such as ``/theses/{id}/embargo``."""
 
 import dataclasses
 import re
@@ -15,16 +15,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Template:
-    """A template taken apart at its slashes.
+    """A path template split into segments.
 
-    ``segments`` holds the literal text of each segment, or ``None`` where any
-    text matches. Two templates with equal segments match the same paths.
+    ``segments`` has the literal text of each segment, or ``None`` for a
+    parameter. Two templates with equal segments match the same paths.
     """
 
     segments: tuple[str | None, ...]
 
     def literal_positions(self) -> frozenset[int]:
-        """Give the positions of the segments that match one text only."""
+        """Return the positions of the literal segments."""
         return frozenset(
             position
             for position, segment in enumerate(self.segments)
@@ -33,7 +33,7 @@
 
 
 def parse(path: str) -> Template:
-    """Take a checked template apart."""
+    """Split a validated template into segments."""
     return Template(
         tuple(
             None if segment.startswith('{') else segment
@@ -71,13 +71,13 @@
     for position, segment in enumerate(segments):
         is_last = position == len(segments) - 1
         if not _is_segment(segment, parameters, is_last):
-            raise _bad_segment(path, segment, parameters)
+            raise _invalid_segment(path, segment, parameters)
     return path
 
 
 def _is_segment(segment: str, parameters: bool, is_last: bool) -> bool:
     if not segment:
-        # An empty last segment is the slash at the end of `/theses/`.
+        # A path with a trailing slash, `/theses/`, has an empty last segment.
         return is_last
     if segment in _DOT_SEGMENTS:
         return False
@@ -86,7 +86,7 @@
     return _LITERAL.fullmatch(segment) is not None
 
 
-def _bad_segment(
+def _invalid_segment(
     path: str,
     segment: str,
     parameters: bool,
--- a/libraries/settings/src/sardinepier/settings/internal/schema.py
+++ b/libraries/settings/src/sardinepier/settings/internal/schema.py
@@ -1,7 +1,7 @@
-"""What each section of each file may hold: keys, types, defaults, meanings.
+"""The schema of all sections: keys, types, defaults and meanings.
 
-This is the one place where defaults are stated. The text under a key is its
-meaning in the reference for operators, see ``sardinepier.settings.reference``.
+Defaults are defined only here. The text under a key is its meaning in the
+operators' reference, see ``sardinepier.settings.reference``.
 """
 
 from typing import Final
@@ -16,14 +16,14 @@
 )
 
 
-# Defaults that stand for "the same as the daemon's own". They lie outside
-# what a file may hold, and are not checked.
+# Defaults that mean "the same as the daemon's own". They are invalid in a
+# file; pydantic doesn't validate defaults.
 OWN_IP: Final = ''
 OWN_PORT: Final = 0
 
 
 class Section(pydantic.BaseModel):
-    """A section of any file. Unknown keys are refused."""
+    """Base of all sections. Unknown keys are rejected."""
 
     model_config = pydantic.ConfigDict(
         extra='forbid',
--- a/libraries/settings/src/sardinepier/settings/internal/service_rules.py
+++ b/libraries/settings/src/sardinepier/settings/internal/service_rules.py
@@ -9,12 +9,12 @@
 from sardinepier.settings import errors, model
 from sardinepier.settings.internal import display, overlaps, schema
 
-_PUBLISHED: Final = re.compile(r'service/(?P<name>[^/]+?)(\.ini)?')
+_PUBLISHED_SOURCE: Final = re.compile(r'service/(?P<name>[^/]+?)(\.ini)?')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSections:
-    """The sections of a service file that are right by themselves."""
+    """The sections of a service file that are valid by themselves."""
 
     service: schema.ServiceSection | None
     shed_reply: schema.ShedReplySection | None
@@ -23,37 +23,37 @@
 
 
 def find_problems(
-    source: str, parts: ServiceSections
+    source: str, sections: ServiceSections
 ) -> Iterator[errors.Problem]:
-    """Compare the sections, as far as each is right by itself."""
-    yield from _find_other_name(source, parts.service)
-    yield from _find_shared_addresses(source, parts.targets)
-    yield from _find_hedged(source, parts.routes)
-    yield from overlaps.find_problems(source, parts.routes)
+    """Yield a problem for each broken rule between valid sections."""
+    yield from _find_name_mismatch(source, sections.service)
+    yield from _find_duplicate_addresses(source, sections.targets)
+    yield from _find_unsafe_hedging(source, sections.routes)
+    yield from overlaps.find_problems(source, sections.routes)
 
 
-def build(parts: ServiceSections) -> model.ServiceSettings:
-    """Make the snapshot from sections without problems."""
-    service = dict(parts.service or ())
+def build(sections: ServiceSections) -> model.ServiceSettings:
+    """Build the snapshot from valid sections."""
+    service = dict(sections.service or ())
     return model.ServiceSettings(
         targets=tuple(
             model.TargetSettings(target_id=ids.TargetId(name), **dict(target))
-            for name, target in parts.targets.items()
+            for name, target in sections.targets.items()
         ),
         routes=tuple(
             model.RouteSettings(name=ids.RouteName(name), **dict(route))
-            for name, route in parts.routes.items()
+            for name, route in sections.routes.items()
         ),
-        shed_reply=model.ShedReply(**dict(parts.shed_reply or ())),
+        shed_reply=model.ShedReply(**dict(sections.shed_reply or ())),
         **service,
     )
 
 
-def _find_other_name(
+def _find_name_mismatch(
     source: str,
     service: schema.ServiceSection | None,
 ) -> Iterator[errors.Problem]:
-    published = _PUBLISHED.fullmatch(source)
+    published = _PUBLISHED_SOURCE.fullmatch(source)
     if published is None or service is None:
         return
     name = published.group('name')
@@ -67,25 +67,25 @@
         )
 
 
-def _find_shared_addresses(
+def _find_duplicate_addresses(
     source: str,
     targets: Mapping[str, schema.TargetSection],
 ) -> Iterator[errors.Problem]:
-    owners: dict[tuple[str, int], str] = {}
+    first_names: dict[tuple[str, int], str] = {}
     for name, target in targets.items():
-        owner = owners.setdefault((target.ip, target.port), name)
-        if owner != name:
+        first_name = first_names.setdefault((target.ip, target.port), name)
+        if first_name != name:
             yield errors.Problem(
                 source,
                 f'target {name}',
                 'port',
                 f'{target.ip}:{target.port} is the address of '
-                f'`[target {owner}]` too',
+                f'`[target {first_name}]` too',
                 'Remove one of them, or correct its address',
             )
 
 
-def _find_hedged(
+def _find_unsafe_hedging(
     source: str,
     routes: Mapping[str, schema.RouteSection],
 ) -> Iterator[errors.Problem]:
--- a/libraries/settings/src/sardinepier/settings/internal/text_types.py
+++ b/libraries/settings/src/sardinepier/settings/internal/text_types.py
@@ -1,4 +1,4 @@
-"""The types of words and texts: names, headers, paths, choices."""
+"""Field types for text: names, headers, paths and choices."""
 
 import functools
 import re
@@ -17,8 +17,8 @@
 
 RESERVED_SERVICE_NAME: Final = 'v1'
 
-# These frame the message itself. A proxy that marked work by one of them
-# would mistake the transport's own headers for a target's word.
+# HTTP itself uses these headers. If a setting named one of them, the proxy
+# would mistake a transport header for a statement of the target.
 _FRAMING_HEADERS: Final = frozenset(
     (
         'connection',
@@ -76,8 +76,8 @@
     'a name of up to 63 letters, digits, `_` and `-`',
     'entry-07',
 )
-# The keys of requests separate their parts by dots, and a daemon's name is
-# one of these parts.
+# A daemon's name is a part of idempotency keys, whose parts are separated by
+# dots, so it can't contain dots.
 DaemonName = Annotated[str, _DAEMON_KIND, _matching(_DAEMON_ID, _DAEMON_KIND)]
 
 _METHOD_KIND: Final = kinds.Kind(
@@ -128,7 +128,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Whether the text may stand after the kind in a section's title."""
+    """Return whether the text is a valid name in a section's title."""
     return _NAME.fullmatch(text) is not None
 
 
--- a/libraries/settings/src/sardinepier/settings/model.py
+++ b/libraries/settings/src/sardinepier/settings/model.py
@@ -1,7 +1,7 @@
-"""The checked, immutable content of settings files.
+"""Validated, immutable content of settings files.
 
-One object is the whole of one file: a file is taken whole or not at all, so
-no object here is ever changed. A request keeps the object it started with.
+One object holds one whole file. A new version of a file replaces the object
+as a whole, and a request keeps using the object with which it started.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Which work goes first when a service is short of slots."""
+    """The order in which waiting requests of a service get free slots."""
 
     HIGH = 0
     NORMAL = 1
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSeed:
-    """Where a starting daemon may find a peer: an address for messages."""
+    """The address of a peer that a starting daemon contacts first."""
 
     ip: str
     port: int
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """What one daemon process must know before it can ask anybody."""
+    """The file of one daemon: what it needs before it reads the platform."""
 
     daemon_id: ids.DaemonId
     zone: ids.ZoneName
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The ``fleet`` file: what all daemons share."""
+    """The ``fleet`` file: settings shared by all daemons."""
 
     name: str
     zones: tuple[ZoneSettings, ...]
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetSettings:
-    """One worker of a service."""
+    """One target of a service."""
 
     target_id: ids.TargetId
     ip: str
@@ -87,9 +87,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteSettings:
-    """One kind of request: a method and a path template.
+    """One route: a method and a path template, with its request options.
 
-    ``path`` may hold ``{name}`` segments, each matching one path segment.
+    ``path`` may have ``{name}`` segments, each matching one path segment.
     """
 
     name: ids.RouteName
@@ -103,9 +103,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShedReply:
-    """The reply by which a target says "shed, not run".
+    """The reply of a target that rejected a request without running it.
 
-    A reply counts when its status equals ``status`` and its header
+    A reply matches when its status equals ``status`` and its header
     ``header_name`` equals ``header_value``.
     """
 
@@ -116,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """A ``service/<name>`` file: one service whole."""
+    """The ``service/<name>`` file: one service with its targets and routes."""
 
     name: ids.ServiceName
     targets: tuple[TargetSettings, ...]
--- a/libraries/settings/src/sardinepier/settings/parsing.py
+++ b/libraries/settings/src/sardinepier/settings/parsing.py
@@ -1,13 +1,13 @@
-r"""Text of a settings file in, one checked and immutable snapshot out.
+r"""Parses the text of settings files into validated, immutable snapshots.
 
-A file is taken whole or not at all. Every mistake of a file is reported at
-once:
+A file is accepted as a whole or rejected as a whole. All its problems are
+reported at once:
 
     >>> parsing.parse_fleet('[fleet]\nname = a b\n', 'fleet')
     Traceback (most recent call last):
     sardinepier.settings.errors.InvalidSettingsError: ...
 
-All functions that parse raise nothing but ``InvalidSettingsError``.
+The ``parse_*`` functions raise only ``InvalidSettingsError``.
 """
 
 import pathlib
@@ -28,7 +28,7 @@
 
 
 def parse_instance(text: str, source: str) -> model.InstanceSettings:
-    """Check the file of one daemon, see ``model.InstanceSettings``.
+    """Parse the file of one daemon into ``model.InstanceSettings``.
 
     ``source`` names the file in messages. Raises ``InvalidSettingsError``.
     """
@@ -42,7 +42,7 @@
 
 
 def parse_fleet(text: str, source: str) -> model.FleetSettings:
-    """Check the ``fleet`` file, see ``model.FleetSettings``.
+    """Parse the ``fleet`` file into ``model.FleetSettings``.
 
     ``source`` names the file in messages. Raises ``InvalidSettingsError``.
     """
@@ -57,36 +57,36 @@
 
 
 def parse_service(text: str, source: str) -> model.ServiceSettings:
-    """Check a ``service/<name>`` file, see ``model.ServiceSettings``.
+    """Parse a ``service/<name>`` file into ``model.ServiceSettings``.
 
-    ``source`` names the file in messages. When it has the published form
-    ``service/<name>``, the name inside the file must be the same. Raises
+    ``source`` names the file in messages. When ``source`` has the published
+    form ``service/<name>``, the name inside the file must be the same. Raises
     ``InvalidSettingsError``.
     """
     check = checking.FileCheck(text, source, layouts.SERVICE)
-    parts = service_rules.ServiceSections(
+    sections = service_rules.ServiceSections(
         service=check.single(schema.ServiceSection),
         shed_reply=check.single(schema.ShedReplySection),
         targets=check.named(schema.TargetSection),
         routes=check.named(schema.RouteSection),
     )
-    check.problems.extend(service_rules.find_problems(source, parts))
+    check.problems.extend(service_rules.find_problems(source, sections))
     if check.problems:
         raise check.error()
-    return service_rules.build(parts)
+    return service_rules.build(sections)
 
 
 def read_instance(path: str | pathlib.Path) -> model.InstanceSettings:
-    """Read and check the file of one daemon from disk.
+    """Read and parse the file of one daemon from disk.
 
-    Raises ``InvalidSettingsError`` for its content, and the subclasses of
-    ``SettingsFileError`` when there is no text to check.
+    Raises ``InvalidSettingsError`` when the content is invalid, and a subclass
+    of ``SettingsFileError`` when the file can't be read as text.
     """
     return parse_instance(read_text(path), str(path))
 
 
 def read_text(path: str | pathlib.Path) -> str:
-    """Read a settings file from disk as UTF-8 text, with a bounded size.
+    """Read a settings file of bounded size from disk as UTF-8 text.
 
     Raises ``UnreadableFileError``, ``OversizedFileError`` or
     ``UndecodableFileError``.
@@ -111,10 +111,10 @@
     fleet: model.FleetSettings,
     services: tuple[model.ServiceSettings, ...],
 ) -> tuple[errors.Problem, ...]:
-    """Find what is wrong only between files that are each right alone.
+    """Return the problems between files that are each valid by themselves.
 
-    A target's zone must be one of the fleet's, and no two files may describe
-    the same service.
+    Each target's zone must be one of the fleet's zones, and no two files may
+    describe the same service.
     """
     return fleet_rules.check_services(fleet, services)
 
@@ -123,7 +123,7 @@
     instance: model.InstanceSettings,
     fleet: model.FleetSettings,
 ) -> tuple[errors.Problem, ...]:
-    """Find what a daemon's own file says against the ``fleet`` file."""
+    """Return where a daemon's own file contradicts the ``fleet`` file."""
     return instance_rules.check_fleet(instance, fleet)
 
 
--- a/libraries/settings/src/sardinepier/settings/reference.py
+++ b/libraries/settings/src/sardinepier/settings/reference.py
@@ -1,8 +1,8 @@
-"""All keys of all files, as a table made from the checks themselves.
+"""Generates the operators' reference of all settings files and keys.
 
-``python -m sardinepier.settings.reference > docs/settings.md`` writes the
-page for operators anew. The page cannot disagree with the checks, because
-types, ranges, defaults and meanings are read from the same fields.
+``python -m sardinepier.settings.reference > docs/settings.md`` regenerates
+the page. Types, ranges, defaults and meanings come from the schema that also
+validates the files, so the page can't disagree with the validation.
 """
 
 import dataclasses
@@ -23,9 +23,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyReference:
-    """One key. ``default`` is ``None`` when the key must be written.
+    """One key. ``default`` is ``None`` when the key is required.
 
-    ``value_range`` is empty where the type says all, as for a name.
+    ``value_range`` is empty for types without bounds, such as names.
     """
 
     key: str
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SectionReference:
-    """One section as an operator writes its title: ``zone NAME``."""
+    """One section. ``title`` is as in a file, for example ``zone NAME``."""
 
     title: str
     meaning: str
@@ -46,18 +46,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FileReference:
-    """One kind of file with a good example."""
+    """One kind of file, with a valid example."""
 
     title: str
     sections: tuple[SectionReference, ...]
     example: str
 
 
-_OWN: Final = 'the same as its own'
+_SAME_AS_OWN: Final = 'the same as its own'
 
 
 def files() -> tuple[FileReference, ...]:
-    """Give the reference of all kinds of files."""
+    """Return the reference of all kinds of files."""
     return (
         _file('The file `fleet`', layouts.FLEET, examples.FLEET),
         _file('Files `service/<name>`', layouts.SERVICE, examples.SERVICE),
@@ -66,7 +66,7 @@
 
 
 def markdown() -> str:
-    """Give the whole page for operators."""
+    """Return the whole reference page as Markdown."""
     parts = [reference_text.INTRODUCTION]
     for file in files():
         parts.extend(_file_parts(file))
@@ -81,7 +81,10 @@
 ) -> FileReference:
     titles: Mapping[str, type[schema.Section]] = {
         **layout.single,
-        **{f'{kind} NAME': named for kind, named in layout.named.items()},
+        **{
+            f'{kind} NAME': section_kind
+            for kind, section_kind in layout.named.items()
+        },
     }
     sections = tuple(
         _section(section_title, kind) for section_title, kind in titles.items()
@@ -116,7 +119,7 @@
         case float():
             return f'{field.default:g}'
         case schema.OWN_IP | schema.OWN_PORT:
-            return _OWN
+            return _SAME_AS_OWN
     return str(field.default)
 
 
--- a/libraries/settings/src/sardinepier/settings/rendering.py
+++ b/libraries/settings/src/sardinepier/settings/rendering.py
@@ -1,8 +1,8 @@
-"""Snapshots back to INI text, every key written out.
+"""Renders snapshots as INI text, with every key written out.
 
-The text is only given when the parser reads the same snapshot from it:
+Parsing the text gives an equal snapshot:
 ``parsing.parse_service(rendering.render_service(settings), source)`` equals
-``settings``. A snapshot that breaks a rule raises ``InvalidSettingsError``.
+``settings``. An invalid snapshot raises ``InvalidSettingsError``.
 """
 
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 
 
 def render_fleet(settings: model.FleetSettings) -> str:
-    """Write the ``fleet`` file."""
+    """Return the text of the ``fleet`` file."""
     sections = [_section('fleet', schema.FleetSection, settings)]
     for zone in settings.zones:
         sections.append(
@@ -24,14 +24,14 @@
 
 
 def render_service(settings: model.ServiceSettings) -> str:
-    """Write the ``service/<name>`` file."""
+    """Return the text of the ``service/<name>`` file."""
     text = ini.write(list(_service_sections(settings)))
     parsing.parse_service(text, f'service/{settings.name}')
     return text
 
 
 def render_instance(settings: model.InstanceSettings) -> str:
-    """Write the file of one daemon."""
+    """Return the text of the file of one daemon."""
     text = ini.write([_section('instance', schema.InstanceSection, settings)])
     parsing.parse_instance(text, f'instance {settings.daemon_id}')
     return text
@@ -74,7 +74,7 @@
         case model.PeerSeed():
             return f'{value.ip}:{value.port}'
         case tuple():
-            return ' '.join(_text(item) for item in value)
+            return ' '.join(_text(part) for part in value)
         case float() if value.is_integer():
             return str(int(value))
     return str(value)
--- a/libraries/settings/src/sardinepier/settings/routes.py
+++ b/libraries/settings/src/sardinepier/settings/routes.py
@@ -1,8 +1,8 @@
-"""Which route of a service a request takes.
+"""Finds the route of a request.
 
-A table is compiled once for each snapshot. A lookup walks the segments of the
-path through a trie, so its time depends on the length of the path and not on
-the number of routes:
+A route table is compiled once for each snapshot. A lookup walks a trie along
+the segments of the path, so its time depends on the length of the path and
+not on the number of routes:
 
     >>> table = routes.RouteTable(service.routes)
     >>> table.match('GET', '/theses/42').path
@@ -16,14 +16,14 @@
 from sardinepier.settings import errors, model
 from sardinepier.settings.internal import paths
 
-# Targets disagree on what these mean inside a segment. A request that one
+# Targets interpret these differently inside a segment. A request that one
 # target reads as `/{kind}` and another as `/deposits/new` could run twice.
-_REFUSED_CHARACTERS: Final = frozenset('/\\')
-_REFUSED_SEGMENTS: Final = frozenset(('.', '..'))
+_REJECTED_CHARACTERS: Final = frozenset('/\\')
+_REJECTED_SEGMENTS: Final = frozenset(('.', '..'))
 
 
 class _Node:
-    """All templates that begin with the same segments."""
+    """A trie node: all templates that begin with the same segments."""
 
     __slots__ = ('literals', 'parameter', 'route')
 
@@ -33,7 +33,7 @@
         self.route: model.RouteSettings | None = None
 
     def child(self, segment: str | None) -> '_Node':
-        """Give the node one segment deeper, made when it is new."""
+        """Return the child for one more segment; create it if missing."""
         if segment is not None:
             return self.literals.setdefault(segment, _Node())
         if self.parameter is None:
@@ -42,32 +42,34 @@
 
 
 class RouteTable:
-    """The compiled routes of one service. It never changes.
+    """The compiled, immutable routes of one service.
 
-    At each segment a literal goes before a ``{name}``, and a ``{name}`` never
-    matches an empty segment. When a literal leads nowhere, the ``{name}``
-    beside it is tried, so a lookup visits at most two nodes for each node one
-    segment earlier, however many routes there are.
+    At each segment a literal takes precedence over a ``{name}``, and a
+    ``{name}`` never matches an empty segment. When the branch of the literal
+    has no match, the lookup tries the ``{name}`` of the same node. It
+    therefore visits at most two nodes for each node one segment earlier,
+    whatever the number of routes.
     """
 
     def __init__(self, routes: Iterable[model.RouteSettings]) -> None:
-        """Compile checked routes.
+        """Compile validated routes.
 
-        Raises ``DuplicateRouteError`` when two have the same method and the
-        same path but for the names in braces.
+        Raises ``DuplicateRouteError`` when two routes have the same method
+        and the same path apart from the names in braces.
         """
         self._roots: dict[str, _Node] = {}
         for route in routes:
             self._add(route)
 
     def match(self, method: str, path: str) -> model.RouteSettings | None:
-        """Give the route of a request, ``None`` when there is none.
+        """Return the route of a request, or ``None`` without a match.
 
         ``path`` is the path below the service's name as the caller sent it:
         percent-encoded, with its leading slash, without query. Segments are
-        decoded one by one, so ``/%64eposits`` takes the route of
-        ``/deposits``. A path with ``.``, ``..`` or an encoded slash in a
-        segment takes no route, because targets read it in different ways.
+        decoded one by one, so ``/%64eposits`` matches the route of
+        ``/deposits``. A path with ``.`` or ``..`` as a segment, an encoded
+        slash or a backslash matches no route, because targets interpret such
+        paths differently.
         """
         root = self._roots.get(method)
         segments = _segments(path)
@@ -76,10 +78,10 @@
         return _find(root, segments, 0)
 
     def methods_for(self, path: str) -> tuple[str, ...]:
-        """Give the methods that the path takes, in alphabetical order.
+        """Return the methods that the path supports, in alphabetical order.
 
-        Empty means that the path itself is unknown (404). Otherwise these are
-        the methods to name when another one was used (405).
+        Without any, the path itself is unknown (404). Otherwise a 405 response
+        lists these methods.
         """
         segments = _segments(path)
         if segments is None:
@@ -109,15 +111,15 @@
     segments = path[1:].split('/')
     if '%' in path:
         segments = [url_parse.unquote(segment) for segment in segments]
-    if any(_is_refused(segment) for segment in segments):
+    if any(_is_rejected(segment) for segment in segments):
         return None
     return segments
 
 
-def _is_refused(segment: str) -> bool:
-    if segment in _REFUSED_SEGMENTS:
+def _is_rejected(segment: str) -> bool:
+    if segment in _REJECTED_SEGMENTS:
         return True
-    return not _REFUSED_CHARACTERS.isdisjoint(segment)
+    return not _REJECTED_CHARACTERS.isdisjoint(segment)
 
 
 def _find(
--- a/libraries/settings/tests/cover/test_settings_arbitrary_text.py
+++ b/libraries/settings/tests/cover/test_settings_arbitrary_text.py
@@ -1,4 +1,4 @@
-"""Whatever the text, a parser gives a snapshot or the one typed error."""
+"""Parsers return a snapshot or raise ``InvalidSettingsError`` for any text."""
 
 from collections.abc import Callable
 
@@ -58,7 +58,7 @@
     strategies.characters(exclude_categories=()),
     max_size=20,
 )
-# Lines that mean something, mixed with any text at all, surrogates too.
+# Lines with a meaning, mixed with arbitrary text, including surrogates.
 TEXTS = strategies.lists(
     strategies.one_of(
         strategies.sampled_from(LINES),
@@ -84,7 +84,7 @@
     text: str,
 ) -> None:
     for problem in _problems(parse, text):
-        # Every line must be fit for a terminal and a log.
+        # Problems are printed to terminals and logs.
         assert str(problem).isprintable(), repr(problem)
 
 
--- a/libraries/settings/tests/cover/test_settings_faulty_files.py
+++ b/libraries/settings/tests/cover/test_settings_faulty_files.py
@@ -1,4 +1,4 @@
-"""Each mistake is reported with its place, what is wrong and what to do."""
+"""Each mistake is reported with its place, a reason and a remedy."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 FLEET = 'fleet'
 SERVICE = 'service/deposits'
 INSTANCE = 'entry.ini'
-GOOD = {
+VALID_FILES = {
     FLEET: (parsing.parse_fleet, examples.FLEET),
     SERVICE: (parsing.parse_service, examples.SERVICE),
     INSTANCE: (parsing.parse_instance, examples.INSTANCE),
@@ -17,8 +17,8 @@
 TARGET = '[target x]\nport = 9000\nzone = north\nslots = 1\nip = '
 ROUTE = '[route x]\nmethod = GET\nidempotent = yes\ndeadline_ms = 1\npath = '
 
-# File, text of the good example that is replaced once (END: added at the
-# end), its replacement, and the section and key of every problem.
+# File, text of the valid example to replace once (END: append instead), its
+# replacement, and the section and key of every expected problem.
 CASES = (
     (SERVICE, 'name = deposits', 'name = v1', 'service/name'),
     (SERVICE, 'name = deposits', 'name = other', 'service/name'),
@@ -201,12 +201,12 @@
     places,
     snapshot,
 ) -> None:
-    parse, good = GOOD[source]
-    parse(good, source)
-    text = good.replace(old, new, 1) if old else f'{good}{new}'
-    with pytest.raises(errors.InvalidSettingsError) as caught:
+    parse, valid_text = VALID_FILES[source]
+    parse(valid_text, source)
+    text = valid_text.replace(old, new, 1) if old else f'{valid_text}{new}'
+    with pytest.raises(errors.InvalidSettingsError) as raised:
         parse(text, source)
-    problems = caught.value.problems  # noqa: WPS441 set by the block
+    problems = raised.value.problems  # noqa: WPS441 set by the block
     assert ' '.join(map(place, problems)) == places
     assert [str(problem) for problem in problems] == snapshot
 
--- a/libraries/settings/tests/cover/test_settings_files.py
+++ b/libraries/settings/tests/cover/test_settings_files.py
@@ -1,4 +1,4 @@
-"""Files on disk, files against each other, defaults, and the reference."""
+"""Files on disk, checks across files, defaults, and the reference page."""
 
 import dataclasses
 import pathlib
@@ -32,7 +32,7 @@
         (b'', errors.InvalidSettingsError),
     ],
 )
-def test_a_file_that_is_no_text_has_a_typed_error(
+def test_an_invalid_file_raises_a_typed_error(
     tmp_path,
     content,
     expected,
@@ -45,15 +45,15 @@
 
 
 @pytest.mark.parametrize('path', ['/', 'a\0b', ''])
-def test_a_path_to_no_file_has_a_typed_error(path) -> None:
+def test_an_unreadable_path_raises_a_typed_error(path) -> None:
     with pytest.raises(errors.UnreadableFileError):
         parsing.read_instance(path)
 
 
 def test_files_are_checked_together(snapshot) -> None:
     assert not parsing.check_across_files(FLEET, (SERVICE,))
-    moved = dataclasses.replace(SERVICE.targets[0], zone='east')
-    service = dataclasses.replace(SERVICE, targets=(moved,))
+    moved_target = dataclasses.replace(SERVICE.targets[0], zone='east')
+    service = dataclasses.replace(SERVICE, targets=(moved_target,))
     problems = parsing.check_across_files(FLEET, (SERVICE, service))
     assert [str(problem) for problem in problems] == snapshot
 
@@ -90,18 +90,18 @@
     )
 
 
-def test_a_flood_of_mistakes_is_listed_up_to_a_bound() -> None:
+def test_the_number_of_listed_problems_is_bounded() -> None:
     unknown = '\n'.join(f'[x{number}]' for number in range(9_000))
     repeated = '[fleet]\n' * 9_000
     for text in (unknown, repeated):
-        with pytest.raises(errors.InvalidSettingsError) as caught:
+        with pytest.raises(errors.InvalidSettingsError) as raised:
             parsing.parse_fleet(text, 'fleet')
-        count = len(caught.value.problems)  # noqa: WPS441 set by the block
+        count = len(raised.value.problems)  # noqa: WPS441 set by the block
         assert 50 < count <= checking.MAX_PROBLEMS + 1
 
 
-def test_the_page_for_operators_is_up_to_date() -> None:
-    # Write it anew with `python -m sardinepier.settings.reference`.
+def test_the_reference_page_is_up_to_date() -> None:
+    # Regenerate it with `python -m sardinepier.settings.reference`.
     assert PAGE.read_text(encoding='utf-8') == reference.markdown()
 
 
--- a/libraries/settings/tests/cover/test_settings_round_trip.py
+++ b/libraries/settings/tests/cover/test_settings_round_trip.py
@@ -1,4 +1,4 @@
-"""What is rendered is read back as the same snapshot."""
+"""Parsing a rendered snapshot gives an equal snapshot."""
 
 import hypothesis
 import pytest
@@ -26,7 +26,7 @@
 @strategies.composite
 def routes(draw, position):
     idempotent = draw(strategies.booleans())
-    # The first segment differs, so that no two routes fit one request.
+    # The first segment differs, so that no request matches two routes.
     segments = [f'r{position}', *draw(strategies.lists(SEGMENTS, max_size=3))]
     path = '/'.join(segments).replace('{id}', '{id}', 1)
     hypothesis.assume(path.count('{id}') < 2)
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize('name', ['a\n[x]', 'a b', '', 'v1'])
 @hypothesis.given(settings=SERVICES)
 @hypothesis.settings(max_examples=1)
-def test_a_snapshot_that_breaks_a_rule_is_not_rendered(settings, name) -> None:
+def test_an_invalid_snapshot_is_not_rendered(settings, name) -> None:
     changed = model.dataclasses.replace(settings, name=name)
     with pytest.raises(errors.InvalidSettingsError):
         rendering.render_service(changed)
--- a/libraries/settings/tests/cover/test_settings_routes.py
+++ b/libraries/settings/tests/cover/test_settings_routes.py
@@ -1,4 +1,4 @@
-"""The route table gives the narrowest route, at a cost the path sets."""
+"""Lookups find the narrowest route, at a cost that depends on the path only."""
 
 import itertools
 
@@ -12,12 +12,12 @@
 strategies = hypothesis.strategies
 
 SEGMENTS = ('a', 'b', '*')
-WANTED = strategies.sampled_from(SEGMENTS)
-SENT = strategies.sampled_from(('a', 'b', 'c'))
-# Few words and one length at a time, so that most routes meet each other.
+TEMPLATE_SEGMENTS = strategies.sampled_from(SEGMENTS)
+REQUEST_SEGMENTS = strategies.sampled_from(('a', 'b', 'c'))
+# Few segments and one length for all shapes, so that most routes overlap.
 SHAPES = strategies.integers(1, 4).flatmap(
     lambda length: strategies.lists(
-        strategies.tuples(*itertools.repeat(WANTED, length)),
+        strategies.tuples(*itertools.repeat(TEMPLATE_SEGMENTS, length)),
         min_size=1,
         max_size=12,
     ),
@@ -43,50 +43,51 @@
     )
 
 
-def fits(shape: tuple[str, ...], segments: tuple[str, ...]) -> bool:
+def matches(shape: tuple[str, ...], segments: tuple[str, ...]) -> bool:
     return len(shape) == len(segments) and all(
-        wanted in {'*', segment}
-        for wanted, segment in zip(shape, segments, strict=True)
+        template_segment in {'*', segment}
+        for template_segment, segment in zip(shape, segments, strict=True)
     )
 
 
-@hypothesis.given(shapes=SHAPES, chosen=strategies.data())
+@hypothesis.given(shapes=SHAPES, draws=strategies.data())
 @hypothesis.settings(max_examples=300)
-def test_match_gives_the_route_with_the_first_literals(shapes, chosen) -> None:
-    words = itertools.repeat(SENT, len(shapes[0]))
-    segments = chosen.draw(strategies.tuples(*words))
+def test_match_prefers_the_earliest_literals(shapes, draws) -> None:
+    segment_strategies = itertools.repeat(REQUEST_SEGMENTS, len(shapes[0]))
+    segments = draws.draw(strategies.tuples(*segment_strategies))
     shapes = set(shapes)
     table = routes.RouteTable(make_route(template(shape)) for shape in shapes)
-    fitting = [shape for shape in shapes if fits(shape, segments)]
+    matching_shapes = [shape for shape in shapes if matches(shape, segments)]
     path = f'/{"/".join(segments)}'
     found = table.match('GET', path)
-    if not fitting:
+    if not matching_shapes:
         assert found is None
         assert not table.methods_for(path)
         return
     best = min(
-        fitting,
+        matching_shapes,
         key=lambda shape: [segment == '*' for segment in shape],
     )
     assert found == make_route(template(best))
     assert table.methods_for(path) == ('GET',)
 
 
-def is_clash(one: tuple[str, ...], two: tuple[str, ...]) -> bool:
-    if one == two:
+def is_ambiguous(first: tuple[str, ...], second: tuple[str, ...]) -> bool:
+    if first == second:
         return True
-    overlap = len(one) == len(two) and all(
-        '*' in pair or pair[0] == pair[1] for pair in zip(one, two, strict=True)
+    is_overlapping = len(first) == len(second) and all(
+        '*' in pair or pair[0] == pair[1]
+        for pair in zip(first, second, strict=True)
     )
-    narrower = fits(one, two) or fits(two, one)
-    return overlap and not narrower
+    is_narrower = matches(first, second) or matches(second, first)
+    return is_overlapping and not is_narrower
 
 
 @hypothesis.given(shapes=SHAPES)
 @hypothesis.example(shapes=[('a', '*'), ('*', 'b')])
 @hypothesis.example(shapes=[('a', '*'), ('*', 'b'), ('a', 'b')])
 @hypothesis.example(shapes=[('a', '*', 'a'), ('*', 'b', 'b')])
-def test_clashing_paths_are_found_and_no_others(shapes) -> None:
+def test_exactly_the_ambiguous_routes_are_reported(shapes) -> None:
     sections = {
         f'r{position}': schema.RouteSection(
             method='GET',
@@ -96,16 +97,16 @@
         )
         for position, shape in enumerate(shapes)
     }
-    clashes = [
+    conflicts = [
         {f'route r{first}', f'route r{second}'}
         for first, second in itertools.combinations(range(len(shapes)), 2)
-        if is_clash(shapes[first], shapes[second])
+        if is_ambiguous(shapes[first], shapes[second])
     ]
     found = overlaps.find_problems('any', sections)
-    named = {problem.section for problem in found}
-    # Each clash has one of its routes named, and no other route is named.
-    assert all(clash & named for clash in clashes)
-    assert named <= set().union(*clashes)
+    reported = {problem.section for problem in found}
+    # Each conflict has one of its routes reported, and no other is reported.
+    assert all(conflict & reported for conflict in conflicts)
+    assert reported <= set().union(*conflicts)
 
 
 TABLE = routes.RouteTable(
@@ -125,7 +126,7 @@
     [
         ('GET', '/', '/'),
         ('POST', '/deposits', '/deposits'),
-        # Another spelling of a literal must not reach the looser route.
+        # An encoded literal must not match the route with a parameter.
         ('POST', '/%64eposits', '/deposits'),
         ('POST', '/d%65posit%73', '/deposits'),
         ('POST', '/waivers', '/{kind}'),
@@ -148,7 +149,7 @@
         ('GET', '/a' * 10_000, None),
     ],
 )
-def test_paths_take_their_route(method, path, expected) -> None:
+def test_paths_match_their_route(method, path, expected) -> None:
     found = TABLE.match(method, path)
     assert (found and found.path) == expected
 
@@ -162,11 +163,15 @@
         ('/theses/..', ()),
     ],
 )
-def test_methods_tell_a_wrong_method_from_a_wrong_path(path, expected) -> None:
+def test_methods_distinguish_wrong_methods_from_unknown_paths(
+    path, expected
+) -> None:
     assert TABLE.methods_for(path) == expected
 
 
-def test_a_lookup_takes_no_more_steps_with_more_routes(monkeypatch) -> None:
+def test_lookup_steps_do_not_depend_on_the_number_of_routes(
+    monkeypatch,
+) -> None:
     steps = []
     find = routes._find
     monkeypatch.setattr(
@@ -185,6 +190,6 @@
     assert counts == {4}
 
 
-def test_a_table_refuses_routes_that_no_request_tells_apart() -> None:
+def test_a_table_rejects_duplicate_routes() -> None:
     with pytest.raises(errors.DuplicateRouteError):
         routes.RouteTable([make_route('/a/{x}'), make_route('/a/{y}')])
