--- a/libraries/cli/src/sardinepier/cli/from_files/explain.py
+++ b/libraries/cli/src/sardinepier/cli/from_files/explain.py
@@ -137,8 +137,8 @@
         return (
             Cause.LOST_WITH_DAEMON,
             f'{last.instance_id} died within the time of the request: it '
-            'started again later and had not stopped in order. If the caller '
-            'got no answer, it was lost then',
+            'started again later, without a normal shutdown before. If the '
+            'caller got no answer, the request was lost then',
         )
     failed = [line for line in request_lines if line.event == _FAILED]
     if failed and last.event == _FAILED:
--- a/libraries/cli/tests/cover/test_cli_forms.py
+++ b/libraries/cli/tests/cover/test_cli_forms.py
@@ -123,7 +123,7 @@
     }
     for file_name, text in written.items():
         pathlib.Path(tmp_path, file_name).write_text(text, encoding='utf-8')
-    paths = [str(tmp_path / file_name) for file_name in written]
+    paths = [str(tmp_path / file) for file in written]
 
     assert await tool('check', '--json', *paths) == 1
     document = json.loads(tool.out[0])
