--- a/libraries/telemetry/src/sardinepier/telemetry/__init__.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""JSON-lines logs, histogram metrics and the event time line."""
+"""JSON-lines logs, histogram metrics and the event timeline."""
--- a/libraries/telemetry/src/sardinepier/telemetry/daemon_events.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/daemon_events.py
@@ -1,4 +1,4 @@
-"""Events of one daemon's own life and of the requests it refused."""
+"""Events of the recording daemon: lifecycle, refused requests, bad peers."""
 
 import msgspec
 from sardinepier.telemetry import quantities
@@ -18,7 +18,7 @@
 
 
 class DaemonDraining(DaemonEvent, frozen=True):
-    """The daemon leaves: no new addresses, work in flight is finished."""
+    """The daemon is leaving: it finishes the requests in flight only."""
 
     reason: str
     in_flight: int
@@ -26,24 +26,24 @@
 
 
 class DaemonStopped(DaemonEvent, frozen=True):
-    """The daemon has finished; ``unfinished`` requests were cut off."""
+    """The daemon has stopped; ``unfinished`` requests were cut off."""
 
     finished: int
     unfinished: int
 
 
 class WakeGapSeen(DaemonEvent, frozen=True):
-    """The event loop stood still for ``gap_ms``, more than ``bound_ms``."""
+    """The event loop was blocked for ``gap_ms``, longer than ``bound_ms``."""
 
     gap_ms: int
     bound_ms: int
 
 
 class RequestRefused(DaemonEvent, frozen=True):
-    """Refusals of one kind, added up over ``window_s`` seconds.
+    """Refusals with the same reason, added up over ``window_s`` seconds.
 
-    One event a refusal would push everything else out of the ring just when
-    the fleet is overloaded and the time line is needed.
+    With one event per refusal an overload would evict all other events from
+    the ring, just when the timeline is needed.
     """
 
     service: str
@@ -53,7 +53,7 @@
 
 
 class PeerClockRefused(DaemonEvent, frozen=True):
-    """A peer's stamps were too far ahead of our wall clock to follow."""
+    """A peer's stamps are too far ahead of this daemon's clock to adopt."""
 
     peer: str
     ahead_ms: int
@@ -62,16 +62,16 @@
 class UnknownEvent(DaemonEvent, frozen=True):
     """An event of a kind that this version does not know.
 
-    Only a reader makes it: while daemons are being replaced by a newer
-    version, one new kind must not hide all other entries. ``text`` is the
-    event in JSON.
+    Only the decoder creates it, so that during a rolling upgrade an event of
+    a newer daemon does not make the whole timeline unreadable. ``text`` is
+    the event in JSON.
     """
 
     text: str
 
 
 class MessageRejected(DaemonEvent, frozen=True):
-    """Malformed messages of one peer, added up over ``window_s`` seconds."""
+    """Malformed messages from one peer, added up over ``window_s`` seconds."""
 
     peer: str
     problem: str
--- a/libraries/telemetry/src/sardinepier/telemetry/errors.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/errors.py
@@ -1,19 +1,19 @@
-"""Failures of the telemetry library."""
+"""Exceptions of the telemetry library."""
 
 from sardinepier.core import errors
 
 
 class TelemetryError(errors.SardinepierError):
-    """Root of the telemetry library's failures."""
+    """Base of all exceptions of the telemetry library."""
 
 
 class BadStampError(TelemetryError):
-    """A text is not a stamp of the hybrid logical clock."""
+    """A text is not a valid stamp of the hybrid logical clock."""
 
 
 class BadHistogramError(TelemetryError):
-    """An encoded histogram could not be read."""
+    """An encoded histogram cannot be decoded."""
 
 
 class UnknownLevelError(TelemetryError):
-    """A log level has no such name."""
+    """There is no log level of the given name."""
--- a/libraries/telemetry/src/sardinepier/telemetry/events.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/events.py
@@ -1,8 +1,8 @@
-"""The union of all events, for encoders and readers of the time line.
+"""The union of all timeline events, for encoding and decoding.
 
-Each kind is defined in a module by subject: ``daemon_events``,
-``member_events``, ``file_events`` and ``target_events``. Its JSON form is an
-object whose ``kind`` is the name of the class.
+The event classes are defined by subject in ``daemon_events``,
+``member_events``, ``file_events`` and ``target_events``. The JSON form of an
+event is an object whose ``kind`` is the name of the class.
 """
 
 import msgspec
@@ -48,11 +48,11 @@
 
 
 def kind_of(event: Event) -> str:
-    """Return the name of the event's kind, as its JSON form has it."""
+    """Return the event's ``kind`` as in its JSON form."""
     return type(event).__name__
 
 
 def fields_of(event: Event) -> dict[str, object]:
-    """Return the event's fields without its kind, in their order."""
+    """Return the event's fields without ``kind``, in declaration order."""
     fields = dict(msgspec.structs.asdict(event))
     return {name: fields[name] for name in event.__struct_fields__}
--- a/libraries/telemetry/src/sardinepier/telemetry/exposition.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format that monitoring systems read.
+"""Metrics in the Prometheus text format.
 
 For example::
 
@@ -6,9 +6,9 @@
     # TYPE sardinepier_requests_total counter
     sardinepier_requests_total{outcome="answered"} 1234
 
-The format is that of Prometheus. Its client library is not used, since its
-import alone takes a quarter of a second of a processor, during which a daemon
-would serve nobody; the tests read what is written here by that library.
+The Prometheus client library is not used: importing it takes a quarter of a
+second of CPU time, during which a daemon serves no requests. The tests parse
+the output with that library.
 """
 
 import itertools
@@ -25,7 +25,7 @@
 
 
 class Gauge(msgspec.Struct, frozen=True):
-    """A number that goes up and down, as it is now."""
+    """The current value of a number that goes up and down."""
 
     name: str
     value: float
@@ -36,7 +36,7 @@
     gauges: Iterable[Gauge],
     help_texts: Mapping[str, str],
 ) -> str:
-    """Return all of it, with a help line for each name.
+    """Return all metrics as text, with a help line for each name.
 
     Raises ``KeyError`` for a name without an entry in ``help_texts``.
     """
@@ -52,31 +52,31 @@
     counters: Iterable[metrics.CounterValue],
     help_texts: Mapping[str, str],
 ) -> Iterator[str]:
-    for name, found in itertools.groupby(counters, key=_name_of):
+    for name, group in itertools.groupby(counters, key=_name_of):
         total = f'{name}_total'
-        yield from _head(total, 'counter', help_texts[name])
-        for one in found:
-            yield f'{_PREFIX}_{total}{_labels(one.labels)} {one.count}'
+        yield from _header(total, 'counter', help_texts[name])
+        for counter in group:
+            yield f'{_PREFIX}_{total}{_labels(counter.labels)} {counter.count}'
 
 
 def _summaries(
     histograms: Iterable[metrics.HistogramValue],
     help_texts: Mapping[str, str],
 ) -> Iterator[str]:
-    for name, found in itertools.groupby(histograms, key=_name_of):
-        yield from _head(name, 'summary', help_texts[name])
-        for one in found:
+    for name, group in itertools.groupby(histograms, key=_name_of):
+        yield from _header(name, 'summary', help_texts[name])
+        for histogram in group:
             quantiles = (
-                ('0.5', one.p50),
-                ('0.99', one.p99),
-                ('1', one.highest),
+                ('0.5', histogram.p50),
+                ('0.99', histogram.p99),
+                ('1', histogram.highest),
             )
-            for quantile, figure in quantiles:
+            for quantile, measurement in quantiles:
                 label = metrics.Label('quantile', quantile)
-                labels = _labels((*one.labels, label))
-                yield f'{_PREFIX}_{name}{labels} {figure:g}'
-            labels = _labels(one.labels)
-            yield f'{_PREFIX}_{name}_count{labels} {one.count}'
+                labels = _labels((*histogram.labels, label))
+                yield f'{_PREFIX}_{name}{labels} {measurement:g}'
+            labels = _labels(histogram.labels)
+            yield f'{_PREFIX}_{name}_count{labels} {histogram.count}'
 
 
 def _gauges(
@@ -84,11 +84,11 @@
     help_texts: Mapping[str, str],
 ) -> Iterator[str]:
     for gauge in gauges:
-        yield from _head(gauge.name, 'gauge', help_texts[gauge.name])
+        yield from _header(gauge.name, 'gauge', help_texts[gauge.name])
         yield f'{_PREFIX}_{gauge.name} {gauge.value:g}'
 
 
-def _head(name: str, kind: str, help_text: str) -> Iterator[str]:
+def _header(name: str, kind: str, help_text: str) -> Iterator[str]:
     yield f'# HELP {_PREFIX}_{name} {help_text}'
     yield f'# TYPE {_PREFIX}_{name} {kind}'
 
@@ -101,6 +101,6 @@
 
 
 def _name_of(
-    measured: metrics.CounterValue | metrics.HistogramValue,
+    metric: metrics.CounterValue | metrics.HistogramValue,
 ) -> str:
-    return measured.name
+    return metric.name
--- a/libraries/telemetry/src/sardinepier/telemetry/file_events.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/file_events.py
@@ -9,7 +9,7 @@
 
 
 class FileAccepted(FileEvent, frozen=True):
-    """A revision is in force; ``source`` is ``platform`` or a peer."""
+    """A revision came into force; ``source`` is ``platform`` or a peer."""
 
     file_name: str
     revision: int
@@ -17,7 +17,7 @@
 
 
 class FileRejected(FileEvent, frozen=True):
-    """A revision has mistakes; the one before it stays in force."""
+    """A revision is invalid; the previous one stays in force."""
 
     file_name: str
     revision: int
@@ -25,7 +25,7 @@
 
 
 class FileStale(FileEvent, frozen=True):
-    """An older revision than the one in force was offered, and not taken."""
+    """A revision older than the one in force was received and ignored."""
 
     file_name: str
     offered_revision: int
@@ -34,7 +34,7 @@
 
 
 class FileDeleted(FileEvent, frozen=True):
-    """A file was withdrawn at ``revision``."""
+    """A file was deleted at ``revision``."""
 
     file_name: str
     revision: int
@@ -42,7 +42,7 @@
 
 
 class PlatformFailed(FileEvent, frozen=True):
-    """The platform stopped answering; known files stay in force."""
+    """The platform stopped answering; the files read before stay in force."""
 
     url: str
     problem: str
--- a/libraries/telemetry/src/sardinepier/telemetry/internal/__init__.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the telemetry library; not part of its interface."""
+"""Internal modules of the telemetry library, not part of its API."""
--- a/libraries/telemetry/src/sardinepier/telemetry/internal/histograms.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/histograms.py
@@ -1,4 +1,4 @@
-"""Our one use of the HdrHistogram library: fixed range, typed errors."""
+"""Wraps the HdrHistogram library with a fixed range and typed errors."""
 
 import bisect
 import itertools
@@ -12,12 +12,12 @@
 from sardinepier.telemetry import errors
 
 _SCALE: Final = 1000
-_HIGHEST: Final = 3_600_000
+_MAX_VALUE: Final = 3_600_000
+# Three digits would take seven times the memory.
 _SIGNIFICANT_DIGITS: Final = 2
-# Three digits would cost seven times the memory.
 _NARROW_BYTES: Final = 4
 _WIDE_BYTES: Final = 8
-_UNREADABLE: Final = (
+_DECODE_ERRORS: Final = (
     ValueError,
     TypeError,
     IndexError,
@@ -30,23 +30,23 @@
 
 
 class Recorder:
-    """A histogram of values in thousandths of their unit.
+    """A histogram with a resolution of a thousandth of the unit.
 
-    The counts of one process fit into four bytes for a year and more. The
-    sum over a large fleet does not, so a ``wide`` one has eight.
+    A counter of four bytes lasts a single process for more than a year. Sums
+    over a large fleet overflow it, so a ``wide`` histogram uses eight bytes.
     """
 
-    __slots__ = ('_add', '_histogram')
+    __slots__ = ('_record_scaled', '_histogram')
 
     def __init__(self, *, wide: bool = False) -> None:
-        """Start empty."""
+        """Create an empty histogram."""
         self._histogram = hdr_histogram.HdrHistogram(
             1,
-            _HIGHEST * _SCALE,
+            _MAX_VALUE * _SCALE,
             _SIGNIFICANT_DIGITS,
             word_size=_WIDE_BYTES if wide else _NARROW_BYTES,
         )
-        self._add = self._histogram.record_value
+        self._record_scaled = self._histogram.record_value
 
     @property
     def count(self) -> int:
@@ -59,49 +59,55 @@
         return float(self._histogram.get_max_value() / _SCALE)
 
     def record(self, value: float) -> None:
-        """Add one value, held within the range; not-a-number counts as 0."""
-        if value > _HIGHEST:
-            value = _HIGHEST
-        # Not `value < 0`, which is false for not-a-number.
+        """Add one value, clamped to the range; NaN counts as 0."""
+        if value > _MAX_VALUE:
+            value = _MAX_VALUE
+        # Not `value < 0`, which is false for NaN.
         elif not value >= 0:  # noqa: WPS508 (the comparison is not inverted)
             value = 0
-        self._add(int(value * _SCALE))
+        self._record_scaled(int(value * _SCALE))
 
     def quantile(self, percent: float) -> float:
-        """Return the value at ``percent`` of the values, or zero."""
+        """Return the value at percentile ``percent``, zero when empty."""
         return self.quantiles(percent)[0]
 
     def quantiles(self, *percents: float) -> tuple[float, ...]:
-        """Return the values at each of ``percents``, or zeros."""
+        """Return the value at each percentile, zeros when empty."""
         if not self.count:
             return (0.0,) * len(percents)
-        # The library's own search walks over the counts one by one in Python.
+        # The library searches linearly in Python, once for each percentile.
         histogram = self._histogram
         end = histogram.get_counts_array_index(histogram.max_value) + 1
-        running = list(itertools.accumulate(histogram.counts[:end]))
-        return tuple(self._at(running, percent) for percent in percents)
+        cumulative_counts = list(itertools.accumulate(histogram.counts[:end]))
+        return tuple(
+            self._value_at(cumulative_counts, percent) for percent in percents
+        )
 
     def encode(self) -> str:
-        """Return the compressed text form."""
+        """Return the histogram in its compressed text form."""
         return bytes(self._histogram.encode()).decode('ascii')
 
     def add(self, encoded: str) -> None:
         """Add all values of an encoded histogram.
 
-        Raises :class:`errors.BadHistogramError` when it cannot be read.
+        Raises :class:`errors.BadHistogramError` when it cannot be decoded.
         """
         try:
             self._histogram.decode_and_add(encoded.encode())
-        except _UNREADABLE as problem:
+        except _DECODE_ERRORS as error:
             raise errors.BadHistogramError(
-                f'An encoded histogram is unreadable ({problem})',
+                f'An encoded histogram cannot be decoded ({error})',
                 'Use a tool of the same version as the daemon',
-            ) from problem
+            ) from error
 
-    def _at(self, running: Sequence[int], percent: float) -> float:
+    def _value_at(
+        self, cumulative_counts: Sequence[int], percent: float
+    ) -> float:
         histogram = self._histogram
         rank = histogram.get_target_count_at_percentile(percent)
-        lowest = histogram.get_value_from_index(
-            bisect.bisect_left(running, rank),
+        bucket_start = histogram.get_value_from_index(
+            bisect.bisect_left(cumulative_counts, rank),
+        )
+        return float(
+            histogram.get_highest_equivalent_value(bucket_start) / _SCALE
         )
-        return float(histogram.get_highest_equivalent_value(lowest) / _SCALE)
--- a/libraries/telemetry/src/sardinepier/telemetry/internal/line_stream.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/line_stream.py
@@ -1,7 +1,8 @@
-"""Writes lines to a file that somebody reads, or doesn't, and never waits.
+"""Writes log lines to a file descriptor without ever blocking.
 
-A pipe whose reader stalls takes a few dozen lines. What comes then is kept, within
-bounds, and written when there is room; what has no place is dropped and counted.
+A pipe whose reader stalls fills up after a few dozen lines. Later lines are
+buffered up to a limit and written once the pipe is writable again. Lines that
+do not fit into the buffer are dropped and counted.
 """
 
 import asyncio
@@ -10,107 +11,117 @@
 import select
 from typing import Final
 
-_AT_ONCE_BYTES: Final = select.PIPE_BUF
-"""A pipe that is ready takes so many bytes without a wait."""
+_MAX_WRITE_BYTES: Final = select.PIPE_BUF
+"""A writable pipe accepts this many bytes without blocking."""
 
-_KEPT_BYTES: Final = 262144
-"""Of each sort of lines: what a busy daemon writes in ten seconds."""
+_MAX_BUFFERED_BYTES: Final = 262144
+"""Bytes buffered of routine and of other lines each.
 
-_LOOK_S: Final = 0.1
-"""Pace at which a pipe without room is looked at again."""
+A busy daemon writes this much in ten seconds.
+"""
+
+_RETRY_INTERVAL_S: Final = 0.1
+"""Interval at which a full pipe is checked again."""
 
 
 class LineStream:
-    """Lines on their way to one file descriptor.
+    """Writes lines to one file descriptor and buffers those that don't fit.
 
-    Routine lines give way to others, which are written first when there is
-    room again.
+    Buffered routine lines are written after all other buffered lines.
     """
 
     def __init__(self, descriptor: int) -> None:
-        """Write to ``descriptor``, which stays open."""
+        """Write to ``descriptor``, which is not closed."""
         self._descriptor = descriptor
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._begun = b''
-        self._lines = _Kept()
-        self._routine = _Kept()
-        self._lost = 0
+        self._unwritten = b''
+        self._priority_lines = _LineBuffer()
+        self._routine_lines = _LineBuffer()
+        self._lost_count = 0
         self._is_broken = False
-        self._is_looking = False
+        self._is_retry_scheduled = False
 
     def write(self, line: bytes, *, is_routine: bool) -> None:
-        """Write a line with its end now, or keep it until there is room."""
-        kept = self._routine if is_routine else self._lines
-        self._lost += not kept.add(line)
+        """Write a line that ends in a line feed, or buffer it."""
+        buffer = self._routine_lines if is_routine else self._priority_lines
+        self._lost_count += not buffer.add(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write of what was kept as much as there is room for."""
-        while self._next() and self._has_room():
-            self._write_some()
-        if self._begun and not self._is_broken:
-            self._look_later()
+        """Write as many buffered lines as the descriptor accepts."""
+        while self._next_bytes() and self._is_writable():
+            self._write_chunk()
+        if self._unwritten and not self._is_broken:
+            self._schedule_retry()
 
     def pop_lost_count(self) -> int:
-        """Return how many lines were dropped, once all others are written."""
-        if self._begun or self._is_broken:
-            return 0
-        lost = self._lost
-        self._lost = 0
-        return lost
+        """Return and reset the count of dropped lines.
 
-    def _next(self) -> bytes:
-        """Return what is to be written next, nothing when all is written."""
-        if not self._begun:
-            self._begun = self._lines.take() or self._routine.take()
-        return self._begun
-
-    def _has_room(self) -> bool:
+        Returns 0 until all buffered lines are written, and always after
+        the reader is gone.
+        """
+        if self._unwritten or self._is_broken:
+            return 0
+        lost_count = self._lost_count
+        self._lost_count = 0
+        return lost_count
+
+    def _next_bytes(self) -> bytes:
+        """Return the bytes to write next, empty when all lines are written."""
+        if not self._unwritten:
+            self._unwritten = (
+                self._priority_lines.pop() or self._routine_lines.pop()
+            )
+        return self._unwritten
+
+    def _is_writable(self) -> bool:
         return bool(self._poll.poll(0)) and not self._is_broken
 
-    def _write_some(self) -> None:
+    def _write_chunk(self) -> None:
         try:
-            count = os.write(self._descriptor, self._begun[:_AT_ONCE_BYTES])
+            count = os.write(
+                self._descriptor, self._unwritten[:_MAX_WRITE_BYTES]
+            )
         except OSError:
-            # Nobody reads any more, and there is no other place to tell it.
+            # The reader is gone, and there is nowhere else to report it.
             self._is_broken = True
         else:
-            self._begun = self._begun[count:]
+            self._unwritten = self._unwritten[count:]
 
-    def _look_later(self) -> None:
-        if self._is_looking:
+    def _schedule_retry(self) -> None:
+        if self._is_retry_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            # The next line looks again.
+            # Without an event loop the next line retries.
             return
-        self._is_looking = True
-        loop.call_later(_LOOK_S, self._look)
+        self._is_retry_scheduled = True
+        loop.call_later(_RETRY_INTERVAL_S, self._retry)
 
-    def _look(self) -> None:
-        self._is_looking = False
+    def _retry(self) -> None:
+        self._is_retry_scheduled = False
         self.flush()
 
 
-class _Kept:
-    """Lines that wait, oldest first, up to a number of bytes."""
+class _LineBuffer:
+    """A queue of lines, limited in bytes."""
 
     def __init__(self) -> None:
         self._lines: collections.deque[bytes] = collections.deque()
         self._bytes = 0
 
     def add(self, line: bytes) -> bool:
-        """Keep a line; tell whether there was a place for it."""
-        if self._bytes + len(line) > _KEPT_BYTES:
+        """Append a line; return False when it does not fit."""
+        if self._bytes + len(line) > _MAX_BUFFERED_BYTES:
             return False
         self._lines.append(line)
         self._bytes += len(line)
         return True
 
-    def take(self) -> bytes:
-        """Return the oldest line, nothing when there is none."""
+    def pop(self) -> bytes:
+        """Remove and return the oldest line, empty when there is none."""
         if not self._lines:
             return b''
         line = self._lines.popleft()
--- a/libraries/telemetry/src/sardinepier/telemetry/internal/log_lines.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/log_lines.py
@@ -1,4 +1,4 @@
-"""Turns a loguru record into one compact JSON line."""
+"""Converts loguru records to compact JSON lines."""
 
 import traceback
 from typing import Any, Final, Protocol
@@ -7,7 +7,7 @@
 import msgspec
 
 
-_END: Final = b'\n'
+_LINE_END: Final = b'\n'
 _LOST_EVENT: Final = 'lines-lost'
 _LOST_LEVEL: Final = 'warning'
 
@@ -23,18 +23,19 @@
 
 
 class Emit(Protocol):
-    """Takes one line with its end, as UTF-8.
+    """Writes one line, in UTF-8 with its line feed.
 
-    Returns how many lines were lost before it, once that can be told.
+    Returns how many earlier lines were lost and not reported yet, or 0 while
+    buffered lines are still to be written.
     """
 
     def __call__(self, line: bytes, *, is_routine: bool) -> int:
-        """Write the line, or keep it."""
+        """Write or buffer the line."""
         ...
 
 
 class Writer:
-    """A loguru sink that gives each line to ``emit``."""
+    """A loguru sink that passes each line to ``emit``."""
 
     def __init__(
         self,
@@ -43,13 +44,13 @@
         *,
         with_traceback: bool,
     ) -> None:
-        """Name ``instance_id`` on every line."""
+        """Put ``instance_id`` into every line."""
         self._instance_id = instance_id
         self._emit = emit
         self._with_traceback = with_traceback
 
     def write(self, message: 'loguru.Message') -> None:
-        """Write the record that ``message`` carries."""
+        """Write the record of ``message``."""
         record = message.record
         extra = record['extra']
         fields = extra.get('fields', {})
@@ -59,36 +60,36 @@
             event=extra.get('event', ''),
             instance_id=self._instance_id,
             message=record['message'],
-            fields={name: _resolved(fields[name]) for name in fields},
+            fields={name: _evaluated(fields[name]) for name in fields},
             traceback=self._traceback_of(record),
         )
-        lost = self._emit(
+        lost_count = self._emit(
             _encoded(line), is_routine=extra.get('routine', False)
         )
-        if lost:
-            self._tell_lost(line, lost)
+        if lost_count:
+            self._report_lost(line, lost_count)
 
-    def _tell_lost(self, last: _Line, lost: int) -> None:
-        told = msgspec.structs.replace(
+    def _report_lost(self, last: _Line, lost_count: int) -> None:
+        report = msgspec.structs.replace(
             last,
             level=_LOST_LEVEL,
             event=_LOST_EVENT,
             message='',
-            fields={'lines': lost},
+            fields={'lines': lost_count},
             traceback='',
         )
-        self._emit(_encoded(told), is_routine=False)
+        self._emit(_encoded(report), is_routine=False)
 
     def _traceback_of(self, record: 'loguru.Record') -> str:
-        problem = record['exception']
-        if problem is None or not self._with_traceback:
+        error = record['exception']
+        if error is None or not self._with_traceback:
             return ''
-        return ''.join(traceback.format_exception(*problem))
+        return ''.join(traceback.format_exception(*error))
 
 
 def _encoded(line: _Line) -> bytes:
-    return msgspec.json.encode(line, enc_hook=str) + _END
+    return msgspec.json.encode(line, enc_hook=str) + _LINE_END
 
 
-def _resolved(value: Any) -> Any:
+def _evaluated(value: Any) -> Any:
     return value() if callable(value) else value
--- a/libraries/telemetry/src/sardinepier/telemetry/line_budget.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/line_budget.py
@@ -1,15 +1,15 @@
-"""A bound on how many lines of a sort are written, which says what it drops.
+"""Rate limits for log lines, with a count of the dropped lines.
 
-Log lines cost processor time, some forty microseconds each, and most come
-when there is least of it. Each sort of line has a budget of its own, so that
-lines about ordinary work never push out those about failures.
+A log line costs some forty microseconds of CPU time, and most lines are
+written under overload. Each category of lines has its own budget, so that
+lines about ordinary requests never displace those about failures.
 """
 
 from sardinepier.core import clock as clocks
 
 
 class LineBudget:
-    """Allows ``per_s`` lines a second on average, ``burst`` at once.
+    """A token bucket: ``per_s`` lines a second, in bursts of up to ``burst``.
 
     For example::
 
@@ -24,24 +24,24 @@
         per_s: float,
         burst: int,
     ) -> None:
-        """Start with the whole burst."""
+        """Start with a full bucket."""
         self._clock = clock
         self._per_s = per_s
         self._burst = burst
-        self._left = float(burst)
-        self._filled_s = clock.monotonic_s()
+        self._tokens = float(burst)
+        self._refilled_at_s = clock.monotonic_s()
         self._dropped = 0
 
     def allows(self) -> bool:
-        """Tell whether a line may be written, and count it either way."""
+        """Return whether a line may be written, and count it if not."""
         now_s = self._clock.monotonic_s()
-        grown = (now_s - self._filled_s) * self._per_s
-        self._filled_s = now_s
-        self._left = min(self._burst, self._left + grown)
-        if self._left < 1:
+        refill = (now_s - self._refilled_at_s) * self._per_s
+        self._refilled_at_s = now_s
+        self._tokens = min(self._burst, self._tokens + refill)
+        if self._tokens < 1:
             self._dropped += 1
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
     def pop_dropped_count(self) -> int:
--- a/libraries/telemetry/src/sardinepier/telemetry/line_events.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/line_events.py
@@ -1,4 +1,4 @@
-"""Typed log lines: what a line is about is a class, its fields are checked.
+"""Typed log lines: each event is a class with typed fields.
 
 For example::
 
@@ -22,21 +22,21 @@
 class LineEvent(msgspec.Struct, frozen=True, kw_only=True):
     """Base of all typed log lines.
 
-    Numbers carry their unit as a suffix of the field's name.
+    The name of a numeric field ends in its unit, for example ``age_ms``.
     """
 
 
 @functools.cache
 def name_of(kind: type[LineEvent]) -> str:
-    """Return the name in the lines: ``LineEvent`` is ``line-event``."""
+    """Return the ``event`` of a class: ``LineEvent`` is ``line-event``."""
     return _WORD_START.sub('-', kind.__name__).lower()
 
 
 def fields_of(event: LineEvent) -> dict[str, object]:
-    """Return the fields of a line, in their order."""
+    """Return the fields of an event, in declaration order."""
     return msgspec.structs.asdict(event)
 
 
 def all_kinds() -> tuple[type[LineEvent], ...]:
-    """Return the kinds of the modules that are imported, by name."""
+    """Return the event classes of all imported modules, sorted by name."""
     return tuple(sorted(LineEvent.__subclasses__(), key=name_of))
--- a/libraries/telemetry/src/sardinepier/telemetry/logs.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""JSON lines on standard error or output, one compact object a line.
+"""Structured logs: one compact JSON object per line.
 
 For example::
 
@@ -7,7 +7,7 @@
     logs.event('ring', level=logs.Level.DEBUG, ring=lambda: describe(ring))
 
 writes ``{"time":...,"level":"info","event":"platform_failed",...}``. A
-field given as a function is only called when the line is really written.
+field given as a function is only called when the line is written.
 """
 
 import enum
@@ -35,10 +35,9 @@
 
 
 class Level(enum.Enum):
-    """How much a line matters; lines below the configured level are left out.
+    """Severity of a line; lines below the configured level are not written.
 
-    At ``DEBUG`` failures also show their tracebacks, which are never written
-    otherwise.
+    Tracebacks are written only when the configured level is ``DEBUG``.
     """
 
     DEBUG = 'debug'
@@ -48,18 +47,18 @@
 
 
 def parse_level(text: str) -> Level:
-    """Return the level of that name.
+    """Return the level named ``text``, in upper or lower case.
 
     Raises ``telemetry.errors.UnknownLevelError`` when there is none.
     """
     try:
         return Level(text.lower())
-    except ValueError as problem:
+    except ValueError as error:
         known = ', '.join(level.value for level in Level)
         raise errors.UnknownLevelError(
             f'{text!r} is not a log level',
             f'Write one of {known}',
-        ) from problem
+        ) from error
 
 
 def configure(
@@ -68,27 +67,27 @@
     *,
     stream: TextIO | None = None,
 ) -> None:
-    """Send all log lines of this process to ``stream`` as JSON.
+    """Write all log lines of this process to ``stream`` as JSON.
 
-    The default stream is standard error. Nothing waits for whoever reads it:
-    lines without room are kept for a while, then dropped, and the number of
-    those is told in a line ``lines-lost`` once there is room again.
+    The default stream is standard error. Writing never blocks: lines that a
+    pipe does not accept are buffered up to a limit, then dropped. Their
+    number is reported in a ``lines-lost`` line once the pipe accepts lines.
 
-    Lines of libraries that use the standard ``logging`` module are taken in
-    as event ``library`` from level warning up: they would otherwise print
-    plain text and tracebacks between our lines. May be called again to
-    change the level. Raises ``telemetry.errors.UnknownLevelError``.
+    Records of the standard ``logging`` module from level warning up become
+    lines with event ``library``; libraries would otherwise write plain text
+    and tracebacks to the same stream. May be called again to change the
+    level. Raises ``telemetry.errors.UnknownLevelError``.
     """
-    chosen = parse_level(level)
+    min_level = parse_level(level)
     writer = log_lines.Writer(
         instance_id,
         _emitter(stream),
-        with_traceback=chosen is Level.DEBUG,
+        with_traceback=min_level is Level.DEBUG,
     )
     loguru.logger.remove()
     loguru.logger.add(
         writer.write,
-        level=chosen.name,
+        level=min_level.name,
         format='{message}',
         backtrace=False,
         diagnose=False,
@@ -107,7 +106,7 @@
     level: Level = Level.INFO,
     **fields: Field,
 ) -> None:
-    """Write one line about an event of ``kind`` with its ``fields``."""
+    """Write one line with event ``kind`` and its ``fields``."""
     loguru.logger.bind(event=kind, fields=fields).log(level.name, message)
 
 
@@ -120,7 +119,7 @@
 ) -> None:
     """Write one line about a typed event.
 
-    A routine one gives way to others where nobody takes the lines.
+    When the stream is full, routine lines are written after all others.
     """
     loguru.logger.bind(
         event=line_events.name_of(type(line_event)),
@@ -136,7 +135,7 @@
     level: Level = Level.WARNING,
     **fields: Field,
 ) -> None:
-    """Write one line about a failure: its type, what it was, its remedy."""
+    """Write one line about an exception: its type, message and remedy."""
     described: dict[str, Field] = {'error': type(problem).__name__, **fields}
     message = str(problem)
     if isinstance(problem, core_errors.SardinepierError):
@@ -153,7 +152,7 @@
     *,
     level: Level = Level.INFO,
 ) -> None:
-    """Write a time line entry as a line, with its stamp among the fields."""
+    """Write a timeline entry as a line, with its stamp among the fields."""
     loguru.logger.bind(
         event=events.kind_of(entry.event),
         fields={
@@ -164,13 +163,13 @@
 
 
 def _emitter(stream: TextIO | None) -> log_lines.Emit:
-    """Return what writes lines to ``stream``, without waits if it is a file."""
-    chosen = sys.stderr if stream is None else stream
+    """Return a function that writes to ``stream``, non-blocking for a file."""
+    output = sys.stderr if stream is None else stream
     try:
-        lines = line_stream.LineStream(chosen.fileno())
+        lines = line_stream.LineStream(output.fileno())
     except OSError:
-        # One in memory, which never makes its writer wait.
-        return functools.partial(_write_text, stream)
+        # A stream without a descriptor is in memory and never blocks.
+        return functools.partial(_write_to_memory, stream)
     return functools.partial(_write_line, lines)
 
 
@@ -184,28 +183,28 @@
     return lines.pop_lost_count()
 
 
-def _write_text(
+def _write_to_memory(
     stream: TextIO | None,
     line: bytes,
     *,
     is_routine: bool,
 ) -> int:
-    chosen = sys.stderr if stream is None else stream
-    chosen.write(line.decode())
-    chosen.flush()
+    output = sys.stderr if stream is None else stream
+    output.write(line.decode())
+    output.flush()
     return 0
 
 
 class _LibraryHandler(logging.Handler):
-    """Passes lines of the standard ``logging`` module on as our own."""
+    """Converts records of the standard ``logging`` module to JSON lines."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write ``record`` as an event ``library``."""
-        problem = record.exc_info[1] if record.exc_info else None
+        """Write ``record`` with event ``library``."""
+        error = record.exc_info[1] if record.exc_info else None
         fields: dict[str, Field] = {'library': record.name}
-        if problem is not None:
-            fields['error'] = f'{type(problem).__name__}: {problem}'
-        loguru.logger.opt(exception=problem).bind(
+        if error is not None:
+            fields['error'] = f'{type(error).__name__}: {error}'
+        loguru.logger.opt(exception=error).bind(
             event=_LIBRARY_EVENT,
             fields=fields,
         ).log(_level_of(record).name, record.getMessage())
--- a/libraries/telemetry/src/sardinepier/telemetry/member_events.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/member_events.py
@@ -1,4 +1,4 @@
-"""Events about other daemons, as the recording daemon sees them."""
+"""Membership events: other daemons as the recording daemon sees them."""
 
 import msgspec
 
@@ -10,19 +10,19 @@
 
 
 class MemberJoined(MemberEvent, frozen=True):
-    """A member was heard of for the first time."""
+    """A member was seen for the first time."""
 
     zone: str
 
 
 class MemberSuspected(MemberEvent, frozen=True):
-    """A member did not answer, neither directly nor through others."""
+    """A member answered neither a direct nor an indirect probe."""
 
     incarnation: int
 
 
 class MemberRefuted(MemberEvent, frozen=True):
-    """A suspected member showed that it is alive, by a new incarnation."""
+    """A suspected member proved with a new incarnation that it is alive."""
 
     incarnation: int
 
@@ -34,7 +34,7 @@
 
 
 class MemberDied(MemberEvent, frozen=True):
-    """A suspicion was not refuted in time."""
+    """A suspected member did not refute the suspicion in time."""
 
     incarnation: int
 
--- a/libraries/telemetry/src/sardinepier/telemetry/metrics.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/metrics.py
@@ -1,14 +1,14 @@
 """Counters and histograms with labels, cheap enough for every request.
 
-Look an instrument up once and keep it::
+Look up a counter or histogram once and keep it::
 
     added = metrics.histogram('request_added_ms', service='deposits')
     added.record(1.7)
 
-A label set is one combination of label values. Their number is bounded for
-each name, because values such as caller names come from outside and would
-otherwise grow the daemon's memory without limit: over the bound all values
-of a label set become ``other``, and the lookup is counted.
+A label set is one combination of label values. The number of label sets per
+name is limited, because values such as caller names come from outside and
+would otherwise grow the daemon's memory without bound. Over the limit all
+values of a label set become ``other``, and the lookup is counted.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 from sardinepier.telemetry.internal import histograms
 
 OTHER: Final = 'other'
-"""The value of every label in the set that takes what is over the bound."""
+"""Value of every label in the label set used over the limit."""
 
 DEFAULT_LABEL_SETS: Final = 512
-"""Label sets kept for each name by default."""
+"""Default limit on the label sets of each name."""
 
 _P50: Final = 50.0
 _P99: Final = 99.0
 _P999: Final = 99.9
 
 _Labels = tuple[tuple[str, str], ...]
-_Key = tuple[str, _Labels]
+_MetricKey = tuple[str, _Labels]
 
 
 class Label(msgspec.Struct, frozen=True, order=True):
@@ -42,7 +42,7 @@
 
 
 class CounterValue(msgspec.Struct, frozen=True, kw_only=True):
-    """What a counter holds."""
+    """A counter and its count at the time of a snapshot."""
 
     name: str
     labels: tuple[Label, ...]
@@ -50,7 +50,7 @@
 
 
 class HistogramValue(msgspec.Struct, frozen=True, kw_only=True):
-    """What a histogram holds, in the unit of the suffix of its name.
+    """A histogram at the time of a snapshot, in the unit its name ends in.
 
     ``encoded`` is the whole histogram in the compressed text form of
     HdrHistogram, for merging; quantiles of several daemons cannot be merged.
@@ -69,7 +69,7 @@
 class MetricsSnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """All counters and histograms of one daemon, or of many after a merge.
 
-    ``over_bound`` counts the lookups that fell into ``other``.
+    ``over_bound`` counts the lookups that returned the label set ``other``.
     """
 
     counters: tuple[CounterValue, ...] = ()
@@ -78,7 +78,7 @@
 
 
 class Counter:
-    """A number that only grows."""
+    """A count that only increases."""
 
     __slots__ = ('count',)
 
@@ -92,7 +92,7 @@
 
 
 class Histogram:
-    """A distribution of values in the unit of the suffix of its name.
+    """A distribution of values in the unit that its name ends in.
 
     Values have a resolution of a thousandth of the unit and a precision of
     one in a hundred, up to 3.6 million units (an hour in milliseconds).
@@ -101,15 +101,15 @@
     __slots__ = ('recorder',)
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty histogram."""
         self.recorder = histograms.Recorder()
 
     def record(self, value: float) -> None:
-        """Add one value; one outside the range counts as its nearest end."""
+        """Add one value, clamped to the range."""
         self.recorder.record(value)
 
     def quantile(self, percent: float) -> float:
-        """Return the value below which ``percent`` of the values lie."""
+        """Return the value at percentile ``percent``."""
         return self.recorder.quantile(percent)
 
     @property
@@ -119,7 +119,7 @@
 
 
 class Metrics:
-    """All instruments of one daemon."""
+    """All counters and histograms of one daemon."""
 
     def __init__(self, max_label_sets: int = DEFAULT_LABEL_SETS) -> None:
         """Keep up to ``max_label_sets`` label sets for each name.
@@ -128,68 +128,68 @@
         """
         _check_max_label_sets(max_label_sets)
         self._max_label_sets = max_label_sets
-        self._counters: dict[_Key, Counter] = {}
-        self._histograms: dict[_Key, Histogram] = {}
-        self._sizes: collections.Counter[str] = collections.Counter()
+        self._counters: dict[_MetricKey, Counter] = {}
+        self._histograms: dict[_MetricKey, Histogram] = {}
+        self._label_set_counts: collections.Counter[str] = collections.Counter()
         self._over_bound = 0
 
     def counter(self, name: str, **labels: str) -> Counter:
-        """Return the counter of ``name`` and ``labels``, new or known."""
+        """Return the counter of ``name`` and ``labels``; create it if new."""
         key = (name, tuple(sorted(labels.items())))
-        found = self._counters.get(key)
-        if found is not None:
-            return found
-        return self._counters.setdefault(self._bounded(key), Counter())
+        counter = self._counters.get(key)
+        if counter is not None:
+            return counter
+        return self._counters.setdefault(self._limited_key(key), Counter())
 
     def histogram(self, name: str, **labels: str) -> Histogram:
-        """Return the histogram of ``name`` and ``labels``, new or known."""
+        """Return the histogram of ``name`` and ``labels``; create it if new."""
         key = (name, tuple(sorted(labels.items())))
-        found = self._histograms.get(key)
-        if found is not None:
-            return found
-        key = self._bounded(key)
+        histogram = self._histograms.get(key)
+        if histogram is not None:
+            return histogram
+        key = self._limited_key(key)
         if key not in self._histograms:
             self._histograms[key] = Histogram()
         return self._histograms[key]
 
     def snapshot(self) -> MetricsSnapshot:
-        """Return what all instruments hold, ordered by name and labels."""
+        """Return all counters and histograms, ordered by name and labels."""
         return self._snapshot(
             _histogram_value(key, self._histograms[key].recorder)
             for key in sorted(self._histograms)
         )
 
     async def snapshot_in_steps(self) -> MetricsSnapshot:
-        """Return the same, letting other tasks run between histograms.
+        """Return a snapshot, letting other tasks run between histograms.
 
-        Hundreds of histograms take many milliseconds to summarise. Done at
-        once, each reading of the metrics would delay all requests in flight.
+        Summarising hundreds of histograms takes many milliseconds. In one
+        step it would delay all requests in flight.
         """
-        measured = []
+        histogram_values = []
         for key in sorted(self._histograms):
-            measured.append(
+            histogram_values.append(
                 _histogram_value(key, self._histograms[key].recorder),
             )
             await asyncio.sleep(0)
-        return self._snapshot(measured)
+        return self._snapshot(histogram_values)
 
     def _snapshot(
         self,
-        measured: Iterable[HistogramValue],
+        histogram_values: Iterable[HistogramValue],
     ) -> MetricsSnapshot:
         return MetricsSnapshot(
             counters=tuple(
                 _counter_value(key, self._counters[key].count)
                 for key in sorted(self._counters)
             ),
-            histograms=tuple(measured),
+            histograms=tuple(histogram_values),
             over_bound=self._over_bound,
         )
 
-    def _bounded(self, key: _Key) -> _Key:
+    def _limited_key(self, key: _MetricKey) -> _MetricKey:
         name, labels = key
-        if self._sizes[name] < self._max_label_sets:
-            self._sizes[name] += 1
+        if self._label_set_counts[name] < self._max_label_sets:
+            self._label_set_counts[name] += 1
             return key
         self._over_bound += 1
         return name, tuple((label, OTHER) for label, _ in labels)
@@ -199,10 +199,10 @@
     """Add up the snapshots of many daemons.
 
     Histograms are merged whole, so the quantiles are those of all values.
-    Raises ``telemetry.errors.BadHistogramError`` for an unreadable one.
+    Raises ``telemetry.errors.BadHistogramError`` for an invalid one.
     """
-    counts: collections.Counter[_Key] = collections.Counter()
-    recorders: dict[_Key, histograms.Recorder] = {}
+    counts: collections.Counter[_MetricKey] = collections.Counter()
+    recorders: dict[_MetricKey, histograms.Recorder] = {}
     for snapshot in snapshots:
         for counter in snapshot.counters:
             counts[_key_of(counter)] += counter.count
@@ -219,7 +219,7 @@
         histograms=tuple(
             _histogram_value(key, recorders[key]) for key in sorted(recorders)
         ),
-        over_bound=sum(each.over_bound for each in snapshots),
+        over_bound=sum(source.over_bound for source in snapshots),
     )
 
 
@@ -229,19 +229,19 @@
 
 
 def decode(text: bytes) -> MetricsSnapshot:
-    """Read the JSON form back.
+    """Return the snapshot from its JSON form.
 
-    Raises ``msgspec.DecodeError`` on anything malformed.
+    Raises ``msgspec.DecodeError`` on malformed input.
     """
     return msgspec.json.decode(text, type=MetricsSnapshot)
 
 
-def _key_of(measured: CounterValue | HistogramValue) -> _Key:
-    labels = tuple((label.name, label.value) for label in measured.labels)
-    return measured.name, labels
+def _key_of(metric: CounterValue | HistogramValue) -> _MetricKey:
+    labels = tuple((label.name, label.value) for label in metric.labels)
+    return metric.name, labels
 
 
-def _counter_value(key: _Key, count: int) -> CounterValue:
+def _counter_value(key: _MetricKey, count: int) -> CounterValue:
     name, labels = key
     return CounterValue(
         name=name,
@@ -251,7 +251,7 @@
 
 
 def _histogram_value(
-    key: _Key,
+    key: _MetricKey,
     recorder: histograms.Recorder,
 ) -> HistogramValue:
     name, labels = key
--- a/libraries/telemetry/src/sardinepier/telemetry/quantities.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/quantities.py
@@ -1,9 +1,9 @@
-"""Measured numbers in events."""
+"""The type of measured numbers in events."""
 
 Quantity = float | None
 """A number, or None where it is not finite.
 
-JSON has no infinity: a likelihood ratio that overflowed is written as null.
-Were null not allowed on the way back, one such event would make a daemon's
-whole time line unreadable.
+JSON has no infinity, so a likelihood ratio that overflowed is written as null.
+If the decoder rejected null, one such event would make a daemon's whole
+timeline unreadable.
 """
--- a/libraries/telemetry/src/sardinepier/telemetry/stamps.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/stamps.py
@@ -1,14 +1,14 @@
 """A hybrid logical clock: stamps that order events of many processes.
 
-A stamp is the wall clock's milliseconds and a counter. The counter keeps
-stamps of one process strictly rising while its wall clock stands still or
-goes back, and a process that hears of a later stamp moves past it. So a
-message's sending always gets a smaller stamp than its receipt, although no
-two wall clocks agree; between unrelated events the wall clock decides, which
-is good enough for people.
-
-Plain wall clocks fail here: with a few milliseconds between two clocks the
-time line would show a message arriving before it was sent.
+A stamp consists of wall clock milliseconds and a counter. The counter keeps
+the stamps of one process strictly increasing while its wall clock stands
+still or goes back, and a process that receives a later stamp advances past
+it. So sending a message always has a smaller stamp than receiving it, even
+though wall clocks differ. Unrelated events are ordered by wall clock, which
+is accurate enough for people.
+
+Plain wall clocks would not do: with two clocks a few milliseconds apart the
+timeline would show a message received before it was sent.
 """
 
 import re
@@ -19,13 +19,13 @@
 from sardinepier.telemetry import errors
 
 MAX_AHEAD_MS: Final = 60_000
-"""How far ahead of our wall clock a peer's stamp may be by default."""
+"""Default limit on how far a peer's stamp may be ahead of the wall clock."""
 
 _STAMP_TEXT: Final = re.compile(r'(\d{1,18})\.(\d{1,18})')
 
 
 class Stamp(msgspec.Struct, frozen=True, order=True):
-    """A moment of the hybrid logical clock, compared field by field."""
+    """A reading of the hybrid logical clock, compared field by field."""
 
     wall_ms: int
     logical: int
@@ -40,9 +40,9 @@
 
 
 def parse_stamp(text: str) -> Stamp:
-    """Read the text form back.
+    """Return the stamp from its text form.
 
-    Raises :class:`errors.BadStampError` when ``text`` is anything else.
+    Raises :class:`errors.BadStampError` when ``text`` is not a stamp.
     """
     match = _STAMP_TEXT.fullmatch(text)
     if match is None:
@@ -56,10 +56,10 @@
 class HybridClock:
     """The hybrid logical clock of one process.
 
-    A peer whose stamp lies more than ``max_ahead_ms`` ahead of our wall clock
-    has a broken clock. Adopting it would drag the whole fleet's time line
-    into the future for good, so it is only counted in ``refused_stamps``;
-    order against that peer is then as good as the wall clocks.
+    A peer whose stamp is more than ``max_ahead_ms`` ahead of this process's
+    wall clock has a broken clock. Adopting the stamp would permanently move
+    the whole fleet's timeline into the future, so it is only counted in
+    ``refused_stamps``. Events of that peer are then ordered by wall clock.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self._latest = Stamp(clock.wall_ms(), 0)
 
     def tick(self) -> Stamp:
-        """Return a stamp above every stamp returned or adopted before."""
+        """Return a stamp greater than all stamps returned or adopted before."""
         wall_ms = self._clock.wall_ms()
         if wall_ms > self._latest.wall_ms:
             self._latest = Stamp(wall_ms, 0)
@@ -86,7 +86,7 @@
         return self._latest
 
     def observe(self, stamp: Stamp) -> bool:
-        """Move past a peer's ``stamp``; return False when it was refused."""
+        """Advance past a peer's ``stamp``; return False if it is refused."""
         if stamp <= self._latest:
             return True
         if stamp.wall_ms > self._clock.wall_ms() + self._max_ahead_ms:
--- a/libraries/telemetry/src/sardinepier/telemetry/status.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/status.py
@@ -1,7 +1,7 @@
-"""The status document: what one daemon says about itself.
+"""The status document of one daemon.
 
-The daemon fills it for ``GET /v1/status`` and the command-line tool reads it.
-Every field is a fact as this one daemon sees it; two daemons may differ.
+The daemon serves it at ``GET /v1/status``, and the command-line tool reads
+it. All fields show the view of this daemon; two daemons may differ.
 """
 
 import msgspec
@@ -9,7 +9,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon of the fleet in the answering daemon's view.
+    """One daemon of the fleet as the answering daemon sees it.
 
     ``state`` is ``alive``, ``suspect``, ``leaving`` or ``dead``.
     """
@@ -23,10 +23,10 @@
 
 
 class FileStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A published file: the revision in force and what is wrong with newer.
+    """A published file: the revision in force and errors in a newer one.
 
-    ``problems`` lists the mistakes for which a newer revision was rejected;
-    it is empty while the newest revision seen is in force.
+    ``problems`` lists the errors for which a newer revision was rejected; it
+    is empty while the newest known revision is in force.
     """
 
     name: str
@@ -38,10 +38,10 @@
     """One target of a service.
 
     ``state`` is ``cold``, ``in-service``, ``suspect``, ``ejected``,
-    ``trial`` or ``leaving``; ``weight`` lies between 0 and 1; ``reason`` says
+    ``trial`` or ``leaving``; ``weight`` is between 0 and 1; ``reason`` says
     why the state is not ``in-service`` and is empty otherwise. ``evidence``
-    is that against the target as a share of the threshold for ejection, and
-    ``returns_in_s`` the rest of an ejection, None when it is not ejected.
+    against the target is a share of the threshold for ejection, and
+    ``returns_in_s`` the remaining time of an ejection, None if not ejected.
     """
 
     target_id: str
@@ -65,7 +65,7 @@
 
 
 class OutcomeCount(msgspec.Struct, frozen=True, kw_only=True):
-    """How many requests of a service ended with an outcome since the start.
+    """Requests of a service with one outcome since the daemon started.
 
     ``outcome`` is a value of ``sardinepier.core.outcomes.Outcome``.
     """
@@ -78,8 +78,8 @@
 class LatencySummary(msgspec.Struct, frozen=True, kw_only=True):
     """The distribution of one histogram, in milliseconds.
 
-    ``histogram`` is the encoded histogram, so that a reader can merge those
-    of many daemons instead of averaging quantiles, which would be wrong.
+    ``histogram`` is the encoded histogram, so that a reader can merge the
+    histograms of many daemons; averaged quantiles would be wrong.
     """
 
     name: str
@@ -92,7 +92,7 @@
 
 
 class PeerCounters(msgspec.Struct, frozen=True, kw_only=True):
-    """Messages exchanged with peers since the start."""
+    """Messages exchanged with peers since the daemon started."""
 
     sent_messages: int = 0
     received_messages: int = 0
@@ -128,9 +128,9 @@
 
 
 def decode(text: bytes) -> DaemonStatus:
-    """Read the JSON form back.
+    """Return the status document from its JSON form.
 
-    Fields this version does not know are passed over, so that a tool can read
-    a newer daemon. Raises ``msgspec.DecodeError`` on anything malformed.
+    Unknown fields are ignored, so that a tool can read the status of a newer
+    daemon. Raises ``msgspec.DecodeError`` on malformed input.
     """
     return msgspec.json.decode(text, type=DaemonStatus)
--- a/libraries/telemetry/src/sardinepier/telemetry/summaries.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/summaries.py
@@ -1,7 +1,7 @@
-"""Latencies and outcomes of the status document, of one daemon and of many.
+"""Latency and outcome summaries of the status document.
 
-A daemon fills its status from its metrics, for example with
-``latencies(metrics.snapshot())``; a reader adds up those of many daemons.
+A daemon computes its own from its metrics, for example with
+``latencies(metrics.snapshot())``; a reader merges those of many daemons.
 """
 
 import collections
@@ -12,12 +12,12 @@
 from sardinepier.telemetry.internal import histograms
 
 SERVICE_LABEL: Final = 'service'
-"""The label that names the service of a metric."""
+"""Label of a metric that names its service."""
 
 OUTCOME_LABEL: Final = 'outcome'
-"""The label that names the outcome of the answers counted."""
+"""Label of a counter that names the outcome it counts."""
 
-_UNIT: Final = '_ms'
+_LATENCY_SUFFIX: Final = '_ms'
 _P50: Final = 50.0
 _P99: Final = 99.0
 
@@ -28,16 +28,16 @@
     """Return a summary of each histogram whose name ends in ``_ms``."""
     return tuple(
         status.LatencySummary(
-            name=measured.name,
-            service=_label_of(measured, SERVICE_LABEL),
-            requests=measured.count,
-            p50_ms=measured.p50,
-            p99_ms=measured.p99,
-            max_ms=measured.highest,
-            histogram=measured.encoded,
+            name=histogram.name,
+            service=_label_of(histogram, SERVICE_LABEL),
+            requests=histogram.count,
+            p50_ms=histogram.p50,
+            p99_ms=histogram.p99,
+            max_ms=histogram.highest,
+            histogram=histogram.encoded,
         )
-        for measured in snapshot.histograms
-        if measured.name.endswith(_UNIT)
+        for histogram in snapshot.histograms
+        if histogram.name.endswith(_LATENCY_SUFFIX)
     )
 
 
@@ -45,15 +45,15 @@
     snapshot: metrics.MetricsSnapshot,
     counter_name: str,
 ) -> tuple[status.OutcomeCount, ...]:
-    """Return the counters of that name, by labels service and outcome."""
+    """Return the counters of that name by service and outcome."""
     return tuple(
         status.OutcomeCount(
-            service=_label_of(counted, SERVICE_LABEL),
-            outcome=_label_of(counted, OUTCOME_LABEL),
-            requests=counted.count,
+            service=_label_of(counter, SERVICE_LABEL),
+            outcome=_label_of(counter, OUTCOME_LABEL),
+            requests=counter.count,
         )
-        for counted in snapshot.counters
-        if counted.name == counter_name
+        for counter in snapshot.counters
+        if counter.name == counter_name
     )
 
 
@@ -62,7 +62,7 @@
 ) -> tuple[status.LatencySummary, ...]:
     """Add up the summaries of many daemons by name and service.
 
-    Raises ``telemetry.errors.BadHistogramError`` for an unreadable one.
+    Raises ``telemetry.errors.BadHistogramError`` for an invalid one.
     """
     recorders: dict[tuple[str, str], histograms.Recorder] = {}
     for summary in summaries:
@@ -94,10 +94,10 @@
 
 
 def _label_of(
-    measured: metrics.HistogramValue | metrics.CounterValue,
+    metric: metrics.HistogramValue | metrics.CounterValue,
     name: str,
 ) -> str:
-    for label in measured.labels:
+    for label in metric.labels:
         if label.name == name:
             return label.value
     return ''
--- a/libraries/telemetry/src/sardinepier/telemetry/target_events.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/target_events.py
@@ -1,4 +1,4 @@
-"""Events about targets and about requests that harm them."""
+"""Events about targets and about requests that crash them."""
 
 import msgspec
 from sardinepier.telemetry import quantities
@@ -7,8 +7,8 @@
 class TargetEvent(msgspec.Struct, frozen=True, tag=True, tag_field='kind'):
     """Base of the events about one target of one service.
 
-    ``evidence`` is the evidence against the target as a share of the
-    threshold at which it is ejected; ``reason`` says where it comes from.
+    ``evidence`` against the target is a share of the threshold for ejection;
+    ``reason`` says where it comes from.
     """
 
     service: str
@@ -16,20 +16,20 @@
 
 
 class TargetSuspected(TargetEvent, frozen=True):
-    """Evidence rises; the target gets extra probes."""
+    """Evidence against the target is rising; it gets extra probes."""
 
     reason: str
     evidence: quantities.Quantity
 
 
 class TargetCleared(TargetEvent, frozen=True):
-    """A suspected target turned out to be good."""
+    """A suspected target proved healthy."""
 
     evidence: quantities.Quantity
 
 
 class TargetEjected(TargetEvent, frozen=True):
-    """The target gets no requests, for ``ejected_for_s`` if that is known."""
+    """The target gets no requests for ``ejected_for_s``, if that is known."""
 
     reason: str
     evidence: quantities.Quantity
@@ -37,36 +37,36 @@
 
 
 class EjectionHeldByFloor(TargetEvent, frozen=True):
-    """A sick target stays, at a reduced weight, because of the floor."""
+    """The floor keeps an unhealthy target in service at a reduced weight."""
 
     reason: str
     evidence: quantities.Quantity
 
 
 class TargetAvoided(TargetEvent, frozen=True):
-    """Bad for this daemon only: the link is at fault, not the target."""
+    """The target fails for this daemon only, so the link is at fault."""
 
     reason: str
 
 
 class TargetTrialStarted(TargetEvent, frozen=True):
-    """An ejection is over; the target gets single idempotent requests."""
+    """The ejection is over; the target gets single idempotent requests."""
 
 
 class TargetReadmitted(TargetEvent, frozen=True):
-    """The target proved good; its share of requests is ramped up."""
+    """The target proved healthy; its share of requests is ramped up."""
 
     evidence: quantities.Quantity
 
 
 class TargetLeaving(TargetEvent, frozen=True):
-    """The target takes no new work; ``source`` says who told us, if known."""
+    """The target accepts no new requests; ``source`` reported it, if known."""
 
     source: str = ''
 
 
 class TargetCold(TargetEvent, frozen=True):
-    """A new target or start of a target begins at a small weight."""
+    """A new target or incarnation starts at a small weight."""
 
     incarnation: str = ''
 
--- a/libraries/telemetry/src/sardinepier/telemetry/timeline.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/timeline.py
@@ -1,4 +1,4 @@
-"""The time line: a bounded ring of events in every daemon.
+"""The timeline: a bounded ring buffer of events in every daemon.
 
 For example::
 
@@ -7,8 +7,8 @@
     timeline.observe(stamp_from_a_peer)
 
 Each message between daemons carries the sender's :meth:`Timeline.stamp`, and
-the receiver gives it to :meth:`Timeline.observe`. Then :func:`merge` puts the
-rings of many daemons into one order in which causes precede effects.
+the receiver passes it to :meth:`Timeline.observe`. Then :func:`merge` puts
+the events of many daemons into one order in which causes precede effects.
 """
 
 import collections
@@ -21,11 +21,11 @@
 from sardinepier.telemetry import daemon_events, events, stamps
 
 DEFAULT_CAPACITY: Final = 4096
-"""Entries kept by default."""
+"""Default number of entries kept."""
 
 
 class TimelineEntry(msgspec.Struct, frozen=True):
-    """One event with its moment and the daemon that recorded it."""
+    """One event with its stamp and the daemon that recorded it."""
 
     stamp: stamps.Stamp
     instance_id: ids.InstanceId
@@ -35,8 +35,8 @@
 class TimelineDocument(msgspec.Struct, frozen=True):
     """The answer to ``GET /v1/timeline``.
 
-    ``dropped`` counts the entries that the full ring has let go since the
-    daemon started, oldest first.
+    ``dropped`` counts the oldest entries, evicted from the full ring since the
+    daemon started.
     """
 
     entries: tuple[TimelineEntry, ...]
@@ -45,19 +45,23 @@
 
 
 class _ForeignEntry(msgspec.Struct, frozen=True):
+    """An entry of another version, with its event still encoded."""
+
     stamp: stamps.Stamp
     instance_id: ids.InstanceId
     event: msgspec.Raw
 
 
 class _ForeignDocument(msgspec.Struct, frozen=True):
+    """A document that may have events of unknown kinds."""
+
     entries: tuple[_ForeignEntry, ...]
     dropped: int
     instance_id: ids.InstanceId
 
 
 class Timeline:
-    """The ring of one daemon."""
+    """The ring buffer of one daemon."""
 
     def __init__(
         self,
@@ -80,12 +84,12 @@
 
     @property
     def dropped(self) -> int:
-        """Return how many entries the full ring has let go."""
+        """Return how many entries were evicted from the full ring."""
         return self._recorded - len(self._ring)
 
     @property
     def refused_stamps(self) -> int:
-        """Return how many stamps of peers were too far ahead to follow."""
+        """Return how many stamps of peers were too far ahead to adopt."""
         return self._clock.refused_stamps
 
     def record(self, event: events.Event) -> TimelineEntry:
@@ -96,11 +100,11 @@
         return entry
 
     def observe(self, stamp: stamps.Stamp) -> bool:
-        """Follow a peer's stamp; return False when it was refused."""
+        """Advance past a peer's stamp; return False if it is refused."""
         return self._clock.observe(stamp)
 
     def stamp(self) -> stamps.Stamp:
-        """Return a new stamp, to send along with a message."""
+        """Return a new stamp to send with a message."""
         return self._clock.tick()
 
     def since(
@@ -113,7 +117,7 @@
         return tuple(entry for entry in self._ring if entry.stamp > stamp)
 
     def document(self, stamp: stamps.Stamp | None = None) -> TimelineDocument:
-        """Return the entries after ``stamp`` as they are published."""
+        """Return the entries after ``stamp`` as a document."""
         return TimelineDocument(
             entries=self.since(stamp),
             dropped=self.dropped,
@@ -122,18 +126,18 @@
 
 
 def merge(*rings: Iterable[TimelineEntry]) -> tuple[TimelineEntry, ...]:
-    """Put entries of many daemons into one total order, without repeats.
+    """Put entries of many daemons into one total order, without duplicates.
 
-    The result depends only on which entries are given, not on their order or
-    on how often one appears. Equal stamps of two daemons are unrelated events
-    and are ordered by instance id.
+    The result depends only on the set of entries, not on their order or on
+    duplicates. Events with equal stamps of two daemons are unrelated and are
+    ordered by instance id.
     """
     unique = {
         (entry.stamp, entry.instance_id): entry
         for ring in rings
         for entry in ring
     }
-    return tuple(unique[place] for place in sorted(unique))
+    return tuple(unique[key] for key in sorted(unique))
 
 
 def encode(document: TimelineDocument) -> bytes:
@@ -142,23 +146,23 @@
 
 
 def decode(text: bytes) -> TimelineDocument:
-    """Read the JSON form back, also that of a newer or older daemon.
+    """Return the document from its JSON form, also of another version.
 
-    An event that this version does not know becomes an ``UnknownEvent``.
-    Raises ``msgspec.DecodeError`` on anything else that is malformed.
+    An event of an unknown kind becomes an ``UnknownEvent``. Raises
+    ``msgspec.DecodeError`` on other malformed input.
     """
     try:
         return msgspec.json.decode(text, type=TimelineDocument)
     except msgspec.ValidationError:
         foreign = msgspec.json.decode(text, type=_ForeignDocument)
     return TimelineDocument(
-        tuple(map(_known, foreign.entries)),
+        tuple(map(_decode_entry, foreign.entries)),
         foreign.dropped,
         foreign.instance_id,
     )
 
 
-def _known(entry: _ForeignEntry) -> TimelineEntry:
+def _decode_entry(entry: _ForeignEntry) -> TimelineEntry:
     event: events.Event
     try:
         event = msgspec.json.decode(entry.event, type=events.Event)
@@ -170,6 +174,6 @@
 def _check_capacity(capacity: int) -> None:
     if capacity < 1:
         raise errors.InvalidArgumentError(
-            f'A time line cannot keep {capacity} entries',
+            f'A timeline cannot keep {capacity} entries',
             'Give a capacity of at least 1',
         )
--- a/libraries/telemetry/tests/cover/test_telemetry_exposition.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_exposition.py
@@ -1,4 +1,4 @@
-"""The text of the metrics, read back by the library that everybody uses."""
+"""The metrics text is parsed by the Prometheus client library."""
 
 import pytest
 from hypothesis import given, strategies
@@ -7,13 +7,13 @@
 
 HELP_TEXTS = {
     'requests': 'Requests by outcome.',
-    'duration_ms': 'How long they took.',
-    'age_s': 'How old it is.',
+    'duration_ms': 'Duration of requests.',
+    'age_s': 'Age of the configuration.',
 }
 
 
-def families(measured, *gauges):
-    text = exposition.text(measured.snapshot(), gauges, HELP_TEXTS)
+def families(recorded, *gauges):
+    text = exposition.text(recorded.snapshot(), gauges, HELP_TEXTS)
     return {
         family.name: family
         for family in parser.text_string_to_metric_families(text)
@@ -21,54 +21,54 @@
 
 
 def test_counters_gauges_and_summaries_are_read_back():
-    measured = metrics.Metrics()
-    measured.counter('requests', outcome='good').add(3)
-    measured.counter('requests', outcome='bad').add(1)
+    recorded = metrics.Metrics()
+    recorded.counter('requests', outcome='good').add(3)
+    recorded.counter('requests', outcome='bad').add(1)
     for duration_ms in range(1, 101):
-        measured.histogram('duration_ms', service='a').record(duration_ms)
-    found = families(measured, exposition.Gauge('age_s', 1.5))
+        recorded.histogram('duration_ms', service='a').record(duration_ms)
+    parsed = families(recorded, exposition.Gauge('age_s', 1.5))
     counts = {
         sample.labels['outcome']: sample.value
-        for sample in found['sardinepier_requests'].samples
+        for sample in parsed['sardinepier_requests'].samples
     }
     assert counts == {'good': 3, 'bad': 1}
-    assert found['sardinepier_age_s'].samples[0].value == 1.5
+    assert parsed['sardinepier_age_s'].samples[0].value == 1.5
     quantiles = {
         sample.labels.get('quantile'): sample.value
-        for sample in found['sardinepier_duration_ms'].samples
+        for sample in parsed['sardinepier_duration_ms'].samples
     }
     assert quantiles['0.5'] == pytest.approx(50, rel=0.05)
     assert quantiles[None] == 100
 
 
-def test_each_name_has_its_help_and_type():
-    measured = metrics.Metrics()
-    measured.counter('requests', outcome='good').add()
-    found = families(measured)['sardinepier_requests']
-    assert (found.type, found.documentation) == (
+def test_each_name_has_a_help_text_and_a_type():
+    recorded = metrics.Metrics()
+    recorded.counter('requests', outcome='good').add()
+    family = families(recorded)['sardinepier_requests']
+    assert (family.type, family.documentation) == (
         'counter',
         HELP_TEXTS['requests'],
     )
 
 
-def test_a_name_without_help_is_a_fault():
-    measured = metrics.Metrics()
-    measured.counter('nobody_knows').add()
+def test_a_name_without_help_text_raises_key_error():
+    recorded = metrics.Metrics()
+    recorded.counter('unknown_name').add()
     with pytest.raises(KeyError):
-        families(measured)
+        families(recorded)
 
 
 @given(strategies.text(strategies.characters(exclude_categories=('Cs', 'Cc'))))
-def test_any_label_survives(label):
-    measured = metrics.Metrics()
-    measured.counter('requests', outcome=label).add()
-    found = families(measured)['sardinepier_requests'].samples
-    assert found[0].labels['outcome'] == label
+def test_any_label_value_is_read_back_unchanged(label):
+    recorded = metrics.Metrics()
+    recorded.counter('requests', outcome=label).add()
+    samples = families(recorded)['sardinepier_requests'].samples
+    assert samples[0].labels['outcome'] == label
 
 
-def test_quotes_and_line_ends_in_labels_survive():
-    measured = metrics.Metrics()
+def test_quotes_and_line_feeds_in_labels_are_escaped():
+    recorded = metrics.Metrics()
     label = '"'.join(('a', chr(92), 'c', chr(10)))
-    measured.counter('requests', outcome=label).add()
-    found = families(measured)['sardinepier_requests'].samples
-    assert found[0].labels['outcome'] == label
+    recorded.counter('requests', outcome=label).add()
+    samples = families(recorded)['sardinepier_requests'].samples
+    assert samples[0].labels['outcome'] == label
--- a/libraries/telemetry/tests/cover/test_telemetry_line_stream.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_line_stream.py
@@ -1,4 +1,4 @@
-"""Lines to a pipe whose reader stalls, or is gone."""
+"""Log lines written to a pipe whose reader stalls or is gone."""
 
 import asyncio
 import fcntl
@@ -12,7 +12,7 @@
 from sardinepier.telemetry import line_events, logs
 
 TIMEOUT_S = 20.0
-PIPE_BYTES = 16384
+PIPE_SIZE_BYTES = 16384
 
 
 class Seen(line_events.LineEvent, frozen=True):
@@ -22,11 +22,11 @@
 
 @pytest.fixture
 def pipe():
-    """Yield the end to read of a small pipe that the log writes to."""
+    """Yield the read end of a small pipe that the log is written to."""
     root = logging.getLogger()
     handlers, level = tuple(root.handlers), root.level
     reading, writing = os.pipe()
-    fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
+    fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, PIPE_SIZE_BYTES)
     with os.fdopen(writing, 'w') as stream:
         logs.configure('info', 'd1', stream=stream)
         yield reading
@@ -35,54 +35,56 @@
     os.close(reading)
 
 
-def write(first, count, **told):
-    """Write lines in a thread, which would be left behind if one waits."""
+def write(first, count, **options):
+    """Write lines in a daemon thread, so that a blocked write fails the test."""
 
     def write_all():
         for number in range(first, first + count):
-            logs.write(Seen(number=number), **told)
+            logs.write(Seen(number=number), **options)
 
     thread = threading.Thread(target=write_all, daemon=True)
     thread.start()
     thread.join(TIMEOUT_S)
-    assert not thread.is_alive(), 'a line waits for its reader'
+    assert not thread.is_alive(), 'a write blocks while the reader stalls'
 
 
 def read(reading):
-    """Return the lines that are there, with what flushing brings after."""
+    """Return all lines; each further event flushes buffered ones."""
     raw = os.read(reading, 65536)
     newest = raw
     while b'"seen"' in newest:
-        logs.event('look')
+        logs.event('poll')
         newest = os.read(reading, 65536)
         raw += newest
-    logs.event('look')
+    logs.event('poll')
     raw += os.read(reading, 65536)
     return [json.loads(line) for line in raw.splitlines()]
 
 
 def numbers(lines):
-    return [one['fields']['number'] for one in lines if one['event'] == 'seen']
+    return [
+        line['fields']['number'] for line in lines if line['event'] == 'seen'
+    ]
 
 
-def test_a_reader_that_stalls_stops_nobody_and_loses_nothing_at_first(pipe):
-    """Guards against a daemon that stands still until its lines are read."""
+def test_lines_are_buffered_without_blocking_while_the_reader_stalls(pipe):
+    """Guards against a daemon that blocks until its log lines are read."""
     write(0, 200)
     assert numbers(read(pipe)) == list(range(200))
 
 
-def test_what_is_lost_is_counted_and_told(pipe):
-    """Guards against lines that are lost without a word."""
+def test_dropped_lines_are_counted_and_reported(pipe):
+    """Guards against log lines that are dropped silently."""
     write(0, 3000)
     lines = read(pipe)
-    lost = [one for one in lines if one['event'] == 'lines-lost']
+    lost = [line for line in lines if line['event'] == 'lines-lost']
     assert len(lost) == 1
     assert lost[0]['fields']['lines'] == 3000 - len(numbers(lines))
     assert 500 < len(numbers(lines)) < 2500
 
 
-def test_failures_go_before_what_is_routine(pipe):
-    """Guards against lines about failures that have no place for others."""
+def test_other_lines_are_written_before_routine_ones(pipe):
+    """Guards against routine lines that displace those about failures."""
     write(0, 3000, is_routine=True)
     write(5000, 100)
     found = numbers(read(pipe))
@@ -91,8 +93,8 @@
     assert first < 200 < len(found) - 100
 
 
-def test_a_reader_that_is_gone_costs_nothing(pipe, capfd):
-    """Guards against a traceback for each line, and against an exit that hangs."""
+def test_a_closed_pipe_causes_no_errors(pipe, capfd):
+    """Guards against a traceback for each line and a hanging exit."""
     reading = os.dup(pipe)
     os.close(reading)
     os.dup2(os.open(os.devnull, os.O_RDONLY), pipe)
@@ -100,8 +102,8 @@
     assert not capfd.readouterr().err
 
 
-async def test_lines_are_written_without_further_ones(pipe):
-    """Guards against last lines that wait for a next one."""
+async def test_buffered_lines_are_written_without_another_line(pipe):
+    """Guards against buffered lines that stay until the next line is written."""
     write(0, 100)
     for number in range(100, 140):
         logs.write(Seen(number=number))
--- a/libraries/telemetry/tests/cover/test_telemetry_logs.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_logs.py
@@ -1,4 +1,4 @@
-"""Logs are JSON lines without tracebacks, whoever wrote them."""
+"""All log lines are JSON, and have tracebacks only at level debug."""
 
 import json
 import logging
@@ -35,9 +35,9 @@
 @pytest.fixture
 def only_line(lines):
     def read():
-        found = lines()
-        assert len(found) == 1
-        return found[0]
+        written = lines()
+        assert len(written) == 1
+        return written[0]
 
     return read
 
@@ -49,27 +49,27 @@
 def log_failure():
     try:
         fail()
-    except core_errors.SardinepierError as problem:
-        logs.failure('start_failed', problem, port=80)
+    except core_errors.SardinepierError as error:
+        logs.failure('start_failed', error, port=80)
 
 
-def test_an_event_is_one_compact_object(only_line):
+def test_an_event_is_one_json_object(only_line):
     logs.configure('info', INSTANCE)
-    logs.event('seen', 'odd {text}\nhere', count=2, slow=lambda: 'worked out')
+    logs.event('seen', 'odd {text}\nhere', count=2, slow=lambda: 'computed')
     line = only_line()
-    moment = line.pop('time')
+    time = line.pop('time')
 
-    assert moment.endswith(('Z', '+00:00')) or moment[-6] in '+-'
+    assert time.endswith(('Z', '+00:00')) or time[-6] in '+-'
     assert line == {
         'level': 'info',
         'event': 'seen',
         'instance_id': INSTANCE,
         'message': 'odd {text}\nhere',
-        'fields': {'count': 2, 'slow': 'worked out'},
+        'fields': {'count': 2, 'slow': 'computed'},
     }
 
 
-def test_fields_below_the_level_are_never_worked_out(lines):
+def test_fields_below_the_level_are_never_computed(lines):
     logs.configure('warning', INSTANCE)
     logs.event('quiet', slow=fail)
     logs.event('loud', level=logs.Level.ERROR)
@@ -95,10 +95,10 @@
     assert ('traceback' in line) is with_traceback
 
 
-def test_lines_of_libraries_become_json_too(only_line):
+def test_records_of_the_logging_module_become_json(only_line):
     logs.configure('info', INSTANCE)
     log = logging.getLogger('aiohttp.server')
-    log.info('left out: below warning')
+    log.info('below warning, not written')
     try:
         fail()
     except core_errors.SardinepierError:
@@ -111,7 +111,7 @@
     assert 'traceback' not in line
 
 
-def test_a_time_line_entry_is_logged_with_its_stamp(only_line):
+def test_a_timeline_entry_is_logged_with_its_stamp(only_line):
     logs.configure('info', INSTANCE)
     ring = timeline.Timeline(INSTANCE, clocks.ManualClock(5.0))
     logs.timeline_entry(ring.record(daemon_events.WakeGapSeen(9, 5)))
@@ -121,6 +121,6 @@
     assert line['fields'] == {'stamp': '5000.1', 'gap_ms': 9, 'bound_ms': 5}
 
 
-def test_an_unknown_level_is_a_typed_error():
+def test_an_unknown_level_raises_a_typed_error():
     with pytest.raises(errors.UnknownLevelError, match='debug, info'):
         logs.configure('loud', INSTANCE)
--- a/libraries/telemetry/tests/cover/test_telemetry_metrics.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics stay bounded, precise, and mergeable over many daemons."""
+"""Metrics are bounded, precise and can be merged over many daemons."""
 
 import asyncio
 import math
@@ -17,7 +17,7 @@
 )
 
 
-def one_histogram(values, name='request_added_ms'):
+def snapshot_of(values, name='request_added_ms'):
     measured = metrics.Metrics()
     histogram = measured.histogram(name, service='deposits')
     for value in values:
@@ -26,7 +26,7 @@
 
 
 @hypothesis.given(latencies_ms, st.sampled_from([50.0, 99.0]))
-def test_quantiles_are_within_a_hundredth(values, percent):
+def test_quantiles_are_within_one_percent(values, percent):
     histogram = metrics.Histogram()
     for value in values:
         histogram.record(value)
@@ -34,17 +34,17 @@
     exact = sorted(values)[rank - 1]
 
     assert histogram.count == len(values)
-    found = histogram.quantile(percent)
-    assert math.isclose(found, exact, rel_tol=0.01, abs_tol=0.002)
+    quantile = histogram.quantile(percent)
+    assert math.isclose(quantile, exact, rel_tol=0.01, abs_tol=0.002)
 
 
 @hypothesis.given(latencies_ms, latencies_ms)
-def test_merged_snapshots_equal_one_that_saw_everything(first, second):
+def test_merged_snapshots_equal_a_snapshot_of_all_values(first, second):
     merged = metrics.merge(
-        metrics.decode(metrics.encode(one_histogram(first))),
-        one_histogram(second),
+        metrics.decode(metrics.encode(snapshot_of(first))),
+        snapshot_of(second),
     )
-    whole = one_histogram(first + second)
+    whole = snapshot_of(first + second)
 
     assert merged.histograms[0].p50 == whole.histograms[0].p50
     assert merged.histograms[0].p999 == whole.histograms[0].p999
@@ -53,65 +53,65 @@
 
 
 def test_sums_over_a_large_fleet_do_not_overflow():
-    merged = one_histogram([1, 1, 5])
+    merged = snapshot_of([1, 1, 5])
     for _ in range(34):
         merged = metrics.merge(merged, merged)
 
     assert merged.histograms[0].count == 3 * 2**34
-    assert merged.histograms[0].p50 == one_histogram([1]).histograms[0].p50
+    assert merged.histograms[0].p50 == snapshot_of([1]).histograms[0].p50
 
 
 @hypothesis.given(st.lists(st.integers(0, 30), max_size=80))
-def test_label_sets_over_the_bound_fall_into_other(callers):
+def test_label_sets_over_the_limit_become_other(callers):
     measured = metrics.Metrics(max_label_sets=5)
     for caller in callers:
         measured.counter('requests', caller=str(caller)).add()
     snapshot = measured.snapshot()
     known = list(dict.fromkeys(callers))[:5]
-    over = [each for each in callers if each not in known]
+    over_limit = [name for name in callers if name not in known]
 
-    assert sum(each.count for each in snapshot.counters) == len(callers)
+    assert sum(counter.count for counter in snapshot.counters) == len(callers)
     assert len(snapshot.counters) <= 6
-    assert snapshot.over_bound == len(over)
-    others = [
-        each.count
-        for each in snapshot.counters
-        if each.labels == (metrics.Label('caller', metrics.OTHER),)
+    assert snapshot.over_bound == len(over_limit)
+    other_counts = [
+        counter.count
+        for counter in snapshot.counters
+        if counter.labels == (metrics.Label('caller', metrics.OTHER),)
     ]
-    assert sum(others) == len(over)
+    assert sum(other_counts) == len(over_limit)
 
 
-def test_histograms_share_the_bound_of_their_name_only():
+def test_the_limit_on_label_sets_applies_to_each_name():
     measured = metrics.Metrics(max_label_sets=1)
     first = measured.histogram('a_ms', service='one')
-    other = measured.histogram('a_ms', service='two')
+    over_limit = measured.histogram('a_ms', service='two')
 
     assert measured.histogram('a_ms', service='one') is first
-    assert measured.histogram('a_ms', service='three') is other
-    assert measured.histogram('b_ms', service='two') is not other
+    assert measured.histogram('a_ms', service='three') is over_limit
+    assert measured.histogram('b_ms', service='two') is not over_limit
 
 
 @pytest.mark.parametrize(
-    ('value', 'kept'),
+    ('value', 'recorded'),
     [(-1, 0), (0, 0), (math.nan, 0), (10**9, 3_600_000), (math.inf, 3_600_000)],
 )
-def test_values_out_of_range_count_as_the_nearest_end(value, kept):
+def test_values_out_of_range_are_clamped(value, recorded):
     histogram = metrics.Histogram()
     histogram.record(value)
 
     assert histogram.count == 1
-    assert math.isclose(histogram.quantile(50), kept, rel_tol=0.01)
+    assert math.isclose(histogram.quantile(50), recorded, rel_tol=0.01)
 
 
 async def test_a_snapshot_in_steps_lets_other_tasks_run():
     measured = metrics.Metrics()
     for number in range(20):
         measured.histogram('a_ms', service=str(number)).record(number)
-    turns = []
+    steps = []
 
     async def other_task():
         while True:
-            turns.append(1)
+            steps.append(1)
             await asyncio.sleep(0)
 
     task = asyncio.create_task(other_task())
@@ -119,34 +119,34 @@
     task.cancel()
 
     assert stepwise == measured.snapshot()
-    assert len(turns) >= 20
+    assert len(steps) >= 20
 
 
-def test_outcomes_are_read_from_their_counter_and_added_up():
+def test_outcomes_are_read_from_their_counter_and_merged():
     measured = metrics.Metrics()
     measured.counter('answers', service='s', outcome='unknown').add(2)
     measured.counter('answers', outcome='not-run').add()
     measured.counter('other', service='s', outcome='unknown').add()
-    found = summaries.outcomes(measured.snapshot(), 'answers')
+    counts = summaries.outcomes(measured.snapshot(), 'answers')
 
-    assert summaries.merge_outcomes((*found, *found)) == (
+    assert summaries.merge_outcomes((*counts, *counts)) == (
         status.OutcomeCount(service='', outcome='not-run', requests=2),
         status.OutcomeCount(service='s', outcome='unknown', requests=4),
     )
 
 
 def test_an_empty_histogram_has_quantiles_of_zero():
-    assert one_histogram([]).histograms[0].p99 == pytest.approx(0)
+    assert snapshot_of([]).histograms[0].p99 == pytest.approx(0)
 
 
-@pytest.mark.parametrize('blob', ['', 'x', 'HISTFAAAAAA', 'HIST' * 30, 'é'])
-def test_an_unreadable_histogram_is_a_typed_error(blob):
-    good = one_histogram([1]).histograms[0]
-    bad = msgspec.structs.replace(good, encoded=blob)
+@pytest.mark.parametrize('encoded', ['', 'x', 'HISTFAAAAAA', 'HIST' * 30, 'é'])
+def test_an_invalid_histogram_raises_a_typed_error(encoded):
+    valid = snapshot_of([1]).histograms[0]
+    invalid = msgspec.structs.replace(valid, encoded=encoded)
     with pytest.raises(errors.BadHistogramError, match='same version'):
-        metrics.merge(metrics.MetricsSnapshot(histograms=(bad,)))
+        metrics.merge(metrics.MetricsSnapshot(histograms=(invalid,)))
 
 
-def test_a_bound_without_room_is_refused():
+def test_a_limit_below_one_is_rejected():
     with pytest.raises(core_errors.InvalidArgumentError, match='at least 1'):
         metrics.Metrics(max_label_sets=0)
--- a/libraries/telemetry/tests/cover/test_telemetry_timeline.py
+++ b/libraries/telemetry/tests/cover/test_telemetry_timeline.py
@@ -1,4 +1,4 @@
-"""The time line orders causes before effects and never outgrows its ring."""
+"""The timeline orders causes before effects and is bounded."""
 
 import random
 import typing
@@ -28,7 +28,7 @@
     st.one_of(
         st.tuples(st.just('send'), daemon_indexes, daemon_indexes),
         st.tuples(st.just('receive'), daemon_indexes, st.integers(0, 9)),
-        # A wall clock is set forward or back by up to five seconds.
+        # Sets a wall clock forward or back by up to five seconds.
         st.tuples(st.just('jump'), daemon_indexes, st.integers(-5000, 5000)),
     ),
     max_size=60,
@@ -40,35 +40,41 @@
 
 
 @hypothesis.given(steps, st.lists(st.integers(-20_000, 20_000), min_size=3))
-def test_a_send_precedes_its_receipt_whatever_the_wall_clocks(steps, skews_ms):
-    manual = [clocks.ManualClock(START_S + skew / 1000) for skew in skews_ms]
-    rings = [new_timeline(manual[index], index) for index in range(DAEMONS)]
-    under_way = {index: [] for index in range(DAEMONS)}
+def test_sending_precedes_receiving_whatever_the_wall_clocks(steps, skews_ms):
+    wall_clocks = [
+        clocks.ManualClock(START_S + skew / 1000) for skew in skews_ms
+    ]
+    rings = [
+        new_timeline(wall_clocks[index], index) for index in range(DAEMONS)
+    ]
+    in_transit = {index: [] for index in range(DAEMONS)}
     for kind, index, detail in steps:
         ring = rings[index]
         if kind == 'jump':
-            manual[index].advance(detail / 1000)
+            wall_clocks[index].advance(detail / 1000)
         elif kind == 'send':
             cause = ring.record(EVENT)
-            under_way[detail].append((cause, ring.stamp()))
-        elif detail < len(under_way[index]):
-            cause, stamp = under_way[index].pop(detail)
+            in_transit[detail].append((cause, ring.stamp()))
+        elif detail < len(in_transit[index]):
+            cause, stamp = in_transit[index].pop(detail)
             ring.observe(stamp)
             effect = ring.record(EVENT)
             if not ring.refused_stamps:
                 assert cause.stamp < stamp < effect.stamp
-                order = timeline.merge(*(each.since() for each in rings))
+                order = timeline.merge(
+                    *(recorder.since() for recorder in rings)
+                )
                 assert order.index(cause) < order.index(effect)
     for ring in rings:
-        own = [entry.stamp for entry in ring.since()]
-        assert own == sorted(set(own))
+        recorded = [entry.stamp for entry in ring.since()]
+        assert recorded == sorted(set(recorded))
 
 
 @hypothesis.given(
     st.lists(st.tuples(daemon_indexes, st.integers(0, 40)), max_size=40),
     st.integers(0, 1000),
 )
-def test_a_merge_depends_only_on_what_is_merged(recorded, seed):
+def test_a_merge_depends_only_on_the_set_of_entries(recorded, seed):
     clock = clocks.ManualClock(START_S)
     rings = [new_timeline(clock, index) for index in range(DAEMONS)]
     for index, ahead_ms in recorded:
@@ -76,16 +82,16 @@
         rings[index].record(EVENT)
     parts = [ring.since() for ring in rings]
     expected = timeline.merge(*parts)
-    everything = [entry for part in parts + parts for entry in part]
-    random.Random(seed).shuffle(everything)
+    all_entries = [entry for part in parts + parts for entry in part]
+    random.Random(seed).shuffle(all_entries)
 
     assert len(expected) == len(recorded)
-    assert timeline.merge(everything) == expected
+    assert timeline.merge(all_entries) == expected
     assert timeline.merge(parts[0], timeline.merge(*parts[1:])) == expected
 
 
 @hypothesis.given(st.integers(1, 20), st.integers(0, 60))
-def test_the_ring_keeps_the_newest_and_counts_the_rest(capacity, recorded):
+def test_the_ring_keeps_the_newest_and_counts_the_dropped(capacity, recorded):
     ring = new_timeline(clocks.ManualClock(START_S), capacity=capacity)
     entries = [ring.record(EVENT) for _ in range(recorded)]
 
@@ -98,7 +104,7 @@
         )
 
 
-def test_stamps_still_rise_after_the_wall_clock_went_back():
+def test_stamps_increase_after_the_wall_clock_went_back():
     manual = clocks.ManualClock(START_S)
     ring = new_timeline(manual)
     before = ring.record(EVENT)
@@ -110,18 +116,18 @@
 
 
 @pytest.mark.parametrize(
-    ('ahead_ms', 'followed'),
+    ('ahead_ms', 'adopted'),
     [(-1, True), (0, True), (60_000, True), (60_001, False), (10**12, False)],
 )
-def test_a_peer_too_far_ahead_is_counted_and_not_followed(ahead_ms, followed):
+def test_a_stamp_too_far_ahead_is_counted_and_not_adopted(ahead_ms, adopted):
     manual = clocks.ManualClock(START_S)
     ring = new_timeline(manual)
     now_ms = manual.wall_ms()
-    heard = stamps.Stamp(now_ms + ahead_ms, 7)
+    received = stamps.Stamp(now_ms + ahead_ms, 7)
 
-    assert ring.observe(heard) is followed
-    assert ring.refused_stamps == int(not followed)
-    assert (ring.record(EVENT).stamp > heard) is followed
+    assert ring.observe(received) is adopted
+    assert ring.refused_stamps == int(not adopted)
+    assert (ring.record(EVENT).stamp > received) is adopted
     assert ring.stamp().wall_ms <= now_ms + 60_000
 
 
@@ -136,7 +142,7 @@
 @pytest.mark.parametrize('kind', typing.get_args(events.Event))
 @hypothesis.given(st.data())
 @hypothesis.settings(max_examples=25)
-def test_every_kind_of_event_survives_its_json_form(kind, data):
+def test_every_kind_of_event_is_decoded_from_its_json_form(kind, data):
     ring = new_timeline(clocks.ManualClock(START_S))
     ring.record(data.draw(event_of(kind)))
     text = timeline.encode(ring.document())
@@ -146,32 +152,32 @@
     assert timeline.encode(timeline.decode(text)) == text
 
 
-def test_a_kind_of_a_newer_daemon_hides_no_other_entry():
+def test_an_unknown_kind_of_event_hides_no_other_entry():
     ring = new_timeline(clocks.ManualClock(START_S))
     ring.record(EVENT)
     ring.record(EVENT)
     text = timeline.encode(ring.document())
     newer = text.replace(b'"WakeGapSeen"', b'"Newer","what":{}', 1)
-    found = [entry.event for entry in timeline.decode(newer).entries]
+    decoded = [entry.event for entry in timeline.decode(newer).entries]
 
-    assert found[1] == EVENT
-    assert '"Newer"' in found[0].text
+    assert decoded[1] == EVENT
+    assert '"Newer"' in decoded[0].text
     with pytest.raises(msgspec.DecodeError):
         timeline.decode(text.replace(b'"stamp"', b'"moment"'))
 
 
 @hypothesis.given(st.integers(0, 10**15), st.integers(0, 10**15))
-def test_a_stamp_survives_its_text_form(wall_ms, logical):
+def test_a_stamp_is_parsed_from_its_text_form(wall_ms, logical):
     stamp = stamps.Stamp(wall_ms, logical)
     assert stamps.parse_stamp(stamps.format_stamp(stamp)) == stamp
 
 
 @pytest.mark.parametrize('text', ['', '1', '1.', '-1.0', '1.0.0', '1e3.0', 'a'])
-def test_a_bad_stamp_is_a_typed_error(text):
+def test_an_invalid_stamp_raises_a_typed_error(text):
     with pytest.raises(errors.BadStampError, match='Write <milliseconds>'):
         stamps.parse_stamp(text)
 
 
-def test_a_ring_without_room_is_refused():
+def test_a_capacity_below_one_is_rejected():
     with pytest.raises(core_errors.InvalidArgumentError, match='at least 1'):
         new_timeline(clocks.ManualClock(START_S), capacity=0)
