--- a/libraries/wire/src/sardinepier/wire/codec.py
+++ b/libraries/wire/src/sardinepier/wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back: MessagePack in a versioned envelope."""
+"""Encodes messages as MessagePack in a versioned envelope."""
 
 from collections.abc import Iterable
 from typing import Any, Final, Union
@@ -12,10 +12,10 @@
 
 
 class _Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What surrounds each message; the message itself is decoded after it.
+    """The envelope of a message, which is decoded separately.
 
-    The version comes first and stays first in every later version, so that
-    a message of another version is told from a damaged one.
+    The version is the first field in every protocol version, so that a
+    message of another version can be distinguished from a damaged one.
     """
 
     version: int
@@ -26,7 +26,7 @@
 
 
 class Delivery(msgspec.Struct, frozen=True):
-    """A decoded message with its sender and its stamp, if it has one."""
+    """A decoded message with its sender and optional stamp."""
 
     sender: messages.Sender
     stamp: hooks.Stamp | None
@@ -36,12 +36,15 @@
 class Codec:
     """Encodes and decodes the registered kinds of messages.
 
-    For example ``Codec((Ping, Ack))`` decodes these two kinds and refuses
-    every other with :class:`errors.UndecodableMessageError`.
+    For example ``Codec((Ping, Ack))`` decodes these two kinds and raises
+    :class:`errors.UndecodableMessageError` for any other.
     """
 
     def __init__(self, kinds: Iterable[type[messages.Message]]) -> None:
-        """Build the decoder; raises ``MessageKindsError`` on a clash."""
+        """Build the decoder.
+
+        Raises ``MessageKindsError`` for no kinds or kinds that conflict.
+        """
         self._kinds = tuple(dict.fromkeys(kinds))
         if not self._kinds:
             raise errors.MessageKindsError('there are none')
@@ -80,13 +83,13 @@
         )
 
     def decode(self, frame: bytes) -> Delivery:
-        """Return the message in ``frame``.
+        """Return the message in ``frame`` with its sender and stamp.
 
-        Raises ``UndecodableMessageError`` with the reason when the bytes are
-        not an envelope of this version with a registered kind and a sender
-        that can be answered.
+        Raises ``UndecodableMessageError`` with the reason unless the bytes
+        are an envelope of this version with a message of a registered kind
+        and a valid sender.
         """
-        envelope = self._open(frame)
+        envelope = self._decode_envelope(frame)
         if not (envelope.address.is_valid() and envelope.instance_id):
             raise errors.UndecodableMessageError(
                 counters.DropReason.BAD_SENDER,
@@ -96,7 +99,7 @@
             message = self._messages.decode(envelope.message)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise errors.UndecodableMessageError(
-                self._message_fault(envelope.message),
+                self._message_drop_reason(envelope.message),
                 str(error),
             ) from error
         return Delivery(
@@ -105,12 +108,12 @@
             message,
         )
 
-    def _open(self, frame: bytes) -> _Envelope:
+    def _decode_envelope(self, frame: bytes) -> _Envelope:
         try:
             envelope = self._envelopes.decode(frame)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise errors.UndecodableMessageError(
-                _envelope_fault(frame),
+                _envelope_drop_reason(frame),
                 str(error),
             ) from error
         if envelope.version != PROTOCOL_VERSION:
@@ -120,22 +123,22 @@
             )
         return envelope
 
-    def _message_fault(self, raw: msgspec.Raw) -> counters.DropReason:
-        tag = _first_item(raw)
+    def _message_drop_reason(self, raw: msgspec.Raw) -> counters.DropReason:
+        tag = _first_element(raw)
         if isinstance(tag, str) and tag not in self._tags:
             return counters.DropReason.UNKNOWN_KIND
         return counters.DropReason.MALFORMED
 
 
-def _envelope_fault(frame: bytes) -> counters.DropReason:
-    version = _first_item(frame)
+def _envelope_drop_reason(frame: bytes) -> counters.DropReason:
+    version = _first_element(frame)
     if isinstance(version, int) and version != PROTOCOL_VERSION:
         return counters.DropReason.WRONG_VERSION
     return counters.DropReason.MALFORMED
 
 
-def _first_item(frame: bytes | msgspec.Raw) -> Any:
-    # Only reached for a frame that failed, so decoding it untyped is rare.
+def _first_element(frame: bytes | msgspec.Raw) -> Any:
+    # Only called for frames that failed to decode, so the cost is rare.
     try:
         decoded = msgspec.msgpack.decode(frame)
     except (ValueError, TypeError, RecursionError):
--- a/libraries/wire/src/sardinepier/wire/counters.py
+++ b/libraries/wire/src/sardinepier/wire/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what a network sent, received and dropped, and why."""
+"""Counters of sent, received and dropped messages."""
 
 import enum
 
@@ -6,50 +6,50 @@
 
 
 class DropReason(enum.Enum):
-    """Why a message was not sent or not handed to a handler."""
+    """Why a message was not sent or not passed to a handler."""
 
     QUEUE_FULL = 'queue-full'
     """The queue of its peer or of the whole network was full."""
 
     STALE = 'stale'
-    """It waited for a connection longer than such messages are worth."""
+    """It waited for a connection longer than the limit on its age."""
 
     PEER_LIMIT = 'peer-limit'
-    """The bound number of peers with sockets was busy."""
+    """The limit on peers with sockets was reached, and none was idle."""
 
     BAD_PEER = 'bad-peer'
-    """The address to send to is no IP number with a port."""
+    """The destination is not a valid IP address and port."""
 
     SEND_FAILED = 'send-failed'
-    """The socket refused it."""
+    """The socket for it could not be opened."""
 
     CLOSED = 'closed'
     """The network was no longer running."""
 
     OVERSIZED = 'oversized'
-    """It was larger than the bound for one message."""
+    """It exceeded the maximum message size."""
 
     MALFORMED = 'malformed'
-    """It is no envelope, or its fields don't fit its kind."""
+    """It has no valid envelope, or its fields do not match its kind."""
 
     UNKNOWN_KIND = 'unknown-kind'
-    """This process has registered no such kind of message."""
+    """Its kind is not registered in this process."""
 
     WRONG_VERSION = 'wrong-version'
-    """Its envelope is of another protocol version."""
+    """Its envelope has another protocol version."""
 
     BAD_SENDER = 'bad-sender'
-    """Its sender names no valid address or no instance."""
+    """Its sender has no valid address or no instance id."""
 
     NO_HANDLER = 'no-handler'
-    """The kind is registered, but nobody subscribed to it."""
+    """Its kind is registered, but has no handler."""
 
     HANDLER_FAILED = 'handler-failed'
     """Its handler raised an exception."""
 
 
 class NetworkCounters(msgspec.Struct, frozen=True):
-    """A snapshot of a network's counters since its start."""
+    """A snapshot of a network's counters since it was created."""
 
     messages_sent: int = 0
     bytes_sent: int = 0
@@ -60,7 +60,7 @@
 
 
 class CounterSet:
-    """The counters of one network while it runs."""
+    """The mutable counters of one network."""
 
     def __init__(self) -> None:
         """Start all counts at zero."""
@@ -72,28 +72,28 @@
         self._handler_failures: dict[str, int] = {}
 
     def sent(self, size_bytes: int) -> None:
-        """Count one message handed to the operating system."""
+        """Count one message passed to the messaging library or the hub."""
         self._messages_sent += 1
         self._bytes_sent += size_bytes
 
     def received(self, size_bytes: int) -> None:
-        """Count one message as it arrived, whatever becomes of it."""
+        """Count one received message, before it is decoded."""
         self._messages_received += 1
         self._bytes_received += size_bytes
 
     def drop(self, reason: DropReason) -> None:
-        """Count one message that was dropped for ``reason``."""
+        """Count one message dropped for ``reason``."""
         self._dropped[reason] = self._dropped.get(reason, 0) + 1
 
     def handler_failed(self, error: Exception) -> None:
-        """Count an exception of a handler by the name of its type."""
+        """Count an exception raised by a handler, by its type."""
         self.drop(DropReason.HANDLER_FAILED)
         name = type(error).__name__
         failures = self._handler_failures
         failures[name] = failures.get(name, 0) + 1
 
     def snapshot(self) -> NetworkCounters:
-        """Return the counts as they are now."""
+        """Return the current counts."""
         return NetworkCounters(
             messages_sent=self._messages_sent,
             bytes_sent=self._bytes_sent,
--- a/libraries/wire/src/sardinepier/wire/errors.py
+++ b/libraries/wire/src/sardinepier/wire/errors.py
@@ -1,18 +1,18 @@
-"""Failures of the network between daemons."""
+"""Exceptions of the network between daemons."""
 
 from sardinepier.core import errors
 from sardinepier.wire import counters, messages
 
 
 class WireError(errors.SardinepierError):
-    """Base of all failures of this library."""
+    """Base of all exceptions of the wire library."""
 
 
 class MessageKindsError(WireError):
-    """The registered kinds of messages don't fit together."""
+    """The registered kinds of messages conflict, or there are none."""
 
     def __init__(self, detail: str) -> None:
-        """Tell which mistake the codec found in the kinds."""
+        """Describe the conflict in ``detail``."""
         super().__init__(
             f'The kinds of messages cannot share one codec: {detail}',
             'Give each kind a class name of its own and typed fields',
@@ -20,7 +20,7 @@
 
 
 class BindError(WireError):
-    """The address for receiving messages could not be opened."""
+    """The address for receiving messages cannot be bound."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         detail: str,
         remedy: str,
     ) -> None:
-        """Name the address, the operating system's reason and the remedy."""
+        """State the address, the operating system's reason and the remedy."""
         super().__init__(
             f'Cannot receive on {address.ip}:{address.port}: {detail}',
             remedy,
@@ -37,10 +37,10 @@
 
 
 class PortInUseError(BindError):
-    """Another process already receives on the address."""
+    """Another process already listens on the address."""
 
     def __init__(self, address: messages.PeerAddress) -> None:
-        """Name the address that is taken."""
+        """State the address that is in use."""
         super().__init__(
             address,
             'the port is in use',
@@ -49,22 +49,22 @@
 
 
 class AddressUnavailableError(BindError):
-    """The address is not one of this machine, or may not be opened."""
+    """The address is not local to this machine, or must not be bound."""
 
     def __init__(self, address: messages.PeerAddress, detail: str) -> None:
-        """Name the address and the operating system's reason."""
+        """State the address and the operating system's reason."""
         super().__init__(
             address,
             detail,
-            'Set an IP number of this instance and a port it may open',
+            'Set an IP address of this instance and a port it may open',
         )
 
 
 class UndecodableMessageError(WireError):
-    """Received bytes are not a message that this process understands."""
+    """Received bytes are not a message that this process can decode."""
 
     def __init__(self, reason: counters.DropReason, detail: str) -> None:
-        """Tell the reason under which the message is counted."""
+        """State the reason under which the message is counted."""
         super().__init__(
             f'A message was dropped as {reason.value}: {detail}',
             'Check that all daemons run the same version of the protocol',
--- a/libraries/wire/src/sardinepier/wire/hooks.py
+++ b/libraries/wire/src/sardinepier/wire/hooks.py
@@ -1,4 +1,4 @@
-"""Where the embedding process watches and stamps what a network carries."""
+"""Callbacks with which a process observes and stamps messages."""
 
 import dataclasses
 from collections.abc import Callable
@@ -6,17 +6,17 @@
 from sardinepier.wire import messages
 
 Stamp = tuple[int, int]
-"""A reading of a hybrid logical clock. The network only carries it."""
+"""A reading of a hybrid logical clock, which the network only transports."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NetworkHooks:
-    """Optional callbacks of a network. None of them may wait.
+    """Optional callbacks of a network, which must not block.
 
-    ``stamp_source`` gives the stamp of each message that is sent, and
-    ``on_stamp`` is told the stamp of each that is received, before its
-    handler runs. ``on_handler_failure`` is told the message and the
-    exception that its handler raised.
+    ``stamp_source`` returns the stamp of each sent message. ``on_stamp``
+    gets the stamp of each received message, before the handler runs.
+    ``on_handler_failure`` gets the message and the exception that its handler
+    raised.
     """
 
     stamp_source: Callable[[], Stamp] | None = None
--- a/libraries/wire/src/sardinepier/wire/internal/__init__.py
+++ b/libraries/wire/src/sardinepier/wire/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the wire library; not part of its interface."""
+"""Internal modules of the wire library, not part of its API."""
--- a/libraries/wire/src/sardinepier/wire/internal/dispatch.py
+++ b/libraries/wire/src/sardinepier/wire/internal/dispatch.py
@@ -1,4 +1,4 @@
-"""From received bytes to the handler of their kind, whatever they hold."""
+"""Decodes received frames and calls the handlers of their kinds."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class Dispatcher:
-    """The receiving half that all networks share."""
+    """Encodes sent and dispatches received messages, for all networks."""
 
     def __init__(
         self,
@@ -17,7 +17,7 @@
         counts: counters.CounterSet,
         max_message_bytes: int,
     ) -> None:
-        """Decode with ``message_codec`` and count into ``counts``."""
+        """Use ``message_codec`` and count into ``counts``."""
         self.hooks = hooks.NetworkHooks()
         self._codec = message_codec
         self._counts = counts
@@ -29,7 +29,7 @@
         kind: type[network.MessageT],
         handler: Callable[[messages.Sender, network.MessageT], None],
     ) -> None:
-        """Make ``handler`` the one handler of ``kind``."""
+        """Make ``handler`` the only handler of ``kind``."""
         if kind not in self._codec.kinds:
             raise errors.MessageKindsError(f'{kind.__name__} is not registered')
         self._handlers[kind] = handler
@@ -39,7 +39,7 @@
         sender: messages.Sender,
         message: messages.Message,
     ) -> bytes | None:
-        """Return the stamped frame, or None when it is over the bound."""
+        """Return the frame with a stamp, or None when it is too large."""
         source = self.hooks.stamp_source
         stamp = source() if source else None
         frame = self._codec.encode(sender, message, stamp)
@@ -49,7 +49,7 @@
         return frame
 
     def dispatch(self, frame: bytes) -> None:
-        """Decode ``frame`` and run its handler; never raises for bad input."""
+        """Decode ``frame`` and call its handler; never raises for bad input."""
         self._counts.received(len(frame))
         if len(frame) > self._max_message_bytes:
             self._counts.drop(counters.DropReason.OVERSIZED)
@@ -59,9 +59,9 @@
         except errors.UndecodableMessageError as error:
             self._counts.drop(error.reason)
             return
-        self._handle(delivery)
+        self._call_handler(delivery)
 
-    def _handle(self, delivery: codec.Delivery) -> None:
+    def _call_handler(self, delivery: codec.Delivery) -> None:
         handler = self._handlers.get(type(delivery.message))
         if handler is None:
             self._counts.drop(counters.DropReason.NO_HANDLER)
@@ -70,15 +70,17 @@
             self._observe_stamp(delivery)
             handler(delivery.sender, delivery.message)
         except Exception as error:
-            # One bad handler must not end the task that serves all kinds.
+            # A failing handler must not end the task that serves all kinds.
             self._counts.handler_failed(error)
-            self._report(delivery.message, error)
+            self._report_failure(delivery.message, error)
 
     def _observe_stamp(self, delivery: codec.Delivery) -> None:
         on_stamp = self.hooks.on_stamp
         if on_stamp and delivery.stamp is not None:
             on_stamp(delivery.stamp)
 
-    def _report(self, message: messages.Message, error: Exception) -> None:
+    def _report_failure(
+        self, message: messages.Message, error: Exception
+    ) -> None:
         if self.hooks.on_handler_failure:
             self.hooks.on_handler_failure(message, error)
--- a/libraries/wire/src/sardinepier/wire/internal/endpoints.py
+++ b/libraries/wire/src/sardinepier/wire/internal/endpoints.py
@@ -1,4 +1,4 @@
-"""Addresses as the socket library writes them."""
+"""Endpoint strings of the messaging library."""
 
 import ipaddress
 
@@ -6,8 +6,11 @@
 from sardinepier.wire import messages
 
 
-def checked_source_ip(source_ip: str | None) -> str | None:
-    """Return ``source_ip``; raise ``InvalidArgumentError`` if it is none."""
+def validate_source_ip(source_ip: str | None) -> str | None:
+    """Return ``source_ip``.
+
+    Raises ``InvalidArgumentError`` when it is not an IP address.
+    """
     if source_ip is None:
         return None
     try:
@@ -15,18 +18,18 @@
     except ValueError as error:
         raise errors.InvalidArgumentError(
             f'source_ip is {source_ip!r}',
-            'Pass an IP number of this instance, or leave it out',
+            'Pass an IP address of this instance, or omit it',
         ) from error
     return source_ip
 
 
 def is_ipv6(ip: str) -> bool:
-    """Tell whether a valid IP number is of version 6."""
+    """Return whether a valid IP address is an IPv6 address."""
     return ':' in ip
 
 
 def bind_endpoint(address: messages.PeerAddress) -> str:
-    """Return the endpoint for listening; port 0 is left to the system."""
+    """Return the endpoint to bind; the system chooses a port for port 0."""
     port = address.port or '*'
     return f'tcp://{_host(address.ip)}:{port}'
 
@@ -35,7 +38,7 @@
     address: messages.PeerAddress,
     source_ip: str | None,
 ) -> str:
-    """Return the endpoint for connecting, from ``source_ip`` if given."""
+    """Return the endpoint to connect to, from ``source_ip`` if given."""
     destination = f'{_host(address.ip)}:{address.port}'
     if source_ip is None:
         return f'tcp://{destination}'
--- a/libraries/wire/src/sardinepier/wire/internal/peers.py
+++ b/libraries/wire/src/sardinepier/wire/internal/peers.py
@@ -1,4 +1,4 @@
-"""The sending half: a bounded queue and a task for each peer."""
+"""Sends frames to peers, with a bounded queue and a task for each."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerOptions:
-    """What all peers of one network share."""
+    """Settings shared by all peers of one network."""
 
     queue_length: int
     idle_close_s: float
@@ -23,8 +23,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Waiting:
-    """A frame in a queue, and until when it is worth sending."""
+class _QueuedFrame:
+    """A queued frame and the time after which it is dropped."""
 
     frame: bytes
     deadline_s: float
@@ -32,22 +32,23 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Peer:
-    """One peer that was sent to not long ago.
+    """A peer with an open socket.
 
-    The task sends what could not go out at once, and closes the socket at
-    ``idle_deadline_s``, which each message moves.
+    The task sends the frames that could not be sent at once. It ends at
+    ``idle_deadline_s``, which each message postpones; the socket is then
+    closed.
     """
 
     address: messages.PeerAddress
-    opened: sockets.Socket
-    waiting: asyncio.Queue[_Waiting]
+    socket: sockets.Socket
+    queued: asyncio.Queue[_QueuedFrame]
     idle_deadline_s: float
     is_blocked: bool = False
     task: asyncio.Task[None] | None = None
 
 
 class PeerTable:
-    """All peers with a socket; the one used least recently comes first."""
+    """All peers with a socket, the least recently used first."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         time_source: clock.Clock,
         counts: counters.CounterSet,
     ) -> None:
-        """Start without peers; sockets come from ``context``."""
+        """Start without peers; ``context`` creates the sockets."""
         self._options = options
         self._context = context
         self._clock = time_source
@@ -65,24 +66,24 @@
         self._queued_bytes = 0
         self._closed = False
 
-    def queue(self, address: messages.PeerAddress, frame: bytes) -> bool:
-        """Send ``frame`` to ``address`` or queue it; False if dropped."""
+    def send(self, address: messages.PeerAddress, frame: bytes) -> bool:
+        """Send ``frame`` to ``address`` or queue it; return False if dropped."""
         if self._closed:
             return self._drop(counters.DropReason.CLOSED)
-        peer = self._peers.pop(address, None) or self._open(address)
+        peer = self._peers.pop(address, None) or self._open_peer(address)
         if peer is None:
             return False
         self._peers[address] = peer
         now_s = self._clock.monotonic_s()
         peer.idle_deadline_s = now_s + self._options.idle_close_s
-        # Most messages can go out at once; waking the peer's task for each
-        # would double what a message costs.
-        if not peer.is_blocked and self._sent_at_once(peer.opened, frame):
+        # Most messages can be sent at once. Waking the peer's task for each
+        # would double the cost of a message.
+        if not peer.is_blocked and self._try_send(peer.socket, frame):
             return True
-        return self._wait(peer, frame, now_s)
+        return self._enqueue(peer, frame, now_s)
 
     async def close(self) -> None:
-        """End all tasks and close their sockets."""
+        """Cancel the tasks of all peers and close their sockets."""
         self._closed = True
         tasks = [peer.task for peer in self._peers.values() if peer.task]
         for task in tasks:
@@ -94,24 +95,24 @@
         self._counts.drop(reason)
         return False
 
-    def _wait(self, peer: _Peer, frame: bytes, now_s: float) -> bool:
+    def _enqueue(self, peer: _Peer, frame: bytes, now_s: float) -> bool:
         queued_bytes = self._queued_bytes + len(frame)
-        is_over = queued_bytes > self._options.bounds.queued_bytes
-        if is_over or peer.waiting.full():
+        exceeds_limit = queued_bytes > self._options.bounds.queued_bytes
+        if exceeds_limit or peer.queued.full():
             return self._drop(counters.DropReason.QUEUE_FULL)
         deadline_s = now_s + self._options.bounds.message_ttl_s
-        peer.waiting.put_nowait(_Waiting(frame, deadline_s))
+        peer.queued.put_nowait(_QueuedFrame(frame, deadline_s))
         peer.is_blocked = True
         self._queued_bytes = queued_bytes
         return True
 
-    def _open(self, address: messages.PeerAddress) -> _Peer | None:
+    def _open_peer(self, address: messages.PeerAddress) -> _Peer | None:
         if len(self._peers) >= self._options.bounds.max_peers:
-            if not self._close_one_idle():
+            if not self._close_idle_peer():
                 self._counts.drop(counters.DropReason.PEER_LIMIT)
                 return None
         try:
-            opened = sockets.open_sender(
+            socket = sockets.open_sender(
                 self._context,
                 address,
                 self._options.source_ip,
@@ -122,16 +123,16 @@
             return None
         peer = _Peer(
             address,
-            opened,
+            socket,
             asyncio.Queue(self._options.queue_length),
             self._clock.monotonic_s() + self._options.idle_close_s,
         )
         peer.task = asyncio.get_running_loop().create_task(self._run(peer))
-        # Not in a `finally`: a task cancelled before it began runs none.
-        peer.task.add_done_callback(functools.partial(self._ended, peer))
+        # Not in a `finally`, which a task cancelled before its start skips.
+        peer.task.add_done_callback(functools.partial(self._on_task_done, peer))
         return peer
 
-    def _close_one_idle(self) -> bool:
+    def _close_idle_peer(self) -> bool:
         for peer in self._peers.values():
             if not peer.is_blocked and peer.task:
                 peer.task.cancel()
@@ -141,38 +142,38 @@
 
     async def _run(self, peer: _Peer) -> None:
         while True:
-            waiting = await self._next(peer)
-            if waiting is None:
-                # From here on a new message opens a new socket and task.
+            queued = await self._next_frame(peer)
+            if queued is None:
+                # The next message to the peer opens a new socket and task.
                 self._remove(peer)
                 return
-            self._queued_bytes -= len(waiting.frame)
-            await self._send_one(peer.opened, waiting)
-            peer.is_blocked = not peer.waiting.empty()
+            self._queued_bytes -= len(queued.frame)
+            await self._send_or_drop(peer.socket, queued)
+            peer.is_blocked = not peer.queued.empty()
 
-    async def _next(self, peer: _Peer) -> _Waiting | None:
-        """Return what waits, or None once the peer was idle for long."""
+    async def _next_frame(self, peer: _Peer) -> _QueuedFrame | None:
+        """Return the next queued frame, or None when the peer is idle."""
         while True:
             idle_s = peer.idle_deadline_s - self._clock.monotonic_s()
-            if idle_s <= 0 and peer.waiting.empty():
+            if idle_s <= 0 and peer.queued.empty():
                 return None
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(max(idle_s, 0)):
-                    return await peer.waiting.get()
+                    return await peer.queued.get()
 
-    async def _send_one(
-        self, opened: sockets.Socket, waiting: _Waiting
+    async def _send_or_drop(
+        self, socket: sockets.Socket, queued: _QueuedFrame
     ) -> None:
-        left_s = waiting.deadline_s - self._clock.monotonic_s()
-        if not self._sent_at_once(opened, waiting.frame):
-            if left_s > 0:
-                await readiness.wait_writable(opened, left_s)
-            if not self._sent_at_once(opened, waiting.frame):
+        remaining_s = queued.deadline_s - self._clock.monotonic_s()
+        if not self._try_send(socket, queued.frame):
+            if remaining_s > 0:
+                await readiness.wait_writable(socket, remaining_s)
+            if not self._try_send(socket, queued.frame):
                 self._counts.drop(counters.DropReason.STALE)
 
-    def _sent_at_once(self, opened: sockets.Socket, frame: bytes) -> bool:
+    def _try_send(self, socket: sockets.Socket, frame: bytes) -> bool:
         with contextlib.suppress(zmq.Again):
-            opened.send(frame, zmq.NOBLOCK)
+            socket.send(frame, zmq.NOBLOCK)
             self._counts.sent(len(frame))
             return True
         return False
@@ -181,9 +182,9 @@
         if self._peers.get(peer.address) is peer:
             self._peers.pop(peer.address)
 
-    def _ended(self, peer: _Peer, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, peer: _Peer, task: asyncio.Task[None]) -> None:
         self._remove(peer)
-        peer.opened.close(linger=0)
-        while not peer.waiting.empty():
-            self._queued_bytes -= len(peer.waiting.get_nowait().frame)
+        peer.socket.close(linger=0)
+        while not peer.queued.empty():
+            self._queued_bytes -= len(peer.queued.get_nowait().frame)
             self._counts.drop(counters.DropReason.CLOSED)
--- a/libraries/wire/src/sardinepier/wire/internal/readiness.py
+++ b/libraries/wire/src/sardinepier/wire/internal/readiness.py
@@ -1,13 +1,13 @@
-"""Waiting for a socket of the messaging library inside the event loop.
+"""Waits for ZeroMQ sockets in the event loop.
 
-The library's own asyncio sockets make a future and several callbacks for each
-message, which costs more than the message itself. A daemon may spend very
-little on control, so sockets are used directly: try first, wait only when
-the library says "again".
+The asyncio sockets of pyzmq create a future and several callbacks for each
+message, which costs more than the message itself. To keep the overhead of
+control traffic low, sockets are used directly: try first, and wait only when
+pyzmq raises ``Again``.
 
-The descriptor of such a socket signals *changes*. Whoever waits for it must
-first have asked the socket itself, or would wait for a signal that has
-already been given.
+The descriptor of a ZeroMQ socket is edge-triggered: it signals *changes* of
+state. Check the socket before waiting for the descriptor, or the wait may
+miss a signal that was given earlier.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 
 
 @contextlib.contextmanager
-def signals(opened: sockets.Socket) -> Iterator[asyncio.Event]:
-    """Give an event that is set whenever something changed at the socket."""
+def watch_changes(socket: sockets.Socket) -> Iterator[asyncio.Event]:
+    """Yield an event that is set whenever the socket's state changes."""
     changed = asyncio.Event()
     loop = asyncio.get_running_loop()
-    descriptor = opened.fileno()
+    descriptor = socket.fileno()
     loop.add_reader(descriptor, changed.set)
     try:
         yield changed
@@ -32,17 +32,17 @@
         loop.remove_reader(descriptor)
 
 
-async def wait_writable(opened: sockets.Socket, limit_s: float) -> bool:
-    """Wait until the socket takes a message; False after ``limit_s``."""
-    with contextlib.suppress(TimeoutError), signals(opened) as changed:
-        async with asyncio.timeout(limit_s):
-            while not _is_writable(opened):
+async def wait_writable(socket: sockets.Socket, timeout_s: float) -> bool:
+    """Wait until the socket accepts a message; False after ``timeout_s``."""
+    with contextlib.suppress(TimeoutError), watch_changes(socket) as changed:
+        async with asyncio.timeout(timeout_s):
+            while not _is_writable(socket):
                 await changed.wait()
                 changed.clear()
-    return _is_writable(opened)
+    return _is_writable(socket)
 
 
-def _is_writable(opened: sockets.Socket) -> bool:
-    # Asking for the events also takes in what was signalled.
-    events = opened.getsockopt(zmq.EVENTS)
+def _is_writable(socket: sockets.Socket) -> bool:
+    # Reading the events also resets the signal of the descriptor.
+    events = socket.getsockopt(zmq.EVENTS)
     return isinstance(events, int) and bool(events & zmq.POLLOUT)
--- a/libraries/wire/src/sardinepier/wire/internal/sockets.py
+++ b/libraries/wire/src/sardinepier/wire/internal/sockets.py
@@ -1,4 +1,4 @@
-"""Opens sockets with every bound and timeout that the network needs."""
+"""Opens ZeroMQ sockets with limits and timeouts set."""
 
 import errno
 from typing import Final
@@ -14,14 +14,14 @@
 _KEEPALIVE_IDLE_S: Final = 10
 _KEEPALIVE_INTERVAL_S: Final = 5
 _KEEPALIVE_COUNT: Final = 3
-_UNACKNOWLEDGED_MS: Final = 5000
-_CONNECT_MS: Final = 2000
-_HANDSHAKE_MS: Final = 5000
-_RECONNECT_MS: Final = 100
+_UNACKNOWLEDGED_TIMEOUT_MS: Final = 5000
+_CONNECT_TIMEOUT_MS: Final = 2000
+_HANDSHAKE_TIMEOUT_MS: Final = 5000
+_MIN_RECONNECT_INTERVAL_MS: Final = 100
 _MS_PER_S: Final = 1000
-# A socket that refuses a message above the bound also closes the connection,
-# uncounted. This room lets the dispatcher count those a little above it.
-_ROOM_TO_COUNT: Final = 2
+# A socket closes the connection on a message above its own limit, uncounted.
+# A limit twice as high lets the dispatcher count messages slightly too large.
+_RECEIVER_LIMIT_FACTOR: Final = 2
 
 
 def open_receiver(
@@ -38,7 +38,7 @@
     receiver.setsockopt(zmq.RCVHWM, bounds.high_water_mark)
     receiver.setsockopt(
         zmq.MAXMSGSIZE,
-        _ROOM_TO_COUNT * bounds.max_message_bytes,
+        _RECEIVER_LIMIT_FACTOR * bounds.max_message_bytes,
     )
     try:
         receiver.bind(endpoints.bind_endpoint(bind))
@@ -52,7 +52,7 @@
     receiver: Socket,
     bind: messages.PeerAddress,
 ) -> messages.PeerAddress:
-    """Return ``bind`` with the port that the system chose."""
+    """Return ``bind`` with the port that the receiver is bound to."""
     endpoint = receiver.getsockopt(zmq.LAST_ENDPOINT)
     if not isinstance(endpoint, bytes):
         return bind
@@ -68,14 +68,14 @@
 ) -> Socket:
     """Return a ``PUSH`` socket that connects to ``peer``.
 
-    Raises ``zmq.ZMQError`` when the library refuses the endpoint.
+    Raises ``zmq.ZMQError`` when the endpoint is rejected.
     """
     sender = context.socket(zmq.PUSH)
     _set_common(sender, peer.ip)
     sender.setsockopt(zmq.SNDHWM, bounds.high_water_mark)
     sender.setsockopt(zmq.IMMEDIATE, 1)
-    sender.setsockopt(zmq.CONNECT_TIMEOUT, _CONNECT_MS)
-    sender.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MS)
+    sender.setsockopt(zmq.CONNECT_TIMEOUT, _CONNECT_TIMEOUT_MS)
+    sender.setsockopt(zmq.RECONNECT_IVL, _MIN_RECONNECT_INTERVAL_MS)
     sender.setsockopt(
         zmq.RECONNECT_IVL_MAX,
         int(limits.MAX_RECONNECT_INTERVAL_S * _MS_PER_S),
@@ -88,17 +88,17 @@
     return sender
 
 
-def _set_common(opened: Socket, ip: str) -> None:
-    opened.setsockopt(zmq.LINGER, 0)
-    opened.setsockopt(zmq.HANDSHAKE_IVL, _HANDSHAKE_MS)
-    # Without the bound on unacknowledged data a cut link would hold what was
-    # sent for minutes, and deliver it all when the link returns.
-    opened.setsockopt(zmq.TCP_MAXRT, _UNACKNOWLEDGED_MS)
-    opened.setsockopt(zmq.TCP_KEEPALIVE, 1)
-    opened.setsockopt(zmq.TCP_KEEPALIVE_IDLE, _KEEPALIVE_IDLE_S)
-    opened.setsockopt(zmq.TCP_KEEPALIVE_INTVL, _KEEPALIVE_INTERVAL_S)
-    opened.setsockopt(zmq.TCP_KEEPALIVE_CNT, _KEEPALIVE_COUNT)
-    opened.setsockopt(zmq.IPV6, int(endpoints.is_ipv6(ip)))
+def _set_common(socket: Socket, ip: str) -> None:
+    socket.setsockopt(zmq.LINGER, 0)
+    socket.setsockopt(zmq.HANDSHAKE_IVL, _HANDSHAKE_TIMEOUT_MS)
+    # Without a timeout for unacknowledged data, messages sent over a failed
+    # link are buffered for minutes and delivered when the link recovers.
+    socket.setsockopt(zmq.TCP_MAXRT, _UNACKNOWLEDGED_TIMEOUT_MS)
+    socket.setsockopt(zmq.TCP_KEEPALIVE, 1)
+    socket.setsockopt(zmq.TCP_KEEPALIVE_IDLE, _KEEPALIVE_IDLE_S)
+    socket.setsockopt(zmq.TCP_KEEPALIVE_INTVL, _KEEPALIVE_INTERVAL_S)
+    socket.setsockopt(zmq.TCP_KEEPALIVE_CNT, _KEEPALIVE_COUNT)
+    socket.setsockopt(zmq.IPV6, int(endpoints.is_ipv6(ip)))
 
 
 def _bind_error(
--- a/libraries/wire/src/sardinepier/wire/limits.py
+++ b/libraries/wire/src/sardinepier/wire/limits.py
@@ -1,4 +1,4 @@
-"""Bounds that keep the network's memory and sockets finite."""
+"""Limits on the memory and the sockets of a network."""
 
 import dataclasses
 from typing import Final, TypeVar
@@ -13,17 +13,17 @@
 DEFAULT_HIGH_WATER_MARK: Final = 64
 DEFAULT_MESSAGE_TTL_S: Final = 2.0
 MAX_RECONNECT_INTERVAL_S: Final = 0.4
-"""The longest pause between two attempts to connect to a peer that is gone.
+"""The longest interval between two attempts to reconnect to a peer.
 
-A daemon that is started again under its old address hears from its peers only
-once they have connected to it anew. Measured on loopback, at a longest pause
-of 2 s that took up to 1.9 s, which is more than it waits for them before it
-takes what the platform says. Each attempt costs three small packets.
+A daemon that is restarted at the same address receives from its peers only
+after they have reconnected. At 2 s that took up to 1.9 s on loopback, longer
+than a daemon waits for its peers before it falls back to the platform. An
+attempt costs three small packets.
 """
 
 
 def require_positive(name: str, number: Number) -> Number:
-    """Return ``number``; raise ``InvalidArgumentError`` unless above 0."""
+    """Return ``number``; raise ``InvalidArgumentError`` unless positive."""
     if number > 0:
         return number
     raise errors.InvalidArgumentError(
@@ -34,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZmqLimits:
-    """Bounds of one ``ZmqNetwork``.
+    """Limits of one ``ZmqNetwork``.
 
     ``max_message_bytes`` fits one published file of a megabyte.
-    ``queued_bytes`` bounds what waits for all peers together, and
-    ``max_peers`` the sockets for sending. ``high_water_mark`` bounds the
-    messages that the library holds for one connection. A message that found
-    no connection for ``message_ttl_s`` seconds is dropped: a heartbeat that arrives
-    late says less than none.
+    ``queued_bytes`` limits the messages queued for all peers together, and
+    ``max_peers`` the number of sending sockets. ``high_water_mark`` limits
+    the messages that the messaging library buffers for one connection. A
+    message that found no connection for ``message_ttl_s`` seconds is dropped,
+    because a late heartbeat is worse than none.
     """
 
     max_message_bytes: int = DEFAULT_MAX_MESSAGE_BYTES
@@ -51,6 +51,6 @@
     message_ttl_s: float = DEFAULT_MESSAGE_TTL_S
 
     def __post_init__(self) -> None:
-        """Raise ``InvalidArgumentError`` unless all bounds are above 0."""
+        """Raise ``InvalidArgumentError`` unless all limits are positive."""
         for field in dataclasses.fields(self):
             require_positive(field.name, getattr(self, field.name))
--- a/libraries/wire/src/sardinepier/wire/memory_network.py
+++ b/libraries/wire/src/sardinepier/wire/memory_network.py
@@ -1,8 +1,8 @@
-"""A network inside one process, for tests of what runs over the real one.
+"""An in-process network for tests.
 
-Messages pass through the same codec as on the real network, so that what
-cannot be encoded fails in tests too and bytes are counted alike. All faults
-come from one seeded random source.
+Messages pass through the same codec as on the real network, so that a message
+that cannot be encoded fails in tests too, and bytes are counted alike. One
+seeded random source decides on all faults.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """What may happen to a message on its way; shares lie in 0.0 to 1.0.
+    """Faults that messages are subject to.
 
-    ``reorder_s`` adds a random wait of up to that long to each message, so
-    that later ones overtake it.
+    ``loss`` and ``duplicate`` are probabilities. ``reorder_s`` is the maximum
+    of a random delay of each message, so that later ones overtake it.
     """
 
     loss: float = 0.0
@@ -32,10 +32,10 @@
 
 
 class MemoryHub:
-    """Joins the networks of all daemons that a test runs.
+    """Connects the networks of all daemons of a test.
 
-    With ``automatic`` each message is delivered by the running event loop.
-    Without it the test calls :meth:`deliver`, which hands over all that is
+    With ``automatic`` the running event loop delivers each message. Without
+    it the test calls :meth:`deliver`, which delivers all messages that are
     due by the clock. For example::
 
         hub = MemoryHub((Ping,), manual_clock, random.Random(7))
@@ -53,7 +53,7 @@
         automatic: bool = False,
         max_message_bytes: int = limits.DEFAULT_MAX_MESSAGE_BYTES,
     ) -> None:
-        """Carry messages of ``kinds``; start with no faults."""
+        """Transport messages of ``kinds``; start without faults."""
         self.faults = LinkFaults()
         self._codec = codec.Codec(kinds)
         self._clock = time_source
@@ -65,44 +65,44 @@
             set()
         )
         self._paused: dict[messages.PeerAddress, list[bytes]] = {}
-        self._transfers_s: dict[messages.PeerAddress, float] = {}
+        self._added_delays_s: dict[messages.PeerAddress, float] = {}
         self._due: list[tuple[float, int, messages.PeerAddress, bytes]] = []
         self._sequence = itertools.count()
 
     def network(self, sender: messages.Sender) -> 'MemoryNetwork':
-        """Return a network for ``sender``, instead of any at its address."""
-        joined = MemoryNetwork(
+        """Return a network for ``sender``; replace any at its address."""
+        connected = MemoryNetwork(
             self,
             sender,
             self._codec,
             self._max_message_bytes,
         )
-        self._networks[sender.address] = joined
-        return joined
+        self._networks[sender.address] = connected
+        return connected
 
     def detach(self, address: messages.PeerAddress) -> None:
-        """Take the daemon at ``address`` off the network, as a crash does."""
+        """Disconnect the daemon at ``address``, as a crash does."""
         self._networks.pop(address, None)
 
     def pause(self, address: messages.PeerAddress) -> None:
-        """Hold back all that arrives at ``address``, as in its buffers."""
+        """Buffer all frames that arrive at ``address``."""
         self._paused.setdefault(address, [])
 
     def resume(self, address: messages.PeerAddress) -> None:
-        """Hand over what was held back for ``address``, and go on."""
+        """Deliver the frames buffered for ``address`` and end the pause."""
         for frame in self._paused.pop(address, []):
             self._receive(address, frame)
 
     def slow_down(self, source: messages.PeerAddress, wait_s: float) -> None:
-        """Let all that ``source`` sends arrive so much later."""
-        self._transfers_s[source] = wait_s
+        """Delay all messages from ``source`` by ``wait_s``."""
+        self._added_delays_s[source] = wait_s
 
     def cut(
         self,
         source: messages.PeerAddress,
         destination: messages.PeerAddress,
     ) -> None:
-        """Lose all that ``source`` sends to ``destination``; one way only."""
+        """Drop all messages from ``source`` to ``destination``, one way only."""
         self._cuts.add((source, destination))
 
     def heal(
@@ -118,10 +118,10 @@
         self._cuts.clear()
 
     def deliver(self) -> int:
-        """Take all that is due now to its end, and return how many.
+        """Deliver all frames that are due now and return their number.
 
-        Replies which handlers send at once are due at once, and delivered in
-        the same call.
+        Replies that handlers send without delay are due at once, and
+        delivered in the same call.
         """
         delivered = 0
         while self._due and self._due[0][0] <= self._clock.monotonic_s():
@@ -136,30 +136,31 @@
         destination: messages.PeerAddress,
         frame: bytes,
     ) -> None:
-        """Take one encoded message on its way, subject to cuts and faults."""
+        """Schedule one encoded message, subject to cuts and faults."""
         origin = source.sender.address
         if self._networks.get(origin) is not source:
             return
         if (origin, destination) in self._cuts:
             return
-        if self._happens(self.faults.loss):
+        if self._draw(self.faults.loss):
             return
         self._schedule(origin, destination, frame)
-        if self._happens(self.faults.duplicate):
+        if self._draw(self.faults.duplicate):
             self._schedule(origin, destination, frame)
 
     def _receive(self, address: messages.PeerAddress, frame: bytes) -> None:
-        held_back = self._paused.get(address)
-        if held_back is not None:
-            held_back.append(frame)
+        buffered = self._paused.get(address)
+        if buffered is not None:
+            buffered.append(frame)
             return
         receiver = self._networks.get(address)
         if receiver is not None:
             receiver.receive(frame)
 
-    def _happens(self, share: float) -> bool:
-        # No draw without a fault, so that adding one keeps other draws.
-        return bool(share) and self._random.random() < share
+    def _draw(self, probability: float) -> bool:
+        # A disabled fault draws no number, so that a new kind of fault does
+        # not change the draws of existing tests.
+        return bool(probability) and self._random.random() < probability
 
     def _schedule(
         self,
@@ -167,7 +168,7 @@
         destination: messages.PeerAddress,
         frame: bytes,
     ) -> None:
-        wait_s = self.faults.delay_s + self._transfers_s.get(origin, 0.0)
+        wait_s = self.faults.delay_s + self._added_delays_s.get(origin, 0.0)
         if self.faults.reorder_s:
             wait_s += self._random.uniform(0, self.faults.reorder_s)
         due_s = self._clock.monotonic_s() + wait_s
@@ -183,13 +184,13 @@
     def _deliver_in_loop(self) -> None:
         self.deliver()
         if self._due:
-            # The loop's timer may end a moment before the clock is there.
+            # The loop's timer may fire slightly before the clock's due time.
             early_s = self._due[0][0] - self._clock.monotonic_s()
             self._deliver_later(max(early_s, 0.0))
 
 
 class MemoryNetwork:
-    """One daemon's end of a :class:`MemoryHub`; a ``PeerNetwork``."""
+    """A ``PeerNetwork`` of one daemon, connected to a :class:`MemoryHub`."""
 
     def __init__(
         self,
@@ -198,7 +199,7 @@
         message_codec: codec.Codec,
         max_message_bytes: int,
     ) -> None:
-        """Join ``hub`` as ``sender``; use ``MemoryHub.network`` instead."""
+        """Connect ``sender`` to ``hub``; use ``MemoryHub.network`` instead."""
         self.sender = sender
         self._hub = hub
         self._counts = counters.CounterSet()
@@ -217,7 +218,7 @@
         peer: messages.PeerAddress,
         message: messages.Message,
     ) -> bool:
-        """Give the message to the hub; False only when it cannot go out."""
+        """Pass the message to the hub; return False if it cannot be sent."""
         if not peer.is_valid():
             self._counts.drop(counters.DropReason.BAD_PEER)
             return False
@@ -233,13 +234,13 @@
         kind: type[network.MessageT],
         handler: Callable[[messages.Sender, network.MessageT], None],
     ) -> None:
-        """Make ``handler`` the one handler of ``kind``."""
+        """Make ``handler`` the only handler of ``kind``."""
         self._dispatcher.subscribe(kind, handler)
 
     def receive(self, frame: bytes) -> None:
-        """Handle bytes as if they had arrived from the network."""
+        """Handle ``frame`` as if it had arrived from the network."""
         self._dispatcher.dispatch(frame)
 
     def counters(self) -> counters.NetworkCounters:
-        """Return the counts of this daemon's end."""
+        """Return the counts of this daemon."""
         return self._counts.snapshot()
--- a/libraries/wire/src/sardinepier/wire/messages.py
+++ b/libraries/wire/src/sardinepier/wire/messages.py
@@ -1,12 +1,12 @@
-"""What every message between daemons is made of.
+"""Base types of all messages between daemons.
 
-A library declares its own messages as subclasses of :class:`Message` and the
-daemon hands all of them to the network's codec. For example::
+A library declares its messages as subclasses of :class:`Message`, and the
+daemon passes all of them to the network's codec. For example::
 
     class Ping(messages.Message, frozen=True):
         sequence: int
 
-The name of the class is the tag on the wire, so it is unique in the process.
+The class name is the tag on the wire, so it must be unique in the process.
 """
 
 import functools
@@ -18,12 +18,12 @@
 from sardinepier.core import ids
 
 _MAX_PORT: Final = 65535
-_CHECKED_IPS: Final = 4096
+_IP_CACHE_SIZE: Final = 4096
 
 
-@functools.lru_cache(maxsize=_CHECKED_IPS)
+@functools.lru_cache(maxsize=_IP_CACHE_SIZE)
 def _is_ip(text: str) -> bool:
-    # Cached, because every received message names its sender's address.
+    # Cached, because every received message has its sender's address.
     try:
         ipaddress.ip_address(text)
     except ValueError:
@@ -32,26 +32,26 @@
 
 
 class PeerAddress(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Where a daemon receives messages: an IP number and a TCP port."""
+    """Where a daemon receives messages: an IP address and a TCP port."""
 
     ip: str
     port: int
 
     def is_valid(self) -> bool:
-        """Tell whether this is an IP number and a port one can connect to."""
+        """Return whether this is a valid IP address and a nonzero port."""
         return 0 < self.port <= _MAX_PORT and _is_ip(self.ip)
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """Base of all messages.
 
-    Fields travel by position to save bytes. A new field goes to the end and
-    has a default, so that daemons of neighbouring versions still talk.
+    Fields are encoded by position to save bytes. A new field is added at the
+    end with a default, so that daemons of adjacent versions can communicate.
     """
 
 
 class Sender(msgspec.Struct, frozen=True):
-    """Who sent a message, and the address where that process receives."""
+    """The process that sent a message and the address where it receives."""
 
     instance_id: ids.InstanceId
     address: PeerAddress
--- a/libraries/wire/src/sardinepier/wire/network.py
+++ b/libraries/wire/src/sardinepier/wire/network.py
@@ -1,4 +1,4 @@
-"""What the other libraries need from a network between daemons."""
+"""The interface of a network between daemons."""
 
 from collections.abc import Callable
 from typing import Protocol, TypeVar
@@ -9,10 +9,10 @@
 
 
 class PeerNetwork(Protocol):
-    """Sends typed messages to peers and hands received ones to handlers.
+    """Sends typed messages to peers and passes received ones to handlers.
 
-    Nothing is promised about a message that was sent: it may be lost,
-    repeated, late or out of order. What callers rely on must survive that.
+    Delivery is not guaranteed: a message may be lost, duplicated, late or out
+    of order, and callers must tolerate that.
     """
 
     def send(
@@ -20,10 +20,10 @@
         peer: messages.PeerAddress,
         message: messages.Message,
     ) -> bool:
-        """Queue ``message`` for ``peer`` without waiting.
+        """Send ``message`` to ``peer`` or queue it, without blocking.
 
-        Returns False when it was dropped at once, which the network's
-        counters record with the reason.
+        Returns False when it was dropped at once; the network's counters
+        record the reason.
         """
         ...
 
@@ -35,7 +35,7 @@
         """Call ``handler`` for each received message of exactly ``kind``.
 
         A kind has one handler; a second call replaces the first. The handler
-        must not wait. An exception that it raises is counted and reported to
-        the hook for failures, and the network goes on.
+        must not block. An exception that it raises is counted and reported to
+        the hook for failures, and does not stop the network.
         """
         ...
--- a/libraries/wire/src/sardinepier/wire/zmq_network.py
+++ b/libraries/wire/src/sardinepier/wire/zmq_network.py
@@ -1,8 +1,8 @@
 """The network between daemons over pyzmq.
 
-Each direction is a one-way ``PUSH`` to ``PULL`` connection of its own. A pair
-of sockets that carried both directions would hide a link that is cut in one
-direction only, and that is a failure which the fleet has to tell apart.
+Each direction is a separate one-way connection from ``PUSH`` to ``PULL``. A
+socket pair that carried both directions would hide a link that fails in one
+direction only, which the fleet must be able to detect.
 """
 
 import asyncio
@@ -31,15 +31,15 @@
 
 DEFAULT_QUEUE_LENGTH: Final = 256
 DEFAULT_IDLE_CLOSE_S: Final = 60.0
-_BURST: Final = 64
+_MAX_RECEIVE_BATCH: Final = 64
 
 
 class ZmqNetwork:
     """A ``PeerNetwork`` over TCP, for one daemon process.
 
-    ``bind`` is where this process listens; port 0 lets the system choose one,
-    and :attr:`sender` then names it once :meth:`open` has returned. The
-    sender's own port may be 0 too: it becomes the bound port. For example::
+    This process listens on ``bind``; with port 0 the system chooses a port. A
+    port 0 of ``sender`` is replaced by the bound port when :meth:`open`
+    returns. For example::
 
         network = ZmqNetwork(kinds, sender, bind, SystemClock())
         network.open()
@@ -60,9 +60,9 @@
     ) -> None:
         """Check the arguments; no socket is opened yet.
 
-        ``queue_length`` bounds the messages that wait for one peer. A peer's
-        socket closes after ``idle_close_s`` seconds without a message.
-        Connections leave from ``source_ip`` if it is given. Raises
+        ``queue_length`` limits the messages that wait for one peer. A peer's
+        socket is closed after ``idle_close_s`` seconds without a message.
+        Connections are made from ``source_ip`` if it is given. Raises
         ``InvalidArgumentError`` and ``MessageKindsError``.
         """
         self._bounds = bounds or limits.ZmqLimits()
@@ -84,7 +84,7 @@
                 idle_close_s=limits.require_positive(
                     'idle_close_s', idle_close_s
                 ),
-                source_ip=endpoints.checked_source_ip(source_ip),
+                source_ip=endpoints.validate_source_ip(source_ip),
                 bounds=self._bounds,
             ),
             self._context,
@@ -94,7 +94,7 @@
 
     @property
     def sender(self) -> messages.Sender:
-        """Who this process is to its peers."""
+        """The instance id and address sent with each message."""
         return self._sender
 
     def use_hooks(self, network_hooks: hooks.NetworkHooks) -> None:
@@ -102,7 +102,7 @@
         self._dispatcher.hooks = network_hooks
 
     def open(self) -> messages.PeerAddress:
-        """Start to listen and return the address that was bound.
+        """Start to listen and return the bound address.
 
         Raises ``PortInUseError`` or ``AddressUnavailableError``. A second
         call returns the same address.
@@ -122,7 +122,7 @@
         peer: messages.PeerAddress,
         message: messages.Message,
     ) -> bool:
-        """Queue ``message`` for ``peer``; False when it was dropped at once.
+        """Send or queue ``message``; return False when it was dropped at once.
 
         Must be called from the event loop that runs :meth:`run`.
         """
@@ -130,22 +130,22 @@
             self._counts.drop(counters.DropReason.BAD_PEER)
             return False
         frame = self._dispatcher.encode(self._sender, message)
-        return frame is not None and self._peers.queue(peer, frame)
+        return frame is not None and self._peers.send(peer, frame)
 
     def subscribe(
         self,
         kind: type[network.MessageT],
         handler: Callable[[messages.Sender, network.MessageT], None],
     ) -> None:
-        """Make ``handler`` the one handler of ``kind``."""
+        """Make ``handler`` the only handler of ``kind``."""
         self._dispatcher.subscribe(kind, handler)
 
     def counters(self) -> counters.NetworkCounters:
-        """Return the counts since the start."""
+        """Return the counts since the network was created."""
         return self._counts.snapshot()
 
     async def run(self) -> None:
-        """Receive until cancelled, then close every socket."""
+        """Receive messages until cancelled, then close all sockets."""
         self.open()
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._close)
@@ -155,18 +155,18 @@
         receiver = self._receiver
         if receiver is None:
             return
-        with readiness.signals(receiver) as changed:
+        with readiness.watch_changes(receiver) as changed:
             while True:
                 changed.clear()
-                while self._receive_burst(receiver):
-                    # A flood must not keep the loop from its other tasks.
+                while self._receive_batch(receiver):
+                    # Under a flood of messages other tasks must still run.
                     await asyncio.sleep(0)
                 await changed.wait()
 
-    def _receive_burst(self, receiver: sockets.Socket) -> bool:
-        """Take in a bounded number of messages; False when none is left."""
+    def _receive_batch(self, receiver: sockets.Socket) -> bool:
+        """Dispatch up to a limit of messages; return False when none is left."""
         with contextlib.suppress(zmq.Again):
-            for _ in range(_BURST):
+            for _ in range(_MAX_RECEIVE_BATCH):
                 self._dispatcher.dispatch(receiver.recv(zmq.NOBLOCK))
             return True
         return False
@@ -175,7 +175,7 @@
         await self._peers.close()
         if self._receiver is not None:
             self._receiver.close(linger=0)
-        # Not `term`: it would block the loop for a socket that is yet to close.
+        # Not `term`, which blocks the event loop until all sockets are closed.
         self._context.destroy(linger=0)
 
 
--- a/libraries/wire/tests/conformance/test_wire_network_contract.py
+++ b/libraries/wire/tests/conformance/test_wire_network_contract.py
@@ -1,4 +1,4 @@
-"""What every network between daemons must do, run against both."""
+"""The contract of a network between daemons, run against both of them."""
 
 import asyncio
 import contextlib
@@ -10,14 +10,14 @@
 from sardinepier.wire import counters, hooks, memory_network, messages
 from sardinepier.wire import zmq_network
 
-_NOWHERE = messages.PeerAddress('127.0.0.1', 9)
+_UNUSED_ADDRESS = messages.PeerAddress('127.0.0.1', 9)
 
 
 class Greeting(messages.Message, frozen=True):
     text: str
 
 
-class Other(messages.Message, frozen=True):
+class Number(messages.Message, frozen=True):
     number: int
 
 
@@ -36,7 +36,7 @@
     tasks = []
     for name in ('a~1', 'b~1'):
         network = zmq_network.ZmqNetwork(
-            (Greeting, Other),
+            (Greeting, Number),
             _sender(name),
             messages.PeerAddress('127.0.0.1', 0),
             clock.SystemClock(),
@@ -53,7 +53,7 @@
 @contextlib.asynccontextmanager
 async def _memory_pair():
     hub = memory_network.MemoryHub(
-        (Greeting, Other),
+        (Greeting, Number),
         clock.SystemClock(),
         random.Random(1),
         automatic=True,
@@ -73,85 +73,93 @@
             await asyncio.sleep(0.01)
 
 
-async def test_messages_arrive_whole_in_order_with_their_sender(pair):
+async def test_messages_arrive_complete_in_order_with_their_sender(pair):
     left, right = pair
-    heard = []
-    right.subscribe(Greeting, lambda who, what: heard.append((who, what)))
+    received = []
+    right.subscribe(
+        Greeting, lambda sender, message: received.append((sender, message))
+    )
     greetings = [Greeting('x' * size) for size in (0, 1, 100_000)]
     for greeting in greetings:
         assert left.send(right.sender.address, greeting)
-    await _until(lambda: len(heard) == 3)
-    assert heard == [(left.sender, greeting) for greeting in greetings]
+    await _until(lambda: len(received) == 3)
+    assert received == [(left.sender, greeting) for greeting in greetings]
     assert left.counters().messages_sent == 3
     assert right.counters().bytes_received == left.counters().bytes_sent
 
 
 async def test_a_reply_goes_to_the_address_of_the_sender(pair):
     left, right = pair
-    heard = []
-    left.subscribe(Other, lambda who, what: heard.append(what.number))
+    received = []
+    left.subscribe(
+        Number, lambda sender, message: received.append(message.number)
+    )
     right.subscribe(
         Greeting,
-        lambda who, what: right.send(who.address, Other(len(what.text))),
+        lambda sender, message: right.send(
+            sender.address, Number(len(message.text))
+        ),
     )
     left.send(right.sender.address, Greeting('four'))
-    await _until(lambda: heard == [4])
+    await _until(lambda: received == [4])
 
 
-async def test_a_raising_handler_is_counted_and_the_network_goes_on(pair):
+async def test_a_raising_handler_is_counted_and_does_not_stop_the_network(pair):
     left, right = pair
-    heard = []
+    received = []
     failures = []
 
-    def handle(who, what):
-        if what.text == 'bad':
+    def handle(sender, message):
+        if message.text == 'bad':
             raise errors.InvalidArgumentError('Bad', 'Send good ones')
-        heard.append(what.text)
+        received.append(message.text)
 
     right.subscribe(Greeting, handle)
     right.use_hooks(
         hooks.NetworkHooks(
-            on_handler_failure=lambda what, error: failures.append(error.what),
+            on_handler_failure=lambda message, error: failures.append(
+                error.what
+            ),
         ),
     )
     left.send(right.sender.address, Greeting('bad'))
     left.send(right.sender.address, Greeting('good'))
-    await _until(lambda: heard == ['good'])
+    await _until(lambda: received == ['good'])
     assert failures == ['Bad']
     assert right.counters().handler_failures == {'InvalidArgumentError': 1}
 
 
 async def test_a_kind_without_handler_is_counted(pair):
     left, right = pair
-    left.send(right.sender.address, Other(1))
+    left.send(right.sender.address, Number(1))
     await _until(lambda: right.counters().dropped)
     assert right.counters().dropped == {counters.DropReason.NO_HANDLER: 1}
 
 
-async def test_stamps_travel_beside_messages(pair):
+async def test_stamps_are_sent_with_messages(pair):
     left, right = pair
     stamps = []
-    right.subscribe(Other, lambda who, what: None)
+    right.subscribe(Number, lambda sender, message: None)
     right.use_hooks(hooks.NetworkHooks(on_stamp=stamps.append))
-    left.send(right.sender.address, Other(1))
+    left.send(right.sender.address, Number(1))
     left.use_hooks(hooks.NetworkHooks(stamp_source=lambda: (7, 2**40)))
-    left.send(right.sender.address, Other(2))
+    left.send(right.sender.address, Number(2))
     await _until(lambda: right.counters().messages_received == 2)
     assert stamps == [(7, 2**40)]
 
 
-async def test_send_never_raises_for_what_cannot_go_out(pair):
+async def test_send_never_raises_for_messages_that_cannot_be_sent(pair):
     left, _ = pair
-    assert left.send(_NOWHERE, Other(1))
-    assert not left.send(messages.PeerAddress('name.example', 80), Other(1))
-    assert not left.send(messages.PeerAddress('127.0.0.1', 0), Other(1))
-    assert not left.send(_NOWHERE, Greeting('x' * 2_000_000))
+    assert left.send(_UNUSED_ADDRESS, Number(1))
+    assert not left.send(messages.PeerAddress('name.example', 80), Number(1))
+    assert not left.send(messages.PeerAddress('127.0.0.1', 0), Number(1))
+    assert not left.send(_UNUSED_ADDRESS, Greeting('x' * 2_000_000))
     assert left.counters().dropped == {
         counters.DropReason.BAD_PEER: 2,
         counters.DropReason.OVERSIZED: 1,
     }
 
 
-async def test_subscribing_to_an_unregistered_kind_is_refused(pair):
+async def test_subscribing_to_an_unregistered_kind_is_rejected(pair):
     with pytest.raises(errors.SardinepierError, match='Unregistered'):
-        pair[0].subscribe(Unregistered, lambda who, what: None)
+        pair[0].subscribe(Unregistered, lambda sender, message: None)
--- a/libraries/wire/tests/cover/test_wire_codec.py
+++ b/libraries/wire/tests/cover/test_wire_codec.py
@@ -1,4 +1,4 @@
-"""Whatever bytes arrive, the codec gives a message or a typed reason."""
+"""For any bytes the codec returns a message or raises a typed error."""
 
 import msgspec
 import pytest
@@ -22,8 +22,8 @@
 _FIELDS = (('number', int), ('note', str, ''))
 
 
-def _frame(*items):
-    return msgspec.msgpack.encode(items)
+def _frame(*elements):
+    return msgspec.msgpack.encode(elements)
 
 
 def _envelope(message, version=1, instance='a~1', address=('10.0.0.1', 7000)):
@@ -31,7 +31,7 @@
 
 
 @given(st.integers(-(2**63), 2**63 - 1), st.text(), st.none() | st.just((1, 2)))
-def test_what_is_encoded_is_decoded(number, note, stamp):
+def test_an_encoded_message_is_decoded_unchanged(number, note, stamp):
     message = Numbered(number, note)
     delivery = _CODEC.decode(_CODEC.encode(_SENDER, message, stamp))
     assert delivery == codec.Delivery(_SENDER, stamp, message)
@@ -84,14 +84,14 @@
         ),
     ],
 )
-def test_bad_frames_are_told_apart(frame, reason):
+def test_the_error_states_why_a_frame_is_invalid(frame, reason):
     with pytest.raises(errors.UndecodableMessageError) as caught:
         _CODEC.decode(frame)
     assert caught.value.reason is reason
 
 
-def test_a_field_added_at_the_end_is_no_break():
-    # The next version's kind has the same name and one field more.
+def test_a_field_added_at_the_end_is_compatible():
+    # The next version of the kind has the same name and one more field.
     newer_kind = msgspec.defstruct(
         'Numbered',
         (*_FIELDS, ('added', int, 0)),
@@ -105,9 +105,9 @@
     assert newer.decode(old_frame).message == newer_kind(1, 'x', 0)
 
 
-def test_two_kinds_of_one_name_are_refused_at_the_start():
-    other = type('Numbered', (messages.Message,), {}, frozen=True)
+def test_two_kinds_of_the_same_name_are_rejected():
+    same_name = type('Numbered', (messages.Message,), {}, frozen=True)
     with pytest.raises(errors.MessageKindsError, match='Give each kind'):
-        codec.Codec((Numbered, other))
+        codec.Codec((Numbered, same_name))
     with pytest.raises(errors.MessageKindsError):
         codec.Codec(())
