--- a/libraries/core/src/sardinepier/core/__init__.py
+++ b/libraries/core/src/sardinepier/core/__init__.py
@@ -1,1 +1,1 @@
-"""Ids, clocks, error root, outcomes and rendezvous hashing shared by every library."""
+"""Ids, clocks, base errors, outcomes and rendezvous hashing for all libraries."""
--- a/libraries/core/src/sardinepier/core/clock.py
+++ b/libraries/core/src/sardinepier/core/clock.py
@@ -1,8 +1,9 @@
-"""Clocks, injected everywhere so that tests decide what time it is.
+"""Clocks, injected everywhere so that tests control the time.
 
-Deadlines are stored as readings of one process's monotonic clock. They are
-never sent to another process: a remaining time crosses the wire and becomes
-a local deadline on arrival, because two monotonic clocks share no origin.
+Deadlines are stored as readings of the process's monotonic clock and never
+sent to another process, because two monotonic clocks have no common origin.
+Messages carry the remaining time, which the receiver converts to a deadline
+of its own.
 """
 
 import time
@@ -18,18 +19,18 @@
 
 
 class Clock(Protocol):
-    """Source of time for one process."""
+    """The time source of one process."""
 
     def monotonic_s(self) -> float:
-        """Return seconds since an arbitrary origin; it never goes back."""
+        """Return seconds since an arbitrary origin, which never decrease."""
         ...
 
     def boot_s(self) -> float:
-        """Return seconds since an arbitrary origin, suspension included."""
+        """Return seconds since an arbitrary origin, including suspensions."""
         ...
 
     def wall_ms(self) -> int:
-        """Return milliseconds since the epoch, for people and logs only."""
+        """Return Unix time in milliseconds, for people and logs only."""
         ...
 
 
@@ -41,9 +42,9 @@
         return time.monotonic()
 
     def boot_s(self) -> float:
-        """Return a clock that also counts while the machine is suspended.
+        """Return seconds of a clock that includes suspensions.
 
-        Elsewhere than on Linux it is the monotonic clock.
+        On systems other than Linux it is the monotonic clock.
         """
         return time.clock_gettime(_BOOT_CLOCK)
 
@@ -53,7 +54,7 @@
 
 
 class ManualClock:
-    """A clock that only moves when a test moves it.
+    """A clock that only advances when a test advances it.
 
     For example ``ManualClock(start_s=10.0)`` reads 10.0 until
     ``advance(2.5)`` makes it read 12.5.
@@ -65,21 +66,21 @@
         self._suspended_s = 0.0
 
     def monotonic_s(self) -> float:
-        """Return the seconds to which the clock was moved."""
+        """Return the current reading in seconds."""
         return self._now_s
 
     def boot_s(self) -> float:
-        """Return the same reading, with the time of all suspensions."""
+        """Return the reading in seconds, including all suspensions."""
         return self._now_s + self._suspended_s
 
     def wall_ms(self) -> int:
-        """Return the same reading in milliseconds."""
+        """Return the reading in milliseconds."""
         return int(self._now_s * _MS_PER_S)
 
     def advance(self, elapsed_s: float) -> None:
-        """Move the clock forward by ``elapsed_s`` seconds."""
+        """Advance the clock by ``elapsed_s`` seconds."""
         self._now_s += elapsed_s
 
     def suspend(self, elapsed_s: float) -> None:
-        """Let ``elapsed_s`` pass as on a machine that is suspended."""
+        """Advance only the boot clock, as when the machine is suspended."""
         self._suspended_s += elapsed_s
--- a/libraries/core/src/sardinepier/core/ids.py
+++ b/libraries/core/src/sardinepier/core/ids.py
@@ -1,23 +1,23 @@
-"""Names of the things that the fleet handles, each with a type of its own.
+"""Distinct types for the identifiers of the fleet.
 
-A name is a plain string or number at run time. The types only stop one kind
-of name from being passed where another is meant, for example a daemon's
-configured name where the name of one process start is needed.
+At run time each is a plain string or number. The types let the type checker
+reject one kind of identifier where another is expected, for example a
+:data:`DaemonId` instead of an :data:`InstanceId`.
 """
 
 from typing import NewType
 
 DaemonId = NewType('DaemonId', str)
-"""The configured name of a daemon. It survives a restart."""
+"""The configured name of a daemon, which stays the same after a restart."""
 
 InstanceId = NewType('InstanceId', str)
-"""One start of one daemon: ``<daemon id>~<16 hex digits>``. Never reused."""
+"""One start of a daemon, never reused: ``<daemon id>~<16 hex digits>``."""
 
 TargetId = NewType('TargetId', str)
-"""The name of a target within its service."""
+"""The name of a target, unique within its service."""
 
 TargetIncarnation = NewType('TargetIncarnation', str)
-"""One start of one target, as the platform's instance list names it."""
+"""One start of a target, as named in the platform's instance list."""
 
 ServiceName = NewType('ServiceName', str)
 RouteName = NewType('RouteName', str)
@@ -25,13 +25,13 @@
 RegionName = NewType('RegionName', str)
 
 CallerId = NewType('CallerId', str)
-"""The customer who sends a request, as the caller header names it."""
+"""The customer who sends a request, as named in the caller header."""
 
 CustomerName = NewType('CustomerName', str)
-"""A customer of the installation, as the configuration names it."""
+"""A customer of the installation, as named in the configuration."""
 
 FileName = NewType('FileName', str)
-"""A published settings file: ``fleet`` or ``service/<name>``."""
+"""The name of a published settings file: ``fleet`` or ``service/<name>``."""
 
 Revision = NewType('Revision', int)
-"""The platform's revision of a file. It only ever grows."""
+"""The platform's revision of a file, which only increases."""
--- a/libraries/core/src/sardinepier/core/outcomes.py
+++ b/libraries/core/src/sardinepier/core/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told about the fate of its request."""
+"""Outcomes of requests, as reported to callers."""
 
 import enum
 
@@ -10,7 +10,7 @@
     """A target ran the request and this is its answer."""
 
     NOT_RUN = 'not-run'
-    """It is proved that no target ran the request."""
+    """It is certain that no target ran the request."""
 
     UNKNOWN = 'unknown'
     """The request may or may not have run."""
--- a/libraries/core/src/sardinepier/core/rendezvous.py
+++ b/libraries/core/src/sardinepier/core/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: the same choice everywhere, without agreement.
+"""Rendezvous hashing: all daemons choose alike without coordination.
 
-Each candidate gets a score from a hash of the key and its name, and the
-highest scores win. When a candidate goes, only the keys it held move.
+The score of a candidate is a hash of the key and its name, and the highest
+scores win. When a candidate is removed, only its own keys move.
 """
 
 import heapq
@@ -18,10 +18,10 @@
 def top_candidates(
     key: str, candidates: Iterable[str], count: int
 ) -> tuple[str, ...]:
-    """Return the ``count`` best candidates for ``key``, best first.
+    """Return the ``count`` candidates with the highest scores, best first.
 
-    Two daemons with the same candidates get the same answer. For example
-    ``top_candidates('deposits', ('d1', 'd2', 'd3'), 2)`` names two of the three.
+    Two daemons with the same candidates get the same result. For example
+    ``top_candidates('deposits', ('d1', 'd2', 'd3'), 2)`` returns two of the three.
     """
     return tuple(
         heapq.nlargest(
--- a/libraries/core/tests/cover/test_core_rendezvous.py
+++ b/libraries/core/tests/cover/test_core_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing chooses alike everywhere and moves as little as it can."""
+"""Rendezvous hashing is deterministic and moves as few keys as possible."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,9 +20,9 @@
 
 
 @given(st.text(), _NAMES.filter(bool), st.integers(min_value=1, max_value=5))
-def test_a_candidate_that_goes_only_moves_its_own_place(key, names, count):
+def test_removing_a_candidate_moves_only_its_own_keys(key, names, count):
     chosen = rendezvous.top_candidates(key, names, count)
-    gone = names[0]
-    remaining = [name for name in names if name != gone]
+    removed = names[0]
+    remaining = [name for name in names if name != removed]
     chosen_after = rendezvous.top_candidates(key, remaining, count)
-    assert set(chosen) - {gone} <= set(chosen_after)
+    assert set(chosen) - {removed} <= set(chosen_after)
--- a/libraries/platform/src/sardinepier/platform/errors.py
+++ b/libraries/platform/src/sardinepier/platform/errors.py
@@ -1,23 +1,23 @@
-"""How asking the platform can fail."""
+"""Exceptions raised by platform clients."""
 
 from sardinepier.core import errors
 
 
 class PlatformError(errors.SardinepierError):
-    """The platform gave nothing that can be used."""
+    """Base of all failures of a call to the platform."""
 
 
 class PlatformUnavailableError(PlatformError):
-    """No answer came: refused, cut off, too late, or failing inside."""
+    """No answer: refused, disconnected, timed out, or an error status."""
 
 
 class PlatformBudgetError(PlatformUnavailableError):
-    """The call was not made, because too many were made just before."""
+    """The call was not made, because the rate limit was reached."""
 
 
 class PlatformReplyError(PlatformError):
-    """An answer came that is not what the interface promises."""
+    """The answer does not conform to the interface."""
 
 
 class PlatformFileMissingError(PlatformReplyError):
-    """The platform has no such file, or has it no more."""
+    """The file does not exist on the platform, or was deleted."""
--- a/libraries/platform/src/sardinepier/platform/interface.py
+++ b/libraries/platform/src/sardinepier/platform/interface.py
@@ -1,8 +1,8 @@
-"""What the platform publishes, and how it is asked for it.
+"""The interface of the platform and the values it publishes.
 
-The platform can only be read and watched. It holds the operators' files, each
-with a revision that only grows, and a list of instances that lags behind the
-truth. Everything here is a value: nothing is ever written back.
+The platform can only be read and watched, never written. It stores the
+operators' files, each with a revision that only increases, and a list of
+instances that lags behind their actual state.
 """
 
 import enum
@@ -15,24 +15,24 @@
 from sardinepier.platform import shares
 
 FILE_LIMIT_BYTES: Final = 1024 * 1024
-"""The platform holds no larger file."""
+"""Size limit of a file on the platform."""
 
-_LARGEST_REVISION: Final = sys.maxsize
-_LARGEST_PORT: Final = 65535
-_LARGEST_NAME: Final = 256
+_MAX_REVISION: Final = sys.maxsize
+_MAX_PORT: Final = 65535
+_MAX_NAME_LENGTH: Final = 256
 
 _Revision = Annotated[
     ids.Revision,
-    msgspec.Meta(ge=0, le=_LARGEST_REVISION),
+    msgspec.Meta(ge=0, le=_MAX_REVISION),
 ]
 _Name = Annotated[
     ids.FileName,
-    msgspec.Meta(min_length=1, max_length=_LARGEST_NAME),
+    msgspec.Meta(min_length=1, max_length=_MAX_NAME_LENGTH),
 ]
 
 
 class PublishedFile(msgspec.Struct, frozen=True):
-    """A file with its whole text, at one revision."""
+    """The whole text of a file at one revision."""
 
     name: _Name
     revision: _Revision
@@ -40,7 +40,7 @@
 
 
 class FileRevision(msgspec.Struct, frozen=True):
-    """The newest revision of one file, and whether that is its deletion."""
+    """The newest revision of one file, and whether it deleted the file."""
 
     name: _Name
     revision: _Revision
@@ -48,21 +48,21 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """All files and the platform's newest revision of any of them."""
+    """All files, and the newest revision of any of them."""
 
     revision: _Revision
     files: tuple[FileRevision, ...]
 
 
 class ListedState(enum.Enum):
-    """What the platform says about a target, some time after the fact."""
+    """State of a target in the instance list, which lags behind."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class ListedTarget(msgspec.Struct, frozen=True):
-    """One start of one target, as the instance list knows it."""
+    """One incarnation of a target in the instance list."""
 
     service: ids.ServiceName
     target_id: ids.TargetId
@@ -71,19 +71,19 @@
 
 
 class ListedDaemon(msgspec.Struct, frozen=True):
-    """A daemon and the address at which it hears its peers."""
+    """A daemon and the address at which it receives from its peers."""
 
     daemon_id: ids.DaemonId
     peer_ip: str
-    peer_port: Annotated[int, msgspec.Meta(ge=1, le=_LARGEST_PORT)]
+    peer_port: Annotated[int, msgspec.Meta(ge=1, le=_MAX_PORT)]
 
 
 class InstanceList(msgspec.Struct, frozen=True):
     """The platform's lagging list of targets and daemons, or a share of it.
 
-    ``share`` says what the list speaks of. A target of a service that the
-    share covers and that is not among ``targets`` is not listed; of all other
-    services the list says nothing.
+    ``share`` says which services the list covers. A target of a covered
+    service that is missing from ``targets`` is not listed by the platform;
+    the list has no information about other services.
     """
 
     targets: tuple[ListedTarget, ...] = ()
@@ -95,9 +95,9 @@
     """The published files and the instance list, read and watched.
 
     Every method raises :class:`errors.PlatformUnavailableError` when no
-    answer came in time, and :class:`errors.PlatformReplyError` when the
-    answer cannot be used; it raises nothing else. An answer may always be
-    older than an earlier one: the platform serves stale state at times.
+    answer came in time, :class:`errors.PlatformReplyError` when the answer is
+    invalid, and nothing else. An answer may be older than an earlier one,
+    because the platform sometimes serves stale state.
     """
 
     async def list_files(self) -> Listing:
@@ -111,13 +111,13 @@
     ) -> Listing:
         """Return the listing once it is newer than ``after_revision``.
 
-        When nothing changes within ``timeout_s`` seconds the listing comes
-        as it is then.
+        When nothing changes within ``timeout_s`` seconds, returns the
+        unchanged listing.
         """
         ...
 
     async def read_file(self, name: ids.FileName) -> PublishedFile:
-        """Return the newest text of one file.
+        """Return the newest revision of one file.
 
         Raises :class:`errors.PlatformFileMissingError`, which is a
         :class:`errors.PlatformReplyError`, when there is no such file.
@@ -128,8 +128,8 @@
         self,
         share: shares.InstanceShare = shares.WHOLE,
     ) -> InstanceList:
-        """Return the instance list, or the asked share of it.
+        """Return the instance list, or the requested share of it.
 
-        The very same object comes again as long as the share is unchanged.
+        Returns the same object as long as the share is unchanged.
         """
         ...
--- a/libraries/platform/src/sardinepier/platform/internal/__init__.py
+++ b/libraries/platform/src/sardinepier/platform/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the platform library; not part of its interface."""
+"""Internal modules of the platform library, not part of its API."""
--- a/libraries/platform/src/sardinepier/platform/internal/exchange.py
+++ b/libraries/platform/src/sardinepier/platform/internal/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with the platform, with every failure given its type."""
+"""One HTTP exchange with the platform, with typed errors."""
 
 import asyncio
 import dataclasses
@@ -13,20 +13,20 @@
 _OK: Final = 200
 _NOT_MODIFIED: Final = 304
 _NOT_FOUND: Final = 404
-_TOO_MANY: Final = 429
+_TOO_MANY_REQUESTS: Final = 429
 _SERVER_ERRORS: Final = 500
 _CHUNK_BYTES: Final = 65536
-_RETRY: Final = 'Check the platform; the call is made again after a pause'
-_REPORT: Final = 'Check what answers at the configured platform address'
+_WILL_RETRY: Final = 'Check the platform; the call is retried after a pause'
+_CHECK_ADDRESS: Final = 'Check what answers at the configured platform address'
 
 
 class _ConnectionLostError(aiohttp.ClientError):
-    """The connection failed, in a type on which the client gives up."""
+    """The connection failed; aiohttp does not retry on this type."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A usable answer: its body whole, and its headers."""
+    """A valid answer with its whole body and headers."""
 
     body: bytes
     headers: Mapping[str, str]
@@ -40,7 +40,7 @@
     limit_bytes: int,
     timeout_s: float,
 ) -> Reply:
-    """Get ``url`` and return its answer whole, within ``timeout_s``.
+    """Return the whole answer to a GET of ``url`` within ``timeout_s``.
 
     Raises :class:`errors.PlatformUnavailableError` and
     :class:`errors.PlatformReplyError` and nothing else.
@@ -57,27 +57,27 @@
     timeout_s: float,
     failure: Exception,
 ) -> errors.PlatformError:
-    """Return the error of ours that says what ``failure`` means."""
+    """Return the platform error that ``failure`` stands for."""
     match failure:
         case TimeoutError():
             return errors.PlatformUnavailableError(
                 f'{url} did not answer within {timeout_s:.1f} s',
-                _RETRY,
+                _WILL_RETRY,
             )
         case aiohttp.ClientPayloadError():
             return errors.PlatformReplyError(
-                f'The answer of {url} is cut short or garbled',
-                _RETRY,
+                f'The answer of {url} is truncated or malformed',
+                _WILL_RETRY,
             )
         case aiohttp.ClientResponseError():
             return errors.PlatformReplyError(
                 f'{url} does not answer in HTTP: {failure.message}',
-                _REPORT,
+                _CHECK_ADDRESS,
             )
         case _:
             return errors.PlatformUnavailableError(
                 f'{url} cannot be reached: {failure}',
-                _RETRY,
+                _WILL_RETRY,
             )
 
 
@@ -105,11 +105,11 @@
     request: aiohttp.ClientRequest,
     handler: aiohttp.ClientHandlerType,
 ) -> aiohttp.ClientResponse:
-    """Keep the client from sending again on a lost connection.
+    """Prevent aiohttp from retrying when the connection is lost.
 
-    By itself it does so for every GET, and a platform that drops its
-    connections would be met with two calls for each one that was counted.
-    It knows the occasion by the type of the error.
+    By default aiohttp retries every GET, recognized by the type of the error.
+    A platform that drops connections would get two calls for each one that
+    the rate limit counts.
     """
     try:
         return await handler(request)
@@ -122,21 +122,21 @@
     if status == _OK:
         return
     what = f'{response.url} answered with status {status}'
-    if status >= _SERVER_ERRORS or status == _TOO_MANY:
-        raise errors.PlatformUnavailableError(what, _RETRY)
+    if status >= _SERVER_ERRORS or status == _TOO_MANY_REQUESTS:
+        raise errors.PlatformUnavailableError(what, _WILL_RETRY)
     if status == _NOT_FOUND:
         raise errors.PlatformFileMissingError(
             what,
-            'Publish the file, or ask for the list of files again',
+            'Publish the file, or read the list of files again',
         )
-    raise errors.PlatformReplyError(what, _REPORT)
+    raise errors.PlatformReplyError(what, _CHECK_ADDRESS)
 
 
 def _check_framing(response: aiohttp.ClientResponse) -> None:
-    """Refuse a body that ends with its connection.
+    """Reject a body that is delimited by the end of the connection.
 
-    Nothing tells such a body from one that was cut short, and a settings
-    file cut at the end of a section may still be a valid one.
+    Such a body cannot be distinguished from a truncated one, and a settings
+    file truncated at the end of a section may still be valid.
     """
     if 'Content-Length' in response.headers:
         return
@@ -144,7 +144,7 @@
         return
     raise errors.PlatformReplyError(
         f'The answer of {response.url} does not state its length',
-        _REPORT,
+        _CHECK_ADDRESS,
     )
 
 
@@ -157,7 +157,7 @@
         body.extend(chunk)
         if len(body) > limit_bytes:
             raise errors.PlatformReplyError(
-                f'{response.url} answered with over {limit_bytes} bytes',
+                f'{response.url} answered with more than {limit_bytes} bytes',
                 'Split the published value, or check the address',
             )
     return bytes(body)
--- a/libraries/platform/src/sardinepier/platform/internal/instance_cache.py
+++ b/libraries/platform/src/sardinepier/platform/internal/instance_cache.py
@@ -1,4 +1,4 @@
-"""The shares of the instance list that were read, each with its tag."""
+"""Caches shares of the instance list with their entity tags."""
 
 import dataclasses
 from typing import Final
@@ -6,67 +6,69 @@
 from sardinepier.core import ids
 from sardinepier.platform import errors, interface, shares
 
-_MOST_SHARES: Final = 4
-_REMEDY: Final = 'Check that the platform divides the list as documented'
+_MAX_SHARES: Final = 4
+_REMEDY: Final = 'Check that the platform partitions the list as documented'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaggedList:
-    """A list, and the tag by which the platform knows it again."""
+    """A list and its entity tag for conditional requests."""
 
     listed: interface.InstanceList
     tag: str
 
 
 class InstanceCache:
-    """Keeps the few shares that one reader asks for.
+    """Caches the few shares that one reader requests.
 
-    A watcher asks for two; another one only after the watchers have changed.
+    A watcher requests two shares, and others only after the set of watchers
+    has changed.
     """
 
     def __init__(self) -> None:
-        """Start with nothing kept."""
-        self._kept: dict[shares.InstanceShare, TaggedList] = {}
+        """Create an empty cache."""
+        self._lists: dict[shares.InstanceShare, TaggedList] = {}
 
     def find(self, share: shares.InstanceShare) -> TaggedList | None:
-        """Return the share as it was read last, if it is kept."""
-        return self._kept.get(share)
+        """Return the share as last read, if it is cached."""
+        return self._lists.get(share)
 
-    def keep(self, listed: interface.InstanceList, tag: str) -> None:
-        """Keep a list, and drop the one that was read first.
+    def store(self, listed: interface.InstanceList, tag: str) -> None:
+        """Cache a list; evict the oldest one when the cache is full.
 
-        Without a tag there is no way to ask whether it has changed.
+        A list without a tag is not cached, because the platform cannot be
+        asked whether it has changed.
         """
-        self._kept.pop(listed.share, None)
+        self._lists.pop(listed.share, None)
         if not tag:
             return
-        if len(self._kept) >= _MOST_SHARES:
-            self._kept.pop(next(iter(self._kept)))
-        self._kept[listed.share] = TaggedList(listed, tag)
+        if len(self._lists) >= _MAX_SHARES:
+            self._lists.pop(next(iter(self._lists)))
+        self._lists[listed.share] = TaggedList(listed, tag)
 
 
 def check_share(
     listed: interface.InstanceList,
-    asked: shares.InstanceShare,
+    requested: shares.InstanceShare,
 ) -> None:
-    """Raise ``PlatformReplyError`` unless ``listed`` is what was asked for."""
-    if listed.share != asked:
+    """Raise ``PlatformReplyError`` unless ``listed`` matches the request."""
+    if listed.share != requested:
         raise errors.PlatformReplyError(
-            f'The platform sent {listed.share} when asked for {asked}',
+            f'The platform sent {listed.share} when {requested} was requested',
             _REMEDY,
         )
     services = {target.service for target in listed.targets}
     for service in sorted(services):
-        _check_covered(service, asked)
+        _check_covered(service, requested)
 
 
 def _check_covered(
     service: ids.ServiceName,
-    asked: shares.InstanceShare,
+    requested: shares.InstanceShare,
 ) -> None:
-    if asked.covers(service):
+    if requested.covers(service):
         return
     raise errors.PlatformReplyError(
-        f'The platform listed {service!r}, which is not in {asked}',
+        f'The platform listed {service!r}, which is not in {requested}',
         _REMEDY,
     )
--- a/libraries/platform/src/sardinepier/platform/internal/token_bucket.py
+++ b/libraries/platform/src/sardinepier/platform/internal/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: a steady rate of calls with a small burst."""
+"""A token bucket that limits the rate of calls."""
 
 import asyncio
 import math
@@ -9,11 +9,11 @@
 
 
 class TokenBucket:
-    """Let ``rate_per_s`` calls a second through, ``burst`` at once.
+    """Allows ``rate_per_s`` calls a second, in bursts of up to ``burst``.
 
-    Calls that wait do so in turn, because each takes its token before it
-    waits: the balance goes below zero, and how far tells the length of the
-    queue in seconds.
+    Waiting calls start in order, because each takes its token before it
+    waits. The balance may thus be negative; divided by the rate it is the
+    length of the queue in seconds.
     """
 
     def __init__(
@@ -33,10 +33,10 @@
         self._rate_per_s = rate_per_s
         self._burst = burst
         self._tokens = float(burst)
-        self._counted_until_s = clock.monotonic_s()
+        self._refilled_at_s = clock.monotonic_s()
 
     def set_rate(self, rate_per_s: float) -> None:
-        """Let ``rate_per_s`` calls a second through from now on.
+        """Allow ``rate_per_s`` calls a second from now on.
 
         Raises :class:`sardinepier.core.errors.InvalidArgumentError` when the
         rate is not above zero.
@@ -48,18 +48,18 @@
     async def take(self, deadline_s: float) -> None:
         """Wait for a token.
 
-        Raises :class:`errors.PlatformBudgetError` at once when none comes
-        free before ``deadline_s`` on the clock.
+        Raises :class:`errors.PlatformBudgetError` at once when none becomes
+        available before ``deadline_s`` on the clock.
         """
         wait_s = self.reserve(deadline_s)
         if wait_s > 0:
             await asyncio.sleep(wait_s)
 
     def reserve(self, deadline_s: float) -> float:
-        """Take a token and return for how many seconds it must wait.
+        """Take a token and return how many seconds the call must wait.
 
-        Raises :class:`errors.PlatformBudgetError` when that would end after
-        ``deadline_s``; no token is taken then.
+        Raises :class:`errors.PlatformBudgetError` without taking a token when
+        the wait would end after ``deadline_s``.
         """
         now_s = self._clock.monotonic_s()
         self._refill(now_s)
@@ -68,14 +68,14 @@
             raise errors.PlatformBudgetError(
                 f'The next call to the platform may start in {wait_s:.2f} s, '
                 + 'which is too late for this one',
-                'Ask again later, or raise platform_reads_per_s',
+                'Try again later, or raise platform_reads_per_s',
             )
         self._tokens -= 1
         return wait_s
 
     def _refill(self, now_s: float) -> None:
-        elapsed_s = now_s - self._counted_until_s
-        self._counted_until_s = now_s
+        elapsed_s = now_s - self._refilled_at_s
+        self._refilled_at_s = now_s
         self._tokens = min(
             float(self._burst),
             self._tokens + elapsed_s * self._rate_per_s,
--- a/libraries/platform/src/sardinepier/platform/shares.py
+++ b/libraries/platform/src/sardinepier/platform/shares.py
@@ -1,7 +1,7 @@
-"""Shares of the instance list, so that no reader needs the whole of it.
+"""Shares of the instance list, so that no reader needs the whole list.
 
-The services are divided into parts by a hash of their names, and a reader
-asks for some of the parts. For example the 3rd and the 12th of 18 parts::
+The services are partitioned by a hash of their names, and a reader requests
+some of the parts. For example parts 3 and 12 of 18::
 
     share = share_of(18, (3, 12))
     share.covers(ids.ServiceName('deposits'))
@@ -19,21 +19,21 @@
 from sardinepier.core import ids
 
 MAX_PARTS: Final = 4096
-"""The list is never divided into more parts."""
+"""Maximum number of parts of the list."""
 
 _PARTS: Final = 'parts'
 _PART: Final = 'part'
 _DAEMONS: Final = 'daemons'
-_MOST_DIGITS: Final = 4
+_MAX_DIGITS: Final = 4
 
 _PartCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_PARTS)]
 
 
 class InstanceShare(msgspec.Struct, frozen=True):
-    """Some of the parts into which the list is divided.
+    """Some of the parts of the instance list.
 
-    ``chosen`` numbers parts from 0 to ``parts - 1``, in rising order. The
-    daemons are a part of their own, because they are few and change rarely.
+    ``chosen`` has part numbers from 0 to ``parts - 1`` in ascending order. The
+    daemons are a separate part, because they are few and change rarely.
     """
 
     parts: _PartCount = 1
@@ -41,7 +41,7 @@
     has_daemons: bool = True
 
     def covers(self, service: ids.ServiceName) -> bool:
-        """Tell whether the share has all targets of ``service``."""
+        """Return whether the share has all targets of ``service``."""
         return part_of(service, self.parts) in self.chosen
 
 
@@ -56,7 +56,7 @@
     """Return the number of the part that ``service`` belongs to.
 
     It is the 64-bit XXH3 hash of the name in UTF-8, modulo ``parts``. The
-    platform and its readers must agree on it.
+    platform and its readers must use the same function.
     """
     return xxhash.xxh3_64_intdigest(service.encode()) % parts
 
@@ -79,40 +79,40 @@
 
 
 def query_of(share: InstanceShare) -> str:
-    """Return the query that asks for ``share``; empty for the whole."""
+    """Return the query string for ``share``, empty for the whole list."""
     if share == WHOLE:
         return ''
-    named = [*share.chosen, _DAEMONS] if share.has_daemons else share.chosen
-    fields = [(_PARTS, share.parts), *((_PART, one) for one in named)]
+    chosen = [*share.chosen, _DAEMONS] if share.has_daemons else share.chosen
+    fields = [(_PARTS, share.parts), *((_PART, part) for part in chosen)]
     return url_parse.urlencode(fields)
 
 
 def parse_query(fields: Mapping[str, Sequence[str]]) -> InstanceShare:
-    """Return the share that a query asks for; an empty one for the whole.
+    """Return the share that a query requests; an empty query is the whole.
 
-    ``fields`` has all values of each name, in their order. Raises
-    :class:`sardinepier.core.errors.InvalidArgumentError` when they name no
-    share.
+    ``fields`` maps each name to all its values, in order. Raises
+    :class:`sardinepier.core.errors.InvalidArgumentError` when the query is
+    invalid.
     """
     if not fields:
         return WHOLE
-    named = fields.get(_PART, ())
-    parts = _parse_number(_only(fields.get(_PARTS, ())))
-    numbers = [_parse_number(one) for one in named if one != _DAEMONS]
-    return share_of(parts, numbers, has_daemons=_DAEMONS in named)
+    chosen = fields.get(_PART, ())
+    parts = _parse_number(_single_value(fields.get(_PARTS, ())))
+    numbers = [_parse_number(part) for part in chosen if part != _DAEMONS]
+    return share_of(parts, numbers, has_daemons=_DAEMONS in chosen)
 
 
-def _only(values: Sequence[str]) -> str:
+def _single_value(values: Sequence[str]) -> str:
     return values[0] if len(values) == 1 else ''
 
 
 def _parse_number(text: str) -> int:
     is_number = text.isascii() and text.isdigit()
-    if is_number and len(text) <= _MOST_DIGITS:
+    if is_number and len(text) <= _MAX_DIGITS:
         return int(text)
     raise core_errors.InvalidArgumentError(
-        'The query for the instance list has no number where one must be',
-        'Ask like ?parts=18&part=3&part=12, or ?parts=1&part=daemons',
+        'The query for the instance list lacks a valid number',
+        'Use a query like ?parts=18&part=3&part=12 or ?parts=1&part=daemons',
     )
 
 
@@ -120,8 +120,8 @@
     if parts in range(1, MAX_PARTS + 1):
         return
     raise core_errors.InvalidArgumentError(
-        f'The instance list is asked for in {parts} parts',
-        f'Ask for 1 to {MAX_PARTS} parts',
+        f'The instance list cannot be partitioned into {parts} parts',
+        f'Request 1 to {MAX_PARTS} parts',
     )
 
 
@@ -129,6 +129,6 @@
     if number in range(parts):
         return
     raise core_errors.InvalidArgumentError(
-        f'There is no part {number} of {parts}',
+        f'Part {number} of {parts} does not exist',
         f'Number the parts from 0 to {parts - 1}',
     )
--- a/libraries/platform/tests/conformance/test_platform_contract.py
+++ b/libraries/platform/tests/conformance/test_platform_contract.py
@@ -1,4 +1,4 @@
-"""Every client of the platform keeps the contract of the interface."""
+"""The contract of the platform interface, run against every client."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
         return self
 
     async def __aexit__(self, *_):
-        """Nothing is open."""
+        """Nothing needs closing."""
 
 
 class _Http(_Memory):
@@ -65,15 +65,15 @@
 def test_clients_show_each_file_as_last_published(kind, changes):
     async def check():
         async with kind() as platform:
-            held = {}
+            published = {}
             for name, text in changes:
-                change = platform.standin
+                standin = platform.standin
                 revision = (
-                    change.delete(name)
+                    standin.delete(name)
                     if text is None
-                    else change.publish(name, text)
+                    else standin.publish(name, text)
                 )
-                held[name] = (revision, text)
+                published[name] = (revision, text)
             listing = await platform.client.list_files()
             assert listing.revision == len(changes)
             assert {
@@ -81,9 +81,9 @@
                 for entry in listing.files
             } == {
                 (name, revision, text is None)
-                for name, (revision, text) in held.items()
+                for name, (revision, text) in published.items()
             }
-            for name, expected in held.items():
+            for name, expected in published.items():
                 assert await _read(platform.client, name, expected) == expected
 
     asyncio.run(check())
@@ -94,15 +94,15 @@
         with pytest.raises(errors.PlatformFileMissingError):
             await client.read_file(name)
         return expected
-    read = await client.read_file(name)
-    return (read.revision, read.text)
+    published = await client.read_file(name)
+    return (published.revision, published.text)
 
 
 @_ALL
-async def test_watch_returns_on_a_change_and_as_it_is_when_late(kind):
+async def test_watch_returns_on_a_change_or_at_its_timeout(kind):
     async with kind() as platform:
-        quiet = await platform.client.watch_files(0, 0.01)
-        assert quiet.revision == 0
+        unchanged = await platform.client.watch_files(0, 0.01)
+        assert unchanged.revision == 0
         waiting = asyncio.create_task(platform.client.watch_files(0, 30))
         await asyncio.sleep(0.05)
         assert not waiting.done()
@@ -112,7 +112,7 @@
 
 
 @_ALL
-async def test_instance_list_of_thousands_of_targets_fits(kind):
+async def test_an_instance_list_of_thousands_of_targets_is_read(kind):
     async with kind() as platform:
         targets = tuple(
             interface.ListedTarget(
@@ -143,10 +143,14 @@
     services=st.sets(st.text(max_size=9), min_size=1, max_size=12),
     parts=st.integers(min_value=1, max_value=8),
 )
-def test_parts_have_each_target_once_and_change_alone(kind, services, parts):
+def test_each_target_is_in_one_part_and_changes_only_that_part(
+    kind, services, parts
+):
     async def read_all(client):
-        asked = [shares.share_of(parts, (number,)) for number in range(parts)]
-        return [await client.list_instances(share) for share in asked]
+        requested = [
+            shares.share_of(parts, (number,)) for number in range(parts)
+        ]
+        return [await client.list_instances(share) for share in requested]
 
     async def check():
         async with kind() as platform:
@@ -155,8 +159,8 @@
             publish = platform.standin.set_instances
             publish(interface.InstanceList(targets, (daemon,)))
             before = await read_all(platform.client)
-            found = [target for part in before for target in part.targets]
-            assert sorted(found, key=targets.index) == list(targets)
+            listed = [target for part in before for target in part.targets]
+            assert sorted(listed, key=targets.index) == list(targets)
             assert not any(part.daemons for part in before)
             daemons = await platform.client.list_instances(shares.DAEMONS)
             assert (daemons.targets, daemons.daemons) == ((), (daemon,))
@@ -164,8 +168,8 @@
             publish(interface.InstanceList((changed, *targets[1:]), (daemon,)))
             after = await read_all(platform.client)
             number = shares.part_of(changed.service, parts)
-            for other in set(range(parts)) - {number}:
-                assert before[other] == after[other]
+            for unchanged in set(range(parts)) - {number}:
+                assert before[unchanged] == after[unchanged]
             assert changed in after[number].targets
             whole = await platform.client.list_instances()
             assert len(whole.targets) == len(services)
@@ -178,7 +182,7 @@
     'share',
     [shares.WHOLE, shares.share_of(18, (12, 3), has_daemons=True)],
 )
-async def test_share_is_the_same_object_until_it_changes(kind, share):
+async def test_a_share_is_the_same_object_until_it_changes(kind, share):
     async with kind() as platform:
 
         async def publish(*targets):
@@ -193,15 +197,15 @@
         listed = await publish(*targets)
         assert listed is await platform.client.list_instances(share)
         assert platform.standin.counts.instances == 4
-        covered = [one for one in targets if share.covers(one.service)]
+        covered = [target for target in targets if share.covers(target.service)]
         assert (listed.targets, listed.daemons) == (tuple(covered), (daemon,))
         assert (listed.share, share.chosen) in {
             (shares.WHOLE, (0,)),
             (share, (3, 12)),
         }
-        # The tag follows the share: a change elsewhere is none here.
-        elsewhere = [one for one in targets if one not in covered]
-        assert listed is await publish(*covered, *elsewhere[1:])
+        # The tag is that of the share: changes outside it do not matter.
+        not_covered = [target for target in targets if target not in covered]
+        assert listed is await publish(*covered, *not_covered[1:])
         leaving = msgspec.structs.replace(
             covered[0], state=interface.ListedState.LEAVING
         )
@@ -210,7 +214,7 @@
 
 
 @_ALL
-async def test_stale_platform_serves_the_earlier_state(kind):
+async def test_a_stale_platform_serves_an_earlier_state(kind):
     async with kind() as platform:
         platform.standin.publish(_FLEET, 'old')
         platform.standin.publish(_FLEET, 'new')
@@ -221,17 +225,17 @@
 
 
 @_ALL
-async def test_garbled_platform_keeps_revisions_but_not_texts(kind):
+async def test_a_garbled_platform_serves_wrong_texts_with_right_revisions(kind):
     async with kind() as platform:
         platform.standin.publish(_FLEET, 'text')
         platform.standin.set_mode(platform_standin.PlatformMode.GARBLED)
-        read = await platform.client.read_file(_FLEET)
-        assert (read.revision, read.text) == (1, '<rubbish>')
+        garbled = await platform.client.read_file(_FLEET)
+        assert (garbled.revision, garbled.text) == (1, '<rubbish>')
 
 
 @_ALL
 @pytest.mark.parametrize('mode', sorted(_FAULTS))
-async def test_each_fault_is_one_typed_error_and_then_over(kind, mode):
+async def test_each_fault_raises_a_typed_error_until_it_ends(kind, mode):
     async with kind() as platform:
         platform.standin.publish(_FLEET, 'text')
         platform.standin.set_mode(platform_standin.PlatformMode(mode))
@@ -250,7 +254,7 @@
 
 
 @_ALL
-async def test_a_fault_ends_a_watch_that_already_waits(kind):
+async def test_a_fault_ends_a_waiting_watch(kind):
     async with kind() as platform:
         waiting = asyncio.create_task(platform.client.watch_files(0, 30))
         await asyncio.sleep(0.05)
--- a/libraries/platform/tests/cover/test_platform_http_replies.py
+++ b/libraries/platform/tests/cover/test_platform_http_replies.py
@@ -1,4 +1,4 @@
-"""The HTTP client takes nothing from a reply that breaks its promises."""
+"""The HTTP client rejects replies that do not conform to the interface."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 async def _serve(raw):
-    """Listen and answer every connection with the same raw bytes."""
+    """Start a server that answers every request with ``raw``."""
 
     async def answer(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
@@ -60,7 +60,7 @@
             b'HTTP/1.1 302 X\r\nLocation: /\r\n\r\n',
             errors.PlatformReplyError,
         ),
-        # Without a length nothing tells a whole body from half of one.
+        # Without a length a whole body cannot be distinguished from half of it.
         (_reply([b'Revision: 1'], b'half'), errors.PlatformReplyError),
         (
             _reply([b'Revision: 1', b'Content-Length: 9'], b'half'),
@@ -92,7 +92,7 @@
         ),
     ],
 )
-async def test_broken_reply_to_a_read_is_a_typed_error(raw, error):
+async def test_an_invalid_reply_to_a_read_raises_a_typed_error(raw, error):
     server, url = await _serve(raw)
     client = _client(url)
     with pytest.raises(error):
@@ -101,14 +101,14 @@
     server.close()
 
 
-_OUTSIDE = (
+_SHARE_REPLY = (
     b'{"targets": [{"service": "a", "target_id": "w", "incarnation": "1",'
     b'"state": "live"}], "share": {"parts": 2, "chosen": [%d]}}'
 )
 
 
 @pytest.mark.parametrize(
-    ('body', 'is_good'),
+    ('body', 'is_valid'),
     [
         (b'{"targets": [], "daemons": []}', False),
         (
@@ -116,21 +116,23 @@
             False,
         ),
         (b'{"share": {"parts": 0, "chosen": [0]}}', False),
-        (_OUTSIDE % shares.part_of('a', 2), True),
-        (_OUTSIDE % (1 - shares.part_of('a', 2)), False),
+        (_SHARE_REPLY % shares.part_of('a', 2), True),
+        (_SHARE_REPLY % (1 - shares.part_of('a', 2)), False),
     ],
 )
-async def test_answer_for_another_share_is_refused(body, is_good):
+async def test_an_answer_for_another_share_is_rejected(body, is_valid):
     length = b'Content-Length: %d' % len(body)
     server, url = await _serve(_reply([length], body))
     client = _client(url)
-    chosen = [shares.part_of('a', 2) if is_good else 1 - shares.part_of('a', 2)]
-    asked = shares.share_of(2, chosen, has_daemons=True)
-    if is_good:
-        assert (await client.list_instances(asked)).share == asked
+    chosen = [
+        shares.part_of('a', 2) if is_valid else 1 - shares.part_of('a', 2)
+    ]
+    requested = shares.share_of(2, chosen, has_daemons=True)
+    if is_valid:
+        assert (await client.list_instances(requested)).share == requested
     else:
         with pytest.raises(errors.PlatformReplyError):
-            await client.list_instances(asked)
+            await client.list_instances(requested)
     await client.close()
     server.close()
 
@@ -145,7 +147,7 @@
         'parts=x&part=0',
     ],
 )
-async def test_query_that_names_no_share_is_refused(query):
+async def test_an_invalid_share_query_is_rejected(query):
     standin = platform_standin.PlatformStandin()
     url = await standin.start()
     async with aiohttp.ClientSession() as session:
@@ -155,7 +157,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_arbitrary_bytes_are_never_another_exception(raw):
+def test_arbitrary_bytes_only_raise_platform_errors(raw):
     async def check():
         server, url = await _serve(raw)
         client = _client(url)
@@ -167,23 +169,23 @@
     asyncio.run(check())
 
 
-async def test_next_call_goes_to_the_next_address_after_a_failure():
+async def test_the_next_call_goes_to_the_next_address_after_a_failure():
     down = platform_standin.PlatformStandin()
     down.set_mode(platform_standin.PlatformMode.DOWN)
-    good = platform_standin.PlatformStandin()
-    client = _client(await down.start(), await good.start())
+    working = platform_standin.PlatformStandin()
+    client = _client(await down.start(), await working.start())
     with pytest.raises(errors.PlatformUnavailableError):
         await client.list_files()
-    # A library that sends again by itself would make this two calls.
+    # An HTTP library that retries by itself would make two calls.
     assert down.counts.total == 1
     await client.list_files()
     await client.list_instances()
-    assert (down.counts.total, good.counts.total) == (1, 2)
+    assert (down.counts.total, working.counts.total) == (1, 2)
     await client.close()
-    await asyncio.gather(down.stop(), good.stop())
+    await asyncio.gather(down.stop(), working.stop())
 
 
-async def test_calls_beyond_the_budget_are_never_made():
+async def test_calls_over_the_rate_limit_are_not_made():
     standin = platform_standin.PlatformStandin()
     client = _client(await standin.start(), reads_per_s=0.01, burst=2)
     await client.watch_files(0, 0)
@@ -203,7 +205,7 @@
     st.floats(min_value=0.1, max_value=50),
     st.integers(min_value=1, max_value=5),
 )
-def test_bucket_never_lets_more_through_than_rate_and_burst(
+def test_a_token_bucket_never_exceeds_its_rate_and_burst(
     pauses, rate_per_s, burst
 ):
     manual = clock.ManualClock()
@@ -221,7 +223,7 @@
 
 
 @pytest.mark.parametrize('urls', [(), ('10.0.0.1:80',), ('ftp://a',)])
-def test_malformed_addresses_are_refused_at_once(urls):
+def test_malformed_addresses_are_rejected_at_construction(urls):
     with pytest.raises(core_errors.InvalidArgumentError):
         _client(*urls)
 
@@ -230,7 +232,9 @@
     ('rate_per_s', 'burst'),
     [(0, 5), (-1, 5), (float('nan'), 5), (float('inf'), 5), (1, 0)],
 )
-def test_senseless_budget_is_refused_at_once(rate_per_s, burst):
+def test_invalid_rates_and_bursts_are_rejected_at_construction(
+    rate_per_s, burst
+):
     with pytest.raises(core_errors.InvalidArgumentError):
         _client('http://a', reads_per_s=rate_per_s, burst=burst)
     if burst:
--- a/libraries/wire/src/sardinepier/wire/memory_network.py
+++ b/libraries/wire/src/sardinepier/wire/memory_network.py
@@ -21,8 +21,9 @@
 class LinkFaults:
     """Faults that messages are subject to.
 
-    ``loss`` and ``duplicate`` are probabilities. ``reorder_s`` is the maximum
-    of a random delay of each message, so that later ones overtake it.
+    ``loss`` and ``duplicate`` are probabilities from 0.0 to 1.0. ``reorder_s``
+    is the maximum of a random delay of each message, so that later ones
+    overtake it.
     """
 
     loss: float = 0.0
