--- a/libraries/platform/src/sardinepier/platform/http_platform.py
+++ b/libraries/platform/src/sardinepier/platform/http_platform.py
@@ -32,7 +32,7 @@
 _MS_PER_S: Final = 1000
 _REVISION_HEADER: Final = 'Revision'
 _MAX_REVISION_DIGITS: Final = 18
-_ENCODING_OVERHEAD_BYTES: Final = 65536
+_OVERHEAD_BYTES: Final = 65536
 _QUOTED_CHARACTERS: Final = 32
 _NO_HEADERS: Final[Mapping[str, str]] = {}
 _CHECK_ADDRESS: Final = 'Check what answers at the configured platform address'
@@ -50,9 +50,7 @@
 
     call_timeout_s: float = 3.0
     burst: int = 5
-    file_limit_bytes: int = (
-        interface.FILE_LIMIT_BYTES + _ENCODING_OVERHEAD_BYTES
-    )
+    file_limit_bytes: int = interface.FILE_LIMIT_BYTES + _OVERHEAD_BYTES
     instances_limit_bytes: int = 8 * interface.FILE_LIMIT_BYTES
 
 
--- a/libraries/telemetry/src/sardinepier/telemetry/internal/line_stream.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/line_stream.py
@@ -15,7 +15,7 @@
 """A writable pipe accepts this many bytes without blocking."""
 
 _MAX_BUFFERED_BYTES: Final = 262144
-"""Bytes buffered of routine and of other lines each.
+"""Size limit of each buffer, for routine and for other lines.
 
 A busy daemon writes this much in ten seconds.
 """
--- a/libraries/telemetry/src/sardinepier/telemetry/internal/log_lines.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/log_lines.py
@@ -69,9 +69,9 @@
         if lost_count:
             self._report_lost(line, lost_count)
 
-    def _report_lost(self, last: _Line, lost_count: int) -> None:
+    def _report_lost(self, line: _Line, lost_count: int) -> None:
         report = msgspec.structs.replace(
-            last,
+            line,
             level=_LOST_LEVEL,
             event=_LOST_EVENT,
             message='',
--- a/libraries/telemetry/src/sardinepier/telemetry/metrics.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/metrics.py
@@ -124,7 +124,7 @@
     def __init__(self, max_label_sets: int = DEFAULT_LABEL_SETS) -> None:
         """Keep up to ``max_label_sets`` label sets for each name.
 
-        Raises ``core.errors.InvalidArgumentError`` for a bound below 1.
+        Raises ``core.errors.InvalidArgumentError`` for a limit below 1.
         """
         _check_max_label_sets(max_label_sets)
         self._max_label_sets = max_label_sets
@@ -272,5 +272,5 @@
     if max_label_sets < 1:
         raise errors.InvalidArgumentError(
             f'A metric cannot keep {max_label_sets} label sets',
-            'Give a bound of at least 1',
+            'Give a limit of at least 1',
         )
--- a/libraries/wire/src/sardinepier/wire/errors.py
+++ b/libraries/wire/src/sardinepier/wire/errors.py
@@ -15,7 +15,7 @@
         """Describe the conflict in ``detail``."""
         super().__init__(
             f'The kinds of messages cannot share one codec: {detail}',
-            'Give each kind a class name of its own and typed fields',
+            'Give each kind a unique class name and typed fields',
         )
 
 
