--- a/libraries/daemon/src/sardinepier/daemon/entry_events.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_events.py
@@ -1,10 +1,10 @@
-"""What an entry instance writes to the log about its own life."""
+"""Log events of the lifecycle of an entry instance."""
 
 from sardinepier.telemetry import line_events
 
 
 class Started(line_events.LineEvent, frozen=True):
-    """The instance takes connections."""
+    """The instance accepts connections."""
 
     zone: str
     front: str
@@ -12,14 +12,18 @@
 
 
 class Stopping(line_events.LineEvent, frozen=True):
-    """SIGTERM came: not ready, out of the directory, requests are finished."""
+    """The instance received SIGTERM.
+
+    It reports that it is not ready, leaves the address directory and finishes
+    the requests in flight.
+    """
 
     in_hand: int
     grace_s: float
 
 
 class Stopped(line_events.LineEvent, frozen=True):
-    """The instance is done; ``in_hand`` requests were cut off."""
+    """The instance has stopped; ``in_hand`` requests were cut off."""
 
     in_hand: int
     peer_messages_sent: int
@@ -27,7 +31,7 @@
 
 
 class ConfigurationInForce(line_events.LineEvent, frozen=True):
-    """A newer configuration was taken."""
+    """The instance applied a newer configuration."""
 
     version: int
     routes: int
@@ -35,13 +39,13 @@
 
 
 class MemberChanged(line_events.LineEvent, frozen=True):
-    """Another daemon came, went or fell under suspicion."""
+    """The membership state of another daemon changed."""
 
     change: str
     member: str
 
 
 class SettingsReloaded(line_events.LineEvent, frozen=True):
-    """The settings file changed; its seeds are in use, as many as stated."""
+    """The settings file changed; ``seeds`` peer addresses from it are in use."""
 
     seeds: int
--- a/libraries/daemon/src/sardinepier/daemon/entry_process.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_process.py
@@ -1,4 +1,4 @@
-"""The life of one entry instance, from its settings to its exit."""
+"""Runs one entry instance, from its settings to its exit."""
 
 import asyncio
 import contextlib
@@ -40,31 +40,33 @@
     zone_load,
 )
 
-_DIRECTORY_S: Final = 1.0
-"""How long callers are told to keep an answer: a lost carrier costs the
-requests of this time, and a shorter one costs the directory more answers."""
+_DIRECTORY_LIFETIME_S: Final = 1.0
+"""For how long callers may cache the addresses that the directory returns.
+Callers keep sending to a failed carrier for up to this long; a shorter time
+means more requests to the directory."""
 
-_RETRY_MARGIN: Final = 0.9
-"""Share of the fleet's retry budget that is used, as windows slide."""
+_RETRY_RATIO_SHARE: Final = 0.9
+"""Fraction of the allowed retry ratio that is used. The ratio must hold in
+every sliding window, which needs a margin."""
 
 _REVOCATION_MARGIN_S: Final = 0.1
-"""Of the time in which a key has to stop working, for clocks that differ in
-their pace."""
+"""Deducted from the time within which a withdrawn key must stop working,
+because clocks run at slightly different rates."""
 
-_UPKEEP_S: Final = 0.5
+_MAINTENANCE_INTERVAL_S: Final = 0.5
 
 _PERCENT: Final = 100
-_CLOSING_S: Final = 0.8
-"""What is left of the time to exit for closing connections: on a busy
-instance that takes half a second."""
+_CLOSE_RESERVE_S: Final = 0.8
+"""Part of the grace time reserved for closing connections, which takes half a
+second on a busy instance."""
 
 _STALE_DIRECTORY_FACTOR: Final = 3
-"""Some callers keep a directory answer so many times longer."""
+"""Some callers cache a directory answer for this multiple of its lifetime."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryPages:
-    """Where the pages beside the request path stand, and their form."""
+    """Paths of the pages outside the request path, and their address format."""
 
     directory_path: str = '/v1/addresses'
     ready_path: str = '/v1/ready'
@@ -82,7 +84,7 @@
         daemon = EntryDaemon(settings, source, EntryPages())
         await daemon.run()
 
-    ``run`` returns after a graceful exit, which SIGTERM begins.
+    ``run`` returns after a graceful exit, which SIGTERM or SIGINT begins.
     """
 
     def __init__(
@@ -91,22 +93,22 @@
         source: platform_state.PublishedState,
         entry_pages: EntryPages,
     ) -> None:
-        """Keep the settings; nothing is opened yet."""
+        """Build the parts of the instance; nothing is opened yet."""
         self._settings = settings
         self._pages = entry_pages
         self._clock = clocks.SystemClock()
         self._random = random.Random()
         self._activity = active_requests.ActiveRequests()
         self._stop = asyncio.Event()
-        self._tasks = task_set.TaskSet(self._part_failed)
+        self._tasks = task_set.TaskSet(self._on_task_failure)
         self._services = service_registry.ServiceRegistry(
             settings.zone,
             self._clock,
             self._random,
-            _PERCENT * settings.bounds.retry_ratio * _RETRY_MARGIN,
+            _PERCENT * settings.bounds.retry_ratio * _RETRY_RATIO_SHARE,
             failure_estimate.EstimateOptions(),
             settings.bounds.min_used_share,
-            _confirmed_within_s(settings.bounds),
+            _max_confirmation_age_s(settings.bounds),
             settings.bounds.leeway,
         )
         self._instance_id = identity.new_instance_id(
@@ -128,7 +130,7 @@
             self._membership,
             self._clock,
         )
-        self._burst = burst_share.BurstShare(
+        self._burst_share = burst_share.BurstShare(
             self._clock,
             settings.bounds.zones,
             settings.bounds.retry_burst,
@@ -143,9 +145,9 @@
             zone_load.ZoneLoad(self._clock, self._activity),
             self._clock,
             self._random,
-            _tell_configuration,
+            _log_configuration,
         )
-        self._reading = platform_reader.PlatformReader(
+        self._platform_reader = platform_reader.PlatformReader(
             source,
             self._services,
             self._carriers,
@@ -154,7 +156,7 @@
             self._clock,
             self._random,
         )
-        self._services.on_outcome = self._outcome_seen
+        self._services.on_outcome = self._on_outcome
         self._services.confirmation.on_wait = self._sharing.request_early_beat
 
     def stop(self) -> None:
@@ -162,108 +164,110 @@
         self._stop.set()
 
     def set_seeds(self, seeds: Sequence[messages.PeerAddress]) -> None:
-        """Replace the peer addresses to begin with."""
+        """Replace the peer addresses that the membership starts from."""
         self._membership.seed(seeds)
 
     async def run(self) -> None:
         """Serve until stopped."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
+        for exit_signal in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(exit_signal, self.stop)
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._tasks.cancel)
             await self._serve(stack)
         if self._tasks.failure is not None:
             raise self._tasks.failure
-        counted = self._network.counters()
+        counters = self._network.counters()
         logs.write(
             entry_events.Stopped(
                 in_hand=self._activity.in_flight,
-                peer_messages_sent=counted.messages_sent,
-                peer_bytes_sent=counted.bytes_sent,
+                peer_messages_sent=counters.messages_sent,
+                peer_bytes_sent=counters.bytes_sent,
             ),
         )
 
     async def _serve(self, stack: contextlib.AsyncExitStack) -> None:
         self._network.open()
         self._membership.seed(self._settings.seeds)
-        shared = entry_parts.build_context(
+        request_context = entry_parts.build_context(
             self._settings.names,
             self._services,
             self._activity,
             self._clock,
         )
-        stack.push_async_callback(shared.client.close)
-        self._start_tasks(shared.decision_log)
-        answering = pipeline.Pipeline(shared)
-        front = caller_server.HttpServer(
-            answering.handle,
+        stack.push_async_callback(request_context.client.close)
+        self._start_tasks(request_context.decision_log)
+        request_pipeline = pipeline.Pipeline(request_context)
+        front_server = caller_server.HttpServer(
+            request_pipeline.handle,
             self._bounds,
-            answering.start_pipelined,
+            request_pipeline.start_pipelined,
         )
-        await front.start(self._settings.front.ip, self._settings.front.port)
-        figures = entry_metrics.EntryMetrics(
-            shared.metrics,
+        await front_server.start(
+            self._settings.front.ip, self._settings.front.port
+        )
+        page_metrics = entry_metrics.EntryMetrics(
+            request_context.metrics,
             self._services,
             self._activity,
             self._guard,
             self._carriers,
             self._membership,
-            self._reading,
+            self._platform_reader,
         )
-        beside = await self._listen_beside(figures)
+        opened_pages = await self._open_pages(page_metrics)
         logs.write(entry_parts.started(self._settings))
         gc.collect()
         gc.freeze()
         await self._stop.wait()
-        await self._depart(front, beside)
+        await self._shut_down(front_server, opened_pages)
 
-    def _start_tasks(self, told: decision_log.DecisionLog) -> None:
+    def _start_tasks(self, decisions: decision_log.DecisionLog) -> None:
         self._tasks.start(self._network.run())
         self._tasks.start(self._membership.run())
         self._tasks.start(self._sharing.run())
-        self._tasks.start(self._upkeep(told))
-        self._tasks.start(self._reading.run())
+        self._tasks.start(self._maintain(decisions))
+        self._tasks.start(self._platform_reader.run())
 
-    async def _listen_beside(
+    async def _open_pages(
         self,
-        figures: entry_metrics.EntryMetrics,
+        page_metrics: entry_metrics.EntryMetrics,
     ) -> page_servers.PageServers:
-        beside = page_servers.PageServers(self._bounds)
+        opened_pages = page_servers.PageServers(self._bounds)
         directory = pages.Directory(
             self._addresses,
-            min(_DIRECTORY_S, self._settings.bounds.directory_s),
+            min(_DIRECTORY_LIFETIME_S, self._settings.bounds.directory_s),
             self._pages.encode_addresses,
         )
-        await beside.open(
+        await opened_pages.open(
             pages.Page(self._pages.directory_path, directory.answer),
             self._settings.directory,
         )
         readiness = pages.Readiness(self._is_ready)
-        await beside.open(
+        await opened_pages.open(
             pages.Page(self._pages.ready_path, readiness.answer),
             self._settings.ready,
         )
-        await beside.open_if_free(
+        await opened_pages.open_if_free(
             pages.Page(
                 self._pages.metrics_path,
-                pages.MetricsPage(figures.text).answer,
+                pages.MetricsPage(page_metrics.text).answer,
             ),
             self._settings.metrics,
         )
-        return beside
+        return opened_pages
 
-    async def _depart(
+    async def _shut_down(
         self,
-        front: caller_server.HttpServer,
-        beside: page_servers.PageServers,
+        front_server: caller_server.HttpServer,
+        opened_pages: page_servers.PageServers,
     ) -> None:
-        """Leave without cutting a request.
+        """Leave the fleet without cutting off a request.
 
-        Answers of the directory name this instance for a while, so that it
-        still serves whoever comes, and asks them to close.
+        Cached directory answers name this instance for a while. Until they
+        expire, it accepts connections and asks callers to close them.
         """
-        until_s = self._clock.monotonic_s() + self._settings.bounds.grace_s
+        deadline_s = self._clock.monotonic_s() + self._settings.bounds.grace_s
         logs.write(
             entry_events.Stopping(
                 in_hand=self._activity.in_flight,
@@ -272,35 +276,35 @@
         )
         self._activity.begin_draining()
         self._membership.announce_leaving()
-        notice_s = _STALE_DIRECTORY_FACTOR * _DIRECTORY_S
+        notice_s = _STALE_DIRECTORY_FACTOR * _DIRECTORY_LIFETIME_S
         latest_s = self._settings.bounds.grace_s / 2
         await asyncio.sleep(min(notice_s, latest_s))
-        front.stop_listening()
-        left_s = until_s - _CLOSING_S - self._clock.monotonic_s()
+        front_server.stop_listening()
+        left_s = deadline_s - _CLOSE_RESERVE_S - self._clock.monotonic_s()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.0, left_s)):
                 await self._activity.wait_until_idle()
-        left_s = until_s - self._clock.monotonic_s() - _CLOSING_S / 2
-        await front.close(max(0.0, left_s))
-        await beside.close()
+        left_s = deadline_s - self._clock.monotonic_s() - _CLOSE_RESERVE_S / 2
+        await front_server.close(max(0.0, left_s))
+        await opened_pages.close()
 
-    async def _upkeep(self, told: decision_log.DecisionLog) -> None:
+    async def _maintain(self, decisions: decision_log.DecisionLog) -> None:
         while True:
-            self._share_burst()
-            told.log_dropped()
-            await asyncio.sleep(_UPKEEP_S)
+            self._update_retry_burst()
+            decisions.log_dropped()
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
 
-    def _share_burst(self) -> None:
-        """Use the zone's part of the burst while this daemon carries it."""
-        part = self._burst.part(
+    def _update_retry_burst(self) -> None:
+        """Use this daemon's share of the retry burst while it is a carrier."""
+        share = self._burst_share.part(
             is_carrier=self._carriers.is_carrier(),
             count=self._carriers.count,
             living=1 + len(self._carriers.zone_peers()),
         )
-        self._services.set_retry_burst(part)
+        self._services.set_retry_burst(share)
 
-    def _outcome_seen(self, is_good: bool) -> None:
-        if not is_good:
+    def _on_outcome(self, is_success: bool) -> None:
+        if not is_success:
             self._sharing.request_early_beat()
 
     def _addresses(self, zone: ids.ZoneName) -> Sequence[str]:
@@ -312,26 +316,28 @@
     def _is_ready(self) -> bool:
         if self._activity.is_draining or self._stop.is_set():
             return False
-        held = self._services
-        return held.configuration is not None and held.targets is not None
+        services = self._services
+        return (
+            services.configuration is not None and services.targets is not None
+        )
 
     def _bounds(self) -> model.CallerBounds:
         configuration = self._services.configuration
         return configuration.bounds if configuration else model.CallerBounds()
 
-    def _part_failed(self, failure: BaseException) -> None:
+    def _on_task_failure(self, failure: BaseException) -> None:
         logs.failure('part-failed', failure, level=logs.Level.ERROR)
         self.stop()
 
 
-def _confirmed_within_s(bounds: entry_settings.EntryBounds) -> float | None:
-    """Return how old a confirmation may be, None for no need of any."""
+def _max_confirmation_age_s(bounds: entry_settings.EntryBounds) -> float | None:
+    """Return the maximum age of a confirmation, or None if none is needed."""
     if bounds.revocation_s is None:
         return None
     return bounds.revocation_s - _REVOCATION_MARGIN_S
 
 
-def _tell_configuration(configuration: model.ServedConfiguration) -> None:
+def _log_configuration(configuration: model.ServedConfiguration) -> None:
     logs.write(
         entry_events.ConfigurationInForce(
             version=configuration.version,
--- a/libraries/daemon/src/sardinepier/daemon/entry_settings.py
+++ b/libraries/daemon/src/sardinepier/daemon/entry_settings.py
@@ -1,4 +1,4 @@
-"""What one entry instance has to know before it starts."""
+"""Settings of one entry instance."""
 
 import dataclasses
 
@@ -11,18 +11,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryBounds:
-    """The figures that an installation sets.
-
-    ``directory_s`` is how long callers may keep a directory answer at most.
-    ``grace_s`` is how long the process may live after SIGTERM.
-    ``retry_ratio`` bounds further attempts as a fraction of the requests of
-    a service over the whole fleet, and ``retry_burst`` what may come on top
-    within ten seconds. ``zones`` is how many share that.
-    ``min_used_share``, 0 to 1, is how many of a service's sound targets have to
-    get requests within two seconds while others fail. ``revocation_s`` is how
-    long after a key was withdrawn requests may still come through with it, at
-    daemons that are cut off too; None sets no bound for those. ``leeway`` is by
-    how much the limits of customers may be exceeded over the whole fleet.
+    """Limits that an installation sets.
+
+    ``directory_s`` is the longest time for which callers may cache a directory
+    answer. ``grace_s`` is how long the process may live after SIGTERM.
+    ``retry_ratio`` limits the attempts after the first to a fraction of the
+    requests of a service over the whole fleet. ``retry_burst`` is how many may
+    be added within ten seconds, and ``zones`` how many zones share them.
+    ``min_used_share``, 0 to 1, is the fraction of a service's healthy targets
+    that must get requests within two seconds while other targets fail.
+    ``revocation_s`` is how long requests with a withdrawn key may still be
+    served, also by daemons that are cut off; None sets no limit for those.
+    ``leeway`` is by how much the limits of customers may be exceeded over the
+    whole fleet.
     """
 
     directory_s: float = 5.0
@@ -39,13 +40,13 @@
 class EntrySettings:
     """Names and addresses of one entry instance.
 
-    ``front`` is where callers connect, ``peer`` where other daemons send,
-    ``directory`` where callers ask for addresses and ``ready`` where the
-    platform asks whether this instance is ready, and ``metrics`` where its
-    figures are read; the last three may be absent.
-    ``seeds`` are the peer addresses of daemons to begin with. ``names``
-    are the headers in use. ``capacity`` is what the instance may use of its
-    processor and its link.
+    ``front`` is the address for callers, ``peer`` the one for other daemons,
+    ``directory`` the one where callers request addresses, ``ready`` the one
+    where the platform checks readiness and ``metrics`` the one where metrics
+    are read; the last three may be absent. ``seeds`` are the peer addresses
+    that the membership starts from. ``names`` are the names of the headers.
+    ``capacity`` is what the instance may use of its processor and its network
+    link.
     """
 
     daemon_id: ids.DaemonId
--- a/libraries/daemon/src/sardinepier/daemon/errors.py
+++ b/libraries/daemon/src/sardinepier/daemon/errors.py
@@ -1,10 +1,10 @@
-"""What can go wrong while a daemon starts or runs."""
+"""Errors of a daemon's start and operation."""
 
 from sardinepier.core import errors
 
 
 class DaemonError(errors.SardinepierError):
-    """Base of the daemon's own failures."""
+    """Base class of the daemon's own errors."""
 
 
 class HttpPortError(DaemonError):
--- a/libraries/daemon/src/sardinepier/daemon/internal/assembly.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/assembly.py
@@ -1,4 +1,4 @@
-"""Puts one daemon together from the libraries."""
+"""Builds the parts of a daemon that need no configuration."""
 
 import dataclasses
 import functools
@@ -29,10 +29,10 @@
 )
 from sardinepier.wire import hooks, messages, zmq_network
 
-# Until the fleet file says how many there may be: a daemon that starts without
-# peers has to read all files from the platform.
+# The limit until the fleet file sets one. A daemon that starts without peers
+# reads all files from the platform.
 _PLATFORM_READS_PER_S: Final = 20.0
-_SEED_BITS: Final = 64
+_RANDOM_SEED_BITS: Final = 64
 _Kinds = tuple[type[messages.Message], ...]
 _KINDS: Final[_Kinds] = (
     *kinds.KINDS,
@@ -43,18 +43,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recorder:
-    """Writes each event into the time line and the log."""
+    """Writes each event to the time line and to the log."""
 
     timeline: timeline.Timeline
 
     def record(self, event: events.Event) -> None:
-        """Record an event of the time line's own kinds."""
+        """Record a time-line event."""
         logs.timeline_entry(self.timeline.record(event))
 
     def file_changed(self, event: file_events.FileEvent) -> None:
-        """Record what became of a file or of the platform."""
-        # Every kind of file event is one of the time line's kinds; only the
-        # type of the shared base does not say so.
+        """Record an event of a configuration file or of the platform."""
+        # Each subclass of FileEvent is a time-line event, which the type of
+        # the base class does not express.
         self.record(cast(events.Event, event))
 
     def member_changed(self, event: membership_events.MemberEvent) -> None:
@@ -67,8 +67,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Foundation:
-    """All parts that work before any configuration is known."""
+class CoreParts:
+    """The parts that work before any configuration is known."""
 
     settings: model.InstanceSettings
     instance_id: ids.InstanceId
@@ -84,13 +84,15 @@
     distributor: distributors.Distributor
 
 
-def build_foundation(settings: model.InstanceSettings) -> Foundation:
-    """Open the port for peers and build what needs no configuration.
+def build_core(settings: model.InstanceSettings) -> CoreParts:
+    """Open the port for peers and build the parts without configuration.
 
     Raises ``wire.errors.PortInUseError`` or ``AddressUnavailableError``.
     """
     clock = clocks.SystemClock()
-    random_source = random.Random(random.SystemRandom().getrandbits(_SEED_BITS))
+    random_source = random.Random(
+        random.SystemRandom().getrandbits(_RANDOM_SEED_BITS)
+    )
     instance_id = identity.new_instance_id(
         settings.daemon_id,
         random.SystemRandom(),
@@ -99,8 +101,8 @@
     network = _open_network(settings, instance_id, clock, recorder)
     store = stores.Store()
     own = _own_member(settings, instance_id, clock, network)
-    # The distributor listens to marks and the membership gives them; either
-    # needs the other, so the marks reach it through the late binding here.
+    # The membership passes the marks of its peers to the distributor, which
+    # needs the membership itself. The relay breaks this cycle.
     marks = _MarkRelay()
     fleet = membership.Membership(
         own,
@@ -129,7 +131,7 @@
         recorder.file_changed,
     )
     marks.distributor = distributor
-    return Foundation(
+    return CoreParts(
         settings=settings,
         instance_id=instance_id,
         started_at_s=own.started_at_s,
@@ -146,7 +148,7 @@
 
 
 class _MarkRelay:
-    """Hands marks on to the distributor once there is one."""
+    """Passes configuration marks to the distributor, which is created later."""
 
     def __init__(self) -> None:
         self.distributor: distributors.Distributor | None = None
@@ -156,7 +158,7 @@
         sender: messages.Sender,
         mark: configuration_marks.ConfigurationMark,
     ) -> None:
-        """Hand on a mark; one that comes too early comes again."""
+        """Pass a mark on, or drop it: peers send their marks repeatedly."""
         if self.distributor is not None:
             self.distributor.receive_mark(sender, mark)
 
@@ -182,23 +184,23 @@
         hooks.NetworkHooks(
             stamp_source=functools.partial(_stamp, recorder.timeline),
             on_stamp=functools.partial(_observe, recorder.timeline),
-            on_handler_failure=_handler_failed,
+            on_handler_failure=_on_handler_failure,
         ),
     )
     network.open()
     return network
 
 
-def _stamp(ring: timeline.Timeline) -> hooks.Stamp:
-    stamp = ring.stamp()
+def _stamp(daemon_timeline: timeline.Timeline) -> hooks.Stamp:
+    stamp = daemon_timeline.stamp()
     return stamp.wall_ms, stamp.logical
 
 
-def _observe(ring: timeline.Timeline, stamp: hooks.Stamp) -> None:
-    ring.observe(stamps.Stamp(*stamp))
+def _observe(daemon_timeline: timeline.Timeline, stamp: hooks.Stamp) -> None:
+    daemon_timeline.observe(stamps.Stamp(*stamp))
 
 
-def _handler_failed(message: messages.Message, error: Exception) -> None:
+def _on_handler_failure(message: messages.Message, error: Exception) -> None:
     logs.failure(
         'handler-failed',
         error,
--- a/libraries/daemon/src/sardinepier/daemon/internal/configuration_follower.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Puts each new configuration in force in what was built before."""
+"""Applies each new configuration to the running parts of the daemon."""
 
 import dataclasses
 from typing import Final
@@ -11,19 +11,19 @@
 from sardinepier.settings import model
 
 _MS_PER_S: Final = 1000
-_PAUSE_INTERVALS: Final = 3
+_PAUSE_HEARTBEATS: Final = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationFollower:
-    """Updates what is built from settings; requests keep what they have."""
+    """Updates the parts; requests in flight keep their configuration."""
 
     context: contexts.GatewayContext
     platform: http_platform.HttpPlatform
     membership: memberships.Membership
 
     def follow(self, configuration: model.Configuration) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         fleet = configuration.fleet
         self.context.services.update(configuration)
         self.context.ledger.set_options(
@@ -42,5 +42,5 @@
         heartbeat_interval_s=interval_s,
         monitored_peers=fleet.monitored_peers,
         suspicion_timeout_s=fleet.suspicion_timeout_ms / _MS_PER_S,
-        pause_gap_s=_PAUSE_INTERVALS * interval_s,
+        pause_gap_s=_PAUSE_HEARTBEATS * interval_s,
     )
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_metrics.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_metrics.py
@@ -1,4 +1,4 @@
-"""The figures that one entry instance shows, from all who know some."""
+"""The metrics page of an entry instance, collected from all its parts."""
 
 import dataclasses
 import math
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryMetrics:
-    """Where the figures come from."""
+    """Collects the metrics of the parts of an entry instance."""
 
     metrics: request_metrics.RequestMetrics
     services: service_registry.ServiceRegistry
@@ -20,10 +20,10 @@
     guard: expired_entries.ExpiredEntryGuard
     carriers: carriers.Carriers
     membership: membership.Membership
-    reading: platform_reader.PlatformReader
+    platform_reader: platform_reader.PlatformReader
 
     async def text(self) -> str:
-        """Return all figures as they are now."""
+        """Return the current metrics in the exposition format."""
         age_s = self.guard.age_s()
         confirmed_age_s = self.services.confirmation.age_s()
         gauges = (
@@ -40,7 +40,7 @@
             exposition.Gauge('is_carrier', self.carriers.is_carrier()),
             exposition.Gauge(
                 'unusable_entries',
-                self.reading.unusable_entries.count,
+                self.platform_reader.unusable_entries.count,
             ),
             exposition.Gauge('members', len(self.membership.members())),
         )
--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
@@ -1,4 +1,4 @@
-"""Builds the parts with which an entry instance knows its peers."""
+"""Builds the network, membership and request context of an entry instance."""
 
 import dataclasses
 import random
@@ -30,9 +30,9 @@
 from sardinepier.zones import messages as zone_messages
 
 _ZONE_PEERS: Final = 3
-"""Of the four peers that each daemon monitors, those in its own zone."""
+"""Of the four peers that each daemon monitors, how many are in its zone."""
 
-_MARK: Final = marks.ConfigurationMark(0, 0)
+_NO_CONFIGURATION: Final = marks.ConfigurationMark(0, 0)
 _Kinds = tuple[type[messages.Message], ...]
 _KINDS: Final[_Kinds] = (*kinds.KINDS, *zone_messages.KINDS)
 
@@ -53,7 +53,7 @@
 
 
 def started(settings: entry_settings.EntrySettings) -> entry_events.Started:
-    """Return what is told when the instance takes connections."""
+    """Return the event to log once the instance accepts connections."""
     return entry_events.Started(
         zone=settings.zone,
         front=f'{settings.front.ip}:{settings.front.port}',
@@ -63,19 +63,19 @@
 
 def build_context(
     names: header_names.HeaderNames,
-    held: service_registry.ServiceRegistry,
-    counted: active_requests.ActiveRequests,
+    services: service_registry.ServiceRegistry,
+    activity: active_requests.ActiveRequests,
     clock: clocks.Clock,
 ) -> context.EntryContext:
-    """Return what the request path works with, on a running event loop."""
+    """Return the context of the request path; needs a running event loop."""
     return context.EntryContext(
         clock=clock,
         names=names,
         client=client.TargetClient(),
-        services=held,
+        services=services,
         quarantine=quarantine.Quarantine(clock),
-        activity=counted,
-        decision_log=decision_log.DecisionLog(held, clock),
+        activity=activity,
+        decision_log=decision_log.DecisionLog(services, clock),
         metrics=request_metrics.RequestMetrics(),
         buffer_budget=buffer_budget.BufferBudget(),
     )
@@ -107,14 +107,14 @@
         clock,
         random_source,
         dataclasses.replace(options.FAST_START, zone_peers=_ZONE_PEERS),
-        lambda: _MARK,
+        lambda: _NO_CONFIGURATION,
         _ignore_mark,
-        _tell,
+        _log_member_change,
     )
 
 
-def _tell(event: events.MemberEvent) -> None:
-    # At debug: each daemon hears of each other one, all over the fleet.
+def _log_member_change(event: events.MemberEvent) -> None:
+    # At level debug, as each daemon logs the changes of the whole fleet.
     logs.write(
         entry_events.MemberChanged(
             change=type(event).__name__,
@@ -128,4 +128,4 @@
     sender: messages.Sender,
     mark: marks.ConfigurationMark,
 ) -> None:
-    """Do nothing: here configurations ride on the beats of a zone."""
+    """Do nothing: zone beats announce configurations of entry instances."""
--- a/libraries/daemon/src/sardinepier/daemon/internal/exchange_assembly.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/exchange_assembly.py
@@ -1,4 +1,4 @@
-"""Builds what the daemons of a group tell each other about targets."""
+"""Builds the exchange of target health among the daemons of a group."""
 
 import dataclasses
 
@@ -16,73 +16,73 @@
 from sardinepier.wire import messages
 
 
-class InstanceListReader:
-    """Gives the platform's instance list to those who need it."""
+class InstanceListReceiver:
+    """Passes the platform's instance list to the parts that use it."""
 
     def __init__(
         self,
-        base: assembly.Foundation,
-        noticer: target_notices.TargetNoticer,
+        core: assembly.CoreParts,
+        notices: target_notices.TargetNoticeExchange,
     ) -> None:
-        """Pass daemons on to membership and targets to ``noticer``."""
-        self._membership = base.membership
-        self._settings = base.settings
-        self._noticer = noticer
+        """Pass daemons to the membership and targets to ``notices``."""
+        self._membership = core.membership
+        self._settings = core.settings
+        self._notices = notices
 
     def apply(self, listed: interface.InstanceList) -> None:
-        """Take a new list."""
+        """Apply a new instance list."""
         self._membership.seed(_addresses(listed, self._settings))
-        self._noticer.on_instances(listed)
+        self._notices.on_instances(listed)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exchange:
-    """All that this daemon and its groups tell each other."""
+    """The reports and quarantine marks exchanged with the groups."""
 
     reports: group_exchange.GroupExchange
     marks: quarantine_exchange.QuarantineExchange
 
     def tick(self) -> None:
-        """Send what is due."""
+        """Send the reports and marks that are due."""
         self.reports.tick()
         self.marks.tick()
 
 
 def build_exchange(
-    base: assembly.Foundation,
+    core: assembly.CoreParts,
     context: contexts.GatewayContext,
 ) -> Exchange:
-    """Return the exchange, with the instance list connected to it."""
+    """Return the exchange and subscribe it to the instance list."""
     directory = target_directory.TargetDirectory()
-    noticer = target_notices.TargetNoticer(
-        base.membership,
-        base.network,
+    notices = target_notices.TargetNoticeExchange(
+        core.membership,
+        core.network,
         context.services,
         directory,
         context.configuration,
     )
-    base.distributor.on_instances(InstanceListReader(base, noticer).apply)
-    owned = own_services.OwnServices(
-        base.membership,
+    core.distributor.on_instances(InstanceListReceiver(core, notices).apply)
+    group_services = own_services.OwnServices(
+        core.membership,
         context.services,
         directory,
         context.configuration,
-        base.clock,
+        core.clock,
     )
     return Exchange(
         group_exchange.GroupExchange(
-            owned,
-            base.network,
+            group_services,
+            core.network,
             context.services,
             directory,
-            base.clock,
+            core.clock,
         ),
         quarantine_exchange.QuarantineExchange(
-            owned,
-            base.network,
+            group_services,
+            core.network,
             context.services,
             context.quarantine,
-            base.clock,
+            core.clock,
         ),
     )
 
@@ -91,10 +91,12 @@
     listed: interface.InstanceList,
     settings: model.InstanceSettings,
 ) -> list[messages.PeerAddress]:
-    """Return where the list and the instance file say that daemons are."""
-    seeds = [messages.PeerAddress(one.ip, one.port) for one in settings.seeds]
+    """Return the peer addresses in the instance file and in the list."""
+    seeds = [
+        messages.PeerAddress(seed.ip, seed.port) for seed in settings.seeds
+    ]
     daemons = [
-        messages.PeerAddress(one.peer_ip, one.peer_port)
-        for one in listed.daemons
+        messages.PeerAddress(daemon.peer_ip, daemon.peer_port)
+        for daemon in listed.daemons
     ]
     return [*seeds, *daemons]
--- a/libraries/daemon/src/sardinepier/daemon/internal/first_configuration.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/first_configuration.py
@@ -1,4 +1,4 @@
-"""Waiting for the first valid fleet file."""
+"""Waits for the first valid fleet file."""
 
 import asyncio
 from typing import Final
@@ -14,26 +14,26 @@
     store: stores.Store,
     stop: asyncio.Event,
 ) -> model.Configuration | None:
-    """Return the first configuration, or None when stopped before.
+    """Return the first configuration, or None if stopped before it arrives.
 
-    Nothing can be served without one: not even which header names the caller
-    is known. A log line says so now and then meanwhile.
+    Nothing can be served without it, as even the name of the header that
+    identifies callers is unknown. A log line reports the wait regularly.
     """
     arrived = asyncio.Event()
     store.on_change(lambda _: arrived.set())
-    waits = [
+    waiting_tasks = [
         asyncio.ensure_future(arrived.wait()),
         asyncio.ensure_future(stop.wait()),
     ]
-    while not any(wait.done() for wait in waits):
+    while not any(waiting_task.done() for waiting_task in waiting_tasks):
         await asyncio.wait(
-            waits,
+            waiting_tasks,
             timeout=_LOG_INTERVAL_S,
             return_when=asyncio.FIRST_COMPLETED,
         )
         _log_wait(store)
-    for wait in waits:
-        wait.cancel()
+    for waiting_task in waiting_tasks:
+        waiting_task.cancel()
     return None if stop.is_set() else store.current
 
 
--- a/libraries/daemon/src/sardinepier/daemon/internal/graceful_shutdown.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/graceful_shutdown.py
@@ -12,18 +12,19 @@
 from sardinepier.settings import model
 from sardinepier.telemetry import daemon_events, events
 
-_NEWS_S: Final = 2.0
-"""A peer that has not heard of the exit may still hand out this address."""
+_ANNOUNCEMENT_S: Final = 2.0
+"""Added to the time of serving, because a peer that has not yet received the
+announcement of the exit may still return this address to callers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GracefulShutdown:
-    """Leaves the fleet without cutting a request.
+    """Leaves the fleet without cutting off a request.
 
-    Peers are told first, so that no new address answer names this daemon.
-    Addresses that were handed out before stay good until they run out; so it
-    serves on for that long, and only then stops to listen. What is in flight
-    after that is finished.
+    The daemon first announces its exit to its peers, so that no new answer to
+    an address request names it. It keeps accepting connections until the
+    addresses returned before have expired, then stops listening and finishes
+    the requests in flight.
     """
 
     server: server.CallerServer
@@ -31,16 +32,16 @@
     membership: membership.Membership
     clock: clocks.Clock
     record: Callable[[events.Event], None]
-    show_state: Callable[[status_document.DaemonState], None]
+    set_state: Callable[[status_document.DaemonState], None]
 
     async def run(self, fleet: model.FleetSettings, reason: str) -> None:
-        """Return when the daemon has nothing more to do.
+        """Return when all requests are finished or cut off.
 
-        Takes ``shutdown_grace_s`` at most; whatever is unfinished then is
-        cut, and the time line says how many requests that were.
+        Takes ``shutdown_grace_s`` at most. Requests that are unfinished by
+        then are cut off, and their number is recorded in the time line.
         """
         deadline_s = self.clock.monotonic_s() + fleet.shutdown_grace_s
-        self.show_state(status_document.DaemonState.DRAINING)
+        self.set_state(status_document.DaemonState.DRAINING)
         self.record(
             daemon_events.DaemonDraining(
                 reason,
@@ -50,12 +51,12 @@
         )
         self.membership.announce_leaving()
         self.server.begin_draining()
-        served_s = fleet.addresses_valid_s + _NEWS_S
-        await asyncio.sleep(min(served_s, fleet.shutdown_grace_s))
-        in_hand = self.activity.in_flight
+        drain_s = fleet.addresses_valid_s + _ANNOUNCEMENT_S
+        await asyncio.sleep(min(drain_s, fleet.shutdown_grace_s))
+        in_flight = self.activity.in_flight
         left_s = max(0.0, deadline_s - self.clock.monotonic_s())
         unfinished = await self.server.close(left_s)
-        self.show_state(status_document.DaemonState.STOPPED)
+        self.set_state(status_document.DaemonState.STOPPED)
         self.record(
-            daemon_events.DaemonStopped(in_hand - unfinished, unfinished),
+            daemon_events.DaemonStopped(in_flight - unfinished, unfinished),
         )
--- a/libraries/daemon/src/sardinepier/daemon/internal/group_exchange.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/group_exchange.py
@@ -1,4 +1,4 @@
-"""What the daemons of a service's group tell each other about targets."""
+"""Exchanges evidence about targets within the group of a service."""
 
 import weakref
 
@@ -23,52 +23,54 @@
 
 
 class GroupExchange:
-    """Sends this daemon's evidence to its groups and takes in theirs.
+    """Sends this daemon's evidence to its groups and applies theirs.
 
     A daemon takes part in a service when rendezvous hashing puts it into the
-    service's group, or as a guest when a request for the service came here
-    all the same: then the group hears from it and answers in kind.
+    service's group, or as a guest when it recently got a request for the
+    service. The group exchanges reports with its guests as well.
     """
 
     def __init__(
         self,
-        owned: own_services.OwnServices,
+        group_services: own_services.OwnServices,
         peer_network: network.PeerNetwork,
         services: service_runtimes.ServiceRuntimes,
         directory: target_directory.TargetDirectory,
         clock: clocks.Clock,
     ) -> None:
-        """Listen to reports; nothing is sent before :meth:`tick`."""
-        self._owned = owned
+        """Subscribe to reports; nothing is sent before :meth:`tick`."""
+        self._group_services = group_services
         self._network = peer_network
         self._services = services
         self._directory = directory
         self._clock = clock
         self._budget = report_budget.ReportBudget(clock)
-        # By runtime, not by name: a service that is withdrawn and published
-        # again starts anew, and so does what was told about it.
+        # Keyed by runtime, not by name: a service that is withdrawn and
+        # published again gets a new runtime, whose exchange starts empty.
         self._exchanges: _Exchanges = weakref.WeakKeyDictionary()
         peer_network.subscribe(group_messages.GroupReport, self.receive_report)
 
     @property
     def spent_bytes(self) -> int:
-        """How many bytes of reports went out since the start."""
+        """The bytes of all reports sent since the start."""
         return self._budget.spent_bytes
 
     def guests(self, service: ids.ServiceName) -> frozenset[ids.InstanceId]:
-        """Return who hears of a service here without being in its group."""
+        """Return the guests of a service that this daemon knows."""
         return frozenset(
             guest
             for runtime, exchange in self._exchanges.items()
-            if _name(runtime) == service
+            if _service_name(runtime) == service
             for guest in exchange.guests
         )
 
     def tick(self) -> None:
         """Send the reports that are due."""
-        self._owned.refresh()
+        self._group_services.refresh()
         for runtime in self._services:
-            if runtime.health.report_due() and self._owned.takes_part(runtime):
+            if runtime.health.report_due() and self._group_services.takes_part(
+                runtime
+            ):
                 self._send_report(runtime)
 
     def receive_report(
@@ -76,19 +78,19 @@
         sender: messages.Sender,
         received: group_messages.GroupReport,
     ) -> None:
-        """Take in a peer's report; of a service unknown here, nothing."""
+        """Apply a peer's report; ignore one about a service without runtime."""
         for runtime in self._services:
-            if _name(runtime) == received.service:
+            if _service_name(runtime) == received.service:
                 self._receive_report(sender, received, runtime)
 
     def _send_report(self, runtime: service_runtime.ServiceRuntime) -> None:
         exchange = self._exchange(runtime)
         peers = self._peers(runtime, exchange)
-        if not self._budget.has(exchange.report_bytes, len(peers)):
+        if not self._budget.can_spend(exchange.report_bytes, len(peers)):
             return
         now_s = self._clock.monotonic_s()
         report = exchange.writer.write(
-            _name(runtime),
+            _service_name(runtime),
             runtime.health.report(),
             now_s,
         )
@@ -113,30 +115,30 @@
         runtime: service_runtime.ServiceRuntime,
         exchange: service_exchange.ServiceExchange,
     ) -> service_exchange.Peers:
-        group = self._owned.group(runtime.snapshot.settings)
-        self._show_group(runtime, exchange, frozenset(group))
+        group = self._group_services.group(runtime.snapshot.settings)
+        self._update_group(runtime, exchange, frozenset(group))
         peers = group | exchange.recent_guests(self._clock.monotonic_s())
-        peers.pop(self._owned.own, None)
+        peers.pop(self._group_services.own, None)
         if peers.keys() - exchange.informed_peers:
             exchange.writer.renew()
         exchange.informed_peers = frozenset(peers)
         return peers
 
-    def _show_group(
+    def _update_group(
         self,
         runtime: service_runtime.ServiceRuntime,
         exchange: service_exchange.ServiceExchange,
         group: frozenset[ids.InstanceId],
     ) -> None:
-        """Let the slots be dealt among the group.
+        """Divide the slots of the targets among the group if it has changed.
 
-        Guests get none: each daemon knows other guests, and a deal that
-        differs from daemon to daemon makes them collide.
+        Guests get none: each daemon knows different guests, and daemons that
+        divide the slots differently would compete for the same ones.
         """
         if group == exchange.applied_group:
             return
         exchange.applied_group = group
-        own = self._owned.own
+        own = self._group_services.own
         runtime.set_group(
             group - {own},
             own if own in group else None,
@@ -150,7 +152,9 @@
     ) -> None:
         exchange = self._exchange(runtime)
         observer = sender.instance_id
-        if observer not in self._owned.group(runtime.snapshot.settings):
+        if observer not in self._group_services.group(
+            runtime.snapshot.settings
+        ):
             exchange.record_guest(sender, self._clock.monotonic_s())
         report = exchange.reader(observer).read(received)
         if report is None:
@@ -167,7 +171,7 @@
         runtime: service_runtime.ServiceRuntime,
         received: group_messages.GroupReport,
     ) -> None:
-        news = [
+        learned = [
             self._directory.learn_if_unknown(
                 received.service,
                 target.target_id,
@@ -175,11 +179,11 @@
             )
             for target in received.targets
         ]
-        if any(news):
+        if any(learned):
             runtime.set_incarnations(
                 self._directory.of_service(received.service),
             )
 
 
-def _name(runtime: service_runtime.ServiceRuntime) -> ids.ServiceName:
+def _service_name(runtime: service_runtime.ServiceRuntime) -> ids.ServiceName:
     return runtime.snapshot.settings.name
--- a/libraries/daemon/src/sardinepier/daemon/internal/group_messages.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/group_messages.py
@@ -1,4 +1,4 @@
-"""Messages among the daemons that serve the same services."""
+"""Messages between the daemons that serve the same services."""
 
 from typing import Annotated, Final
 
@@ -14,7 +14,7 @@
 
 
 class NamedTarget(msgspec.Struct, frozen=True, array_like=True):
-    """One start of one target, in the order of a report's rows."""
+    """One incarnation of a target, in the order of a report's rows."""
 
     target_id: ids.TargetId
     incarnation: ids.TargetIncarnation
@@ -23,9 +23,9 @@
 class ReportRow(msgspec.Struct, frozen=True, array_like=True):
     """One target's evidence without its name.
 
-    ``position`` is its place among the named targets. Scores and ``overdue``
-    are in thousandths: they are rounded to that anyway, and a whole number
-    takes a third of the bytes.
+    ``position`` is the index of the target among the named targets. Scores
+    and ``overdue`` are in thousandths: they are rounded to that anyway, and an
+    integer takes a third of the bytes.
     """
 
     position: int
@@ -47,9 +47,9 @@
 class GroupReport(messages.Message, frozen=True):
     """One daemon's evidence about the targets of one service.
 
-    ``targets`` is filled now and then, and such a report holds all rows. The
-    others name that report's sequence in ``base``, and hold the rows that
-    have changed since the report before.
+    A full report has ``targets`` and all rows. An incremental report has the
+    rows that changed since the previous report; its ``base`` is the sequence
+    number of the full report that it builds on.
     """
 
     service: ids.ServiceName
@@ -63,13 +63,13 @@
 
 
 class QuarantineNotice(messages.Message, frozen=True):
-    """One daemon's marks of requests that crash targets."""
+    """One daemon's quarantine marks of requests that crash targets."""
 
     report: marks.QuarantineReport
 
 
 class TargetNotice(msgspec.Struct, frozen=True, array_like=True):
-    """One target as the platform's instance list has it."""
+    """One target from the platform's instance list."""
 
     service: ids.ServiceName
     target_id: ids.TargetId
@@ -84,7 +84,7 @@
 
 
 class TargetNotices(messages.Message, frozen=True):
-    """What a watcher read in the instance list, for a service's group."""
+    """Entries of the instance list, from a watcher to a service's group."""
 
     notices: _Notices
 
@@ -94,4 +94,4 @@
     QuarantineNotice,
     TargetNotices,
 )
-"""All kinds, for the network's codec."""
+"""All message classes, for the codec of the network."""
--- a/libraries/daemon/src/sardinepier/daemon/internal/maintenance.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/maintenance.py
@@ -1,4 +1,4 @@
-"""The regular work of a daemon, done in one loop."""
+"""The periodic tasks of a daemon."""
 
 import asyncio
 import dataclasses
@@ -11,17 +11,18 @@
 
 _TICK_S: Final = 0.1
 _EXPIRY_INTERVAL_S: Final = 5.0
-_SETTLED_AFTER_S: Final = 30.0
-_COLLECTION_THRESHOLDS: Final = (5000, 10, 100)
+_STARTUP_S: Final = 30.0
+_GC_THRESHOLDS: Final = (5000, 10, 100)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MaintenanceLoop:
-    """Judges targets, tells the groups, probes, and notices pauses.
+    """Evaluates targets, reports to the groups, probes, and detects pauses.
 
-    One loop does it all. Each further timer would wake up an idle daemon some
-    more times a second, and that was most of what control cost it. A report
-    that follows the judgement at once is also as fresh as it can be.
+    One loop does all of it, since each further timer would wake an idle daemon
+    more often, and wake-ups were most of the processor time of the control
+    work. Reports also follow the evaluation at once, so their evidence is
+    current.
     """
 
     context: contexts.GatewayContext
@@ -29,35 +30,35 @@
     probes: probes.Probes
 
     async def run(self) -> None:
-        """Work until cancelled."""
-        async with asyncio.TaskGroup() as running:
+        """Run until cancelled."""
+        async with asyncio.TaskGroup() as task_group:
             while True:
-                # First of all, so that nothing is judged by what a paused
-                # process still remembers as fresh.
+                # Detects a pause of the process first, so that no target is
+                # evaluated by data that became stale during the pause.
                 await self.context.wake_guard.tick()
                 self.context.services.tick()
                 self.exchange.tick()
-                self.probes.start_due(running)
+                self.probes.start_due(task_group)
                 await asyncio.sleep(_TICK_S)
 
 
 async def expire_records(context: contexts.GatewayContext) -> None:
-    """Drop the records whose tickets have run out, until cancelled."""
+    """Drop the records whose tickets have expired, until cancelled."""
     while True:
         context.ledger.expire()
         await asyncio.sleep(_EXPIRY_INTERVAL_S)
 
 
 async def tune_garbage_collection() -> None:
-    """Take what a started daemon holds out of the garbage collector's way.
+    """Exclude the objects of a started daemon from garbage collection.
 
-    With the files of 340 services a full collection took 96 to 164 ms, in
-    which no request moves. What is held by then mostly stays; what does not
-    is freed by its reference count all the same. Rarer collections on top
-    cut the longest pause of 17,600 requests from 30 to 11 ms; rarer still
-    they grow long again.
+    With the files of 340 services a full collection took 96 to 164 ms, during
+    which no request proceeds. Objects that exist by then mostly live on;
+    the others are still freed by their reference counts. The higher
+    thresholds, in addition, cut the longest pause of 17,600 requests from 30
+    to 11 ms; with still higher ones the pauses grow again.
     """
-    await asyncio.sleep(_SETTLED_AFTER_S)
+    await asyncio.sleep(_STARTUP_S)
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*_COLLECTION_THRESHOLDS)
+    gc.set_threshold(*_GC_THRESHOLDS)
--- a/libraries/daemon/src/sardinepier/daemon/internal/page_servers.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/page_servers.py
@@ -1,4 +1,4 @@
-"""The small servers beside the request path, each at an address of its own."""
+"""Servers of single pages, each at its own address."""
 
 from sardinepier.entry import caller_server, pages
 from sardinepier.telemetry import logs
@@ -6,10 +6,10 @@
 
 
 class PageServers:
-    """Opens pages where the settings name an address, and closes them."""
+    """Serves pages at the addresses in the settings, until closed."""
 
     def __init__(self, bounds: caller_server.BoundsGetter) -> None:
-        """Bound what may be sent by ``bounds``; nothing is opened yet."""
+        """Limit requests by ``bounds``; nothing is opened yet."""
         self._bounds = bounds
         self._servers: list[caller_server.HttpServer] = []
 
@@ -18,7 +18,7 @@
         page: pages.Page,
         address: messages.PeerAddress | None,
     ) -> None:
-        """Serve ``page``; raise ``OSError`` when the address is taken."""
+        """Serve ``page``; raise ``OSError`` if the address is in use."""
         if address is None:
             return
         server = caller_server.HttpServer(page.handle, self._bounds)
@@ -30,9 +30,10 @@
         page: pages.Page,
         address: messages.PeerAddress | None,
     ) -> None:
-        """Serve ``page`` unless somebody else has the address.
+        """Serve ``page`` unless the address is in use, which is logged.
 
-        For figures: no request may suffer from their port.
+        Meant for metrics: an occupied port for them must not prevent the
+        instance from serving requests.
         """
         try:
             await self.open(page, address)
@@ -40,6 +41,6 @@
             logs.failure('metrics-unavailable', error, address=str(address))
 
     async def close(self) -> None:
-        """Close all pages at once."""
+        """Close all servers without waiting for requests in flight."""
         for server in self._servers:
             await server.close(0)
--- a/libraries/daemon/src/sardinepier/daemon/internal/pages.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/pages.py
@@ -1,4 +1,4 @@
-"""The daemon's own pages for operators: status, metrics and time line."""
+"""The daemon's pages for operators: status, metrics and time line."""
 
 import dataclasses
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pages:
-    """Handlers that show what the daemon knows and change nothing."""
+    """Read-only handlers of the pages."""
 
     source: status_document.StatusSource
     state: Callable[[], status_document.DaemonState]
@@ -32,7 +32,7 @@
         self,
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        """Answer the status document."""
+        """Respond with the status document."""
         document = await self.source.document(self.state())
         return _json(status.encode(document))
 
@@ -40,15 +40,15 @@
         self,
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        """Answer a snapshot of all metrics."""
-        measured = await self.metrics.snapshot_in_steps()
-        return _json(msgspec.json.encode(measured))
+        """Respond with a snapshot of all metrics."""
+        snapshot = await self.metrics.snapshot_in_steps()
+        return _json(msgspec.json.encode(snapshot))
 
     async def show_timeline(
         self,
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        """Answer the events, those after ``since`` if that is given.
+        """Respond with all events, or those after ``since`` if it is given.
 
         Raises ``BadStampError``, which becomes a problem document.
         """
--- a/libraries/daemon/src/sardinepier/daemon/internal/rate_budget.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/rate_budget.py
@@ -1,14 +1,14 @@
-"""A bound on the bytes or messages a second which reports may cost."""
+"""A rate limit for the reports that a daemon sends."""
 
 from sardinepier.core import clock as clocks
 
 
 class RateBudget:
-    """A token bucket; what it counts is up to its user.
+    """A token bucket, whose tokens stand for bytes or for messages.
 
-    Reports go out often while a target is suspected. Without a bound a
-    daemon in the groups of many large services would exceed what control may
-    cost; with it the reports only come a little later.
+    Reports are sent often while a target is suspected. Without a limit a
+    daemon in the groups of many large services would use more resources for
+    control traffic than allowed; the limit only delays the reports a little.
     """
 
     def __init__(
@@ -17,28 +17,28 @@
         rate_per_s: float,
         burst: float,
     ) -> None:
-        """Start with the whole burst at hand."""
+        """Start with a full bucket."""
         self._clock = clock
         self._rate_per_s = rate_per_s
         self._burst = burst
-        self._left = burst
+        self._available = burst
         self._refilled_at_s = clock.monotonic_s()
 
-    def has(self, amount: float) -> bool:
-        """Tell whether ``amount`` may be spent now.
+    def can_spend(self, amount: float) -> bool:
+        """Return whether ``amount`` may be spent now.
 
-        More than the burst may be spent when the bucket is full, since it
-        would never go out otherwise.
+        A full bucket allows more than the burst: a message larger than the
+        burst could never be sent otherwise.
         """
         self._refill()
-        return self._left >= min(amount, self._burst)
+        return self._available >= min(amount, self._burst)
 
     def spend(self, amount: float) -> None:
-        """Take ``amount`` out, below zero if it was too much."""
-        self._left -= amount
+        """Take ``amount`` from the bucket, which may become negative."""
+        self._available -= amount
 
     def _refill(self) -> None:
         now_s = self._clock.monotonic_s()
         earned = (now_s - self._refilled_at_s) * self._rate_per_s
-        self._left = min(self._burst, self._left + earned)
+        self._available = min(self._burst, self._available + earned)
         self._refilled_at_s = now_s
--- a/libraries/daemon/src/sardinepier/daemon/internal/report_budget.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/report_budget.py
@@ -1,4 +1,4 @@
-"""What all reports of a daemon together may cost."""
+"""The rate limits for all reports of a daemon together."""
 
 from typing import Final
 
@@ -12,14 +12,14 @@
 
 
 class ReportBudget:
-    """Bounds bytes and messages a second; the tighter of both decides.
+    """Limits bytes and messages a second; both limits must allow a report.
 
-    A message costs about as much processor time whatever its size, so a bound
-    on bytes alone would let many small reports cost too much.
+    The processor time of a message hardly depends on its size, so a limit on
+    bytes alone would let many small reports take too much of it.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        """Start with a full burst of both."""
+        """Start with both bursts available."""
         self.spent_bytes = 0
         self._bytes = rate_budget.RateBudget(clock, _BYTES_PER_S, _BURST_BYTES)
         self._messages = rate_budget.RateBudget(
@@ -28,14 +28,14 @@
             _BURST_MESSAGES,
         )
 
-    def has(self, size_bytes: int, messages: int) -> bool:
-        """Tell whether so many messages of that size may go out now."""
-        if not self._bytes.has(size_bytes * messages):
+    def can_spend(self, size_bytes: int, messages: int) -> bool:
+        """Return whether so many messages of that size may be sent now."""
+        if not self._bytes.can_spend(size_bytes * messages):
             return False
-        return self._messages.has(messages)
+        return self._messages.can_spend(messages)
 
     def spend(self, size_bytes: int, messages: int) -> None:
-        """Note that so many messages of that size go out."""
+        """Record that so many messages of that size are sent."""
         self._bytes.spend(size_bytes * messages)
         self._messages.spend(messages)
         self.spent_bytes += size_bytes * messages
--- a/libraries/daemon/src/sardinepier/daemon/internal/service_exchange.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/service_exchange.py
@@ -1,4 +1,4 @@
-"""The peers of one service, and what was told to them last."""
+"""The state of the report exchange about one service."""
 
 import dataclasses
 from typing import Final
@@ -10,33 +10,33 @@
 from sardinepier.wire import messages
 
 _QUIET_INTERVAL_S: Final = 2.0
-GUEST_S: Final = 10.0
-_MOST_GUESTS: Final = 16
-_MOST_READERS: Final = 64
+GUEST_TIMEOUT_S: Final = 10.0
+_MAX_GUESTS: Final = 16
+_MAX_READERS: Final = 64
 
 Peers = dict[ids.InstanceId, messages.PeerAddress]
 
 
 @dataclasses.dataclass(slots=True)
 class _Guest:
-    """A daemon outside the group that has traffic for the service."""
+    """A daemon outside the group that gets requests for the service."""
 
     address: messages.PeerAddress
-    until_s: float
+    expires_s: float
 
 
 class ServiceExchange:
-    """The peers of one service and what its last report weighed."""
+    """The peers of one service, and the last report sent to them."""
 
     def __init__(self) -> None:
-        """Start without guests; nothing was told yet."""
+        """Start without peers and without a report."""
         self.guests: dict[ids.InstanceId, _Guest] = {}
         self.applied_group: frozenset[ids.InstanceId] = frozenset()
         self.informed_peers: frozenset[ids.InstanceId] = frozenset()
         self.report_bytes = 0
         self.writer = report_codec.ReportWriter()
         self._readers: dict[ids.InstanceId, report_codec.ReportReader] = {}
-        self._told: group_messages.GroupReport | None = None
+        self._sent_summary: group_messages.GroupReport | None = None
         self._quiet_until_s = float('-inf')
 
     def is_worth_sending(
@@ -44,30 +44,30 @@
         report: group_messages.GroupReport,
         now_s: float,
     ) -> bool:
-        """Tell whether a report has news, or is due even without.
+        """Return whether a report has changes, or is due even without any.
 
-        A service without traffic says the same each time. Its peers only
-        have to know now and then that this observer is still there.
+        The reports of a service without traffic stay the same. They are sent
+        at a longer interval, to show peers that this observer still runs.
         """
-        told = msgspec.structs.replace(report, sequence=0, rows=())
-        has_news = bool(report.rows) or told != self._told
-        if not has_news and now_s < self._quiet_until_s:
+        summary = msgspec.structs.replace(report, sequence=0, rows=())
+        has_changes = bool(report.rows) or summary != self._sent_summary
+        if not has_changes and now_s < self._quiet_until_s:
             return False
-        self._told = told
+        self._sent_summary = summary
         self._quiet_until_s = now_s + _QUIET_INTERVAL_S
         return True
 
     def reader(self, observer: ids.InstanceId) -> report_codec.ReportReader:
-        """Return what puts the reports of ``observer`` together.
+        """Return the reader for the reports of ``observer``.
 
-        In bounded number: the one used least lately is forgotten, and that
-        observer is understood again from its next whole report on.
+        The least recently used reader is dropped when there are too many. The
+        reports of its observer can be read again from the next full one on.
         """
         reader = self._readers.pop(observer, None)
         if reader is None:
             reader = report_codec.ReportReader()
         self._readers[observer] = reader
-        if len(self._readers) > _MOST_READERS:
+        if len(self._readers) > _MAX_READERS:
             self._readers.pop(next(iter(self._readers)))
         return reader
 
@@ -76,18 +76,20 @@
         sender: messages.Sender,
         now_s: float,
     ) -> None:
-        """Keep a bounded number of guests for some seconds."""
-        if sender.instance_id in self.guests or len(self.guests) < _MOST_GUESTS:
+        """Record the sender as a guest for some time, up to a maximum number."""
+        if sender.instance_id in self.guests or len(self.guests) < _MAX_GUESTS:
             self.guests[sender.instance_id] = _Guest(
                 sender.address,
-                now_s + GUEST_S,
+                now_s + GUEST_TIMEOUT_S,
             )
 
     def recent_guests(self, now_s: float) -> Peers:
-        """Return the guests, without those that fell silent."""
+        """Drop the guests without recent reports and return the others."""
         self.guests = {
-            name: guest
-            for name, guest in self.guests.items()
-            if guest.until_s > now_s
+            guest_id: guest
+            for guest_id, guest in self.guests.items()
+            if guest.expires_s > now_s
+        }
+        return {
+            guest_id: guest.address for guest_id, guest in self.guests.items()
         }
-        return {name: guest.address for name, guest in self.guests.items()}
--- a/libraries/daemon/src/sardinepier/daemon/internal/service_parts.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/service_parts.py
@@ -1,4 +1,4 @@
-"""How the daemon builds what each service needs."""
+"""Builds the parts of a service's runtime."""
 
 import random
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 from sardinepier.settings import model
 
 _MS_PER_S: Final = 1000
-# A peer without news reports every two seconds. Were its counts believed for
-# less, its free slots could be borrowed only now and then.
+# A peer whose evidence does not change reports every two seconds. If its counts
+# expired sooner, its free slots could be borrowed only part of the time.
 _FRESH_S: Final = 2.5
 _STALE_S: Final = 5.0
 _SLOT_OPTIONS: Final = in_flight.SlotOptions(
@@ -24,8 +24,8 @@
 )
 
 
-class _HealthMaker:
-    """Builds the judge of a service with this daemon as the observer."""
+class _HealthFactory:
+    """Builds the health of services as this daemon observes it."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self,
         settings: model.ServiceSettings,
     ) -> service_health.ServiceHealth:
-        """Return the judge of the service that ``settings`` describe."""
+        """Return the health of the service that ``settings`` describe."""
         return service_health.ServiceHealth(
             settings.name,
             self._own,
@@ -60,12 +60,12 @@
     random_source: random.Random,
     on_event: Callable[[health_events.TargetChanged], None],
 ) -> service_runtime.RuntimeParts:
-    """Return what service runtimes are made from in this daemon."""
-    maker = _HealthMaker(own, clock, random_source, on_event)
+    """Return the parts from which this daemon builds service runtimes."""
+    health_factory = _HealthFactory(own, clock, random_source, on_event)
     return service_runtime.RuntimeParts(
         clock=clock,
         random_source=random_source,
-        make_health=maker.make,
+        make_health=health_factory.make,
         configure_health=_configure_health,
         make_chooser=lambda: choice.LeastLoadedOfTwo(random_source),
         slot_options=_SLOT_OPTIONS,
@@ -84,11 +84,11 @@
     settings: model.ServiceSettings,
     group_size: int,
 ) -> health_options.HealthOptions:
-    """Return the options of one of ``group_size`` daemons that judge.
+    """Return the options for one of ``group_size`` daemons.
 
-    The operators' interval is that between two probes of one target. Each
-    daemon of the group probes that much more rarely, or a target of a large
-    group would spend a good part of its slots on probes.
+    The interval in the settings is the one between two probes of a target by
+    the whole group. Each daemon probes at ``group_size`` times the interval;
+    otherwise probes of a large group would use many of the target's slots.
     """
     return health_options.HealthOptions(
         false_ejections_per_target_day=(
--- a/libraries/daemon/src/sardinepier/daemon/internal/status_document.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/status_document.py
@@ -1,4 +1,4 @@
-"""Fills the status document out of the daemon's parts."""
+"""Builds the status document from the daemon's parts."""
 
 import dataclasses
 import enum
@@ -14,7 +14,7 @@
 from sardinepier.telemetry import status, summaries
 from sardinepier.wire import counters, zmq_network
 
-_OUTCOMES: Final = 'answers'
+_OUTCOME_METRIC: Final = 'answers'
 _MALFORMED: Final = frozenset(
     (
         counters.DropReason.MALFORMED,
@@ -26,7 +26,7 @@
 
 
 class DaemonState(enum.Enum):
-    """How far this daemon is between its start and its end."""
+    """The lifecycle state of the daemon."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -36,30 +36,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusSource:
-    """Where the facts of the status document come from."""
+    """Collects the content of the status document."""
 
     context: contexts.GatewayContext
     store: stores.Store
     network: zmq_network.ZmqNetwork
 
     async def document(self, state: DaemonState) -> status.DaemonStatus:
-        """Return the whole document as of now, letting requests go first."""
+        """Return the current document, in steps between which requests run."""
         context = self.context
         own = context.view.own
-        measured = await context.metrics.snapshot_in_steps()
-        age_s = context.clock.monotonic_s() - context.started_at_s
+        snapshot = await context.metrics.snapshot_in_steps()
+        uptime_s = context.clock.monotonic_s() - context.started_at_s
         return status.DaemonStatus(
             instance_id=own.instance_id,
             daemon_id=own.daemon_id,
             zone=own.zone,
             region=own.region,
             state=state.value,
-            uptime_s=age_s,
-            members=tuple(_member(one) for one in context.view.members()),
+            uptime_s=uptime_s,
+            members=tuple(_member(member) for member in context.view.members()),
             files=tuple(self._files()),
-            services=tuple(_service(one) for one in context.services),
-            outcomes=summaries.outcomes(measured, _OUTCOMES),
-            latencies=summaries.latencies(measured),
+            services=tuple(_service(runtime) for runtime in context.services),
+            outcomes=summaries.outcomes(snapshot, _OUTCOME_METRIC),
+            latencies=summaries.latencies(snapshot),
             peers=_peers(self.network.counters()),
         )
 
@@ -76,7 +76,7 @@
 def _problems(known: configured.KnownFile) -> tuple[str, ...]:
     if known.rejected is None:
         return ()
-    return tuple(str(one) for one in known.rejected.problems)
+    return tuple(str(problem) for problem in known.rejected.problems)
 
 
 def _member(member: members.Member) -> status.MemberStatus:
@@ -92,22 +92,22 @@
 
 def _service(runtime: service_runtime.ServiceRuntime) -> status.ServiceStatus:
     settings = runtime.snapshot.settings
-    zones = {one.target_id: one.zone for one in settings.targets}
+    zones = {target.target_id: target.zone for target in settings.targets}
     return status.ServiceStatus(
         name=settings.name,
         targets=tuple(
             status.TargetStatus(
-                target_id=one.target_id,
-                zone=zones.get(one.target_id, ''),
-                state=one.state.value,
-                weight=one.weight,
-                reason=_reason(one.reason),
-                in_flight=one.in_flight,
-                incarnation=one.incarnation,
-                evidence=one.score,
-                returns_in_s=one.returns_in_s,
+                target_id=target_status.target_id,
+                zone=zones.get(target_status.target_id, ''),
+                state=target_status.state.value,
+                weight=target_status.weight,
+                reason=_reason(target_status.reason),
+                in_flight=target_status.in_flight,
+                incarnation=target_status.incarnation,
+                evidence=target_status.score,
+                returns_in_s=target_status.returns_in_s,
             )
-            for one in runtime.health.status()
+            for target_status in runtime.health.status()
         ),
         queued_requests=len(runtime.queue),
         floor_percent=settings.floor_percent,
@@ -118,16 +118,16 @@
     return '' if reason is targets.Reason.NONE else reason.value
 
 
-def _peers(counted: counters.NetworkCounters) -> status.PeerCounters:
+def _peers(network_counters: counters.NetworkCounters) -> status.PeerCounters:
     return status.PeerCounters(
-        sent_messages=counted.messages_sent,
-        received_messages=counted.messages_received,
-        dropped_messages=sum(counted.dropped.values()),
+        sent_messages=network_counters.messages_sent,
+        received_messages=network_counters.messages_received,
+        dropped_messages=sum(network_counters.dropped.values()),
         malformed_messages=sum(
             count
-            for reason, count in counted.dropped.items()
+            for reason, count in network_counters.dropped.items()
             if reason in _MALFORMED
         ),
-        sent_bytes=counted.bytes_sent,
-        received_bytes=counted.bytes_received,
+        sent_bytes=network_counters.bytes_sent,
+        received_bytes=network_counters.bytes_received,
     )
--- a/libraries/daemon/src/sardinepier/daemon/internal/target_directory.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/target_directory.py
@@ -1,4 +1,4 @@
-"""Which start of each target is the present one, as far as heard."""
+"""The current incarnation of each target, as far as known."""
 
 import collections
 from collections.abc import Iterable, Mapping
@@ -7,22 +7,22 @@
 from sardinepier.core import ids
 from sardinepier.daemon.internal import group_messages
 
-_REMEMBERED: Final = 4
+_MAX_REPLACED: Final = 4
 
 Incarnations = Mapping[ids.TargetId, ids.TargetIncarnation]
 
 
 class TargetDirectory:
-    """The incarnations of targets, which only move forward.
+    """The current incarnations of targets; a replaced one never returns.
 
     The instance list lags, and two watchers may read it in different states.
-    Incarnations have no order, so what was once replaced is remembered and
-    not taken again: else an old list could bring back a start that left.
+    Incarnations have no order, so the directory remembers the replaced ones
+    and ignores them: an old list could otherwise restore one of them.
     """
 
     def __init__(self) -> None:
-        """Start without knowing any."""
-        self._present: dict[
+        """Start without incarnations."""
+        self._current: dict[
             ids.ServiceName,
             dict[ids.TargetId, ids.TargetIncarnation],
         ] = collections.defaultdict(dict)
@@ -32,8 +32,8 @@
         ] = {}
 
     def of_service(self, service: ids.ServiceName) -> Incarnations:
-        """Return the present incarnations of a service's targets."""
-        return self._present.get(service, {})
+        """Return the current incarnations of a service's targets."""
+        return self._current.get(service, {})
 
     def learn(
         self,
@@ -41,19 +41,19 @@
         target_id: ids.TargetId,
         incarnation: ids.TargetIncarnation,
     ) -> bool:
-        """Take an incarnation; return whether it is news."""
-        known = self._present[service].get(target_id)
+        """Record an incarnation; return whether the directory changed."""
+        known = self._current[service].get(target_id)
         if known == incarnation or not incarnation:
             return False
-        place = (service, target_id)
-        if incarnation in self._replaced.get(place, ()):
+        target_key = (service, target_id)
+        if incarnation in self._replaced.get(target_key, ()):
             return False
         if known is not None:
             self._replaced.setdefault(
-                place,
-                collections.deque(maxlen=_REMEMBERED),
+                target_key,
+                collections.deque(maxlen=_MAX_REPLACED),
             ).append(known)
-        self._present[service][target_id] = incarnation
+        self._current[service][target_id] = incarnation
         return True
 
     def learn_if_unknown(
@@ -62,7 +62,7 @@
         target_id: ids.TargetId,
         incarnation: ids.TargetIncarnation,
     ) -> bool:
-        """Take an incarnation from a peer only where none is known yet.
+        """Record an incarnation from a peer if none of the target is known yet.
 
         A peer that lags behind the list must not undo a replacement.
         """
@@ -71,13 +71,13 @@
         return self.learn(service, target_id, incarnation)
 
     def retain(self, services: Iterable[ids.ServiceName]) -> None:
-        """Forget the services that are gone."""
-        kept = frozenset(services)
-        for service in self._present.keys() - kept:
-            self._present.pop(service)
-        for place in tuple(self._replaced):
-            if place[0] not in kept:
-                self._replaced.pop(place)
+        """Drop all services but ``services``."""
+        retained = frozenset(services)
+        for service in self._current.keys() - retained:
+            self._current.pop(service)
+        for target_key in tuple(self._replaced):
+            if target_key[0] not in retained:
+                self._replaced.pop(target_key)
 
 
 def changes(
--- a/libraries/daemon/src/sardinepier/daemon/internal/target_notices.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/target_notices.py
@@ -1,4 +1,4 @@
-"""From the platform's instance list to the daemons that need it."""
+"""Passes changes in the platform's instance list to the daemons concerned."""
 
 import collections
 from collections.abc import Callable
@@ -15,12 +15,11 @@
 _Notices = tuple[group_messages.TargetNotice, ...]
 
 
-class TargetNoticer:
-    """Spreads what a watcher reads, and takes in what others spread.
+class TargetNoticeExchange:
+    """Sends what this daemon reads as a watcher, and applies peers' notices.
 
-    A watcher reads a share of the list, and another watcher reads the same
-    share. Each passes on what has changed since it last read, and all of a
-    share that is new to it.
+    Two watchers read the same share of the list. Each sends the entries that
+    changed since it last read the share, or all entries of a new share.
     """
 
     def __init__(
@@ -31,7 +30,7 @@
         directory: target_directory.TargetDirectory,
         configuration: Callable[[], model.Configuration | None],
     ) -> None:
-        """Listen to notices; nothing is sent before a list comes."""
+        """Subscribe to notices; nothing is sent before the first list."""
         self._view = view
         self._network = peer_network
         self._services = services
@@ -41,22 +40,22 @@
         peer_network.subscribe(group_messages.TargetNotices, self._on_notices)
 
     def on_instances(self, listed: interface.InstanceList) -> None:
-        """Take a new instance list of the platform and pass it on.
+        """Apply a new instance list of the platform and send its changes.
 
-        A list of daemons alone covers no service; taken for a share without
-        targets, it would make all of the next share look new.
+        A list of daemons alone is ignored. It covers no service; treated as a
+        share without targets, it would make the whole next share look new.
         """
         if not listed.share.chosen:
             return
         notices = tuple(_notice(target) for target in listed.targets)
-        told = target_directory.changes(self._listed, notices)
+        changed = target_directory.changes(self._listed, notices)
         self._listed = notices
         self.apply(notices)
-        self._tell_groups(told)
+        self._send_to_groups(changed)
 
     def apply(self, notices: _Notices) -> None:
-        """Apply notices to the directory and to the services here."""
-        touched: set[ids.ServiceName] = set()
+        """Apply notices to the directory and to this daemon's services."""
+        changed_services: set[ids.ServiceName] = set()
         for notice in notices:
             learned = self._directory.learn(
                 notice.service,
@@ -64,40 +63,40 @@
                 notice.incarnation,
             )
             if learned:
-                touched.add(notice.service)
+                changed_services.add(notice.service)
         for runtime in self._services:
-            self._apply_to_service(runtime, notices, touched)
+            self._apply_to_service(runtime, notices, changed_services)
 
     def _apply_to_service(
         self,
         runtime: service_runtime.ServiceRuntime,
         notices: _Notices,
-        touched: set[ids.ServiceName],
+        changed_services: set[ids.ServiceName],
     ) -> None:
         service = runtime.snapshot.settings.name
-        if service in touched:
+        if service in changed_services:
             runtime.set_incarnations(self._directory.of_service(service))
-        news = [
+        changes = [
             runtime.health.mark_leaving(notice.target_id, notice.incarnation)
             for notice in notices
             if notice.is_leaving and notice.service == service
         ]
-        if any(news):
+        if any(changes):
             runtime.refresh()
 
-    def _tell_groups(self, notices: _Notices) -> None:
+    def _send_to_groups(self, notices: _Notices) -> None:
         by_member: dict[members.Member, list[group_messages.TargetNotice]] = (
             collections.defaultdict(list)
         )
         for notice in notices:
             for member in self._group(notice.service):
                 by_member[member].append(notice)
-        for member, told in by_member.items():
-            for begin in range(0, len(told), group_messages.MAX_NOTICES):
-                part = told[begin : begin + group_messages.MAX_NOTICES]
+        for member, pending in by_member.items():
+            for begin in range(0, len(pending), group_messages.MAX_NOTICES):
+                batch = pending[begin : begin + group_messages.MAX_NOTICES]
                 self._network.send(
                     member.peer_address,
-                    group_messages.TargetNotices(tuple(part)),
+                    group_messages.TargetNotices(tuple(batch)),
                 )
 
     def _group(self, service: ids.ServiceName) -> list[members.Member]:
--- a/libraries/daemon/src/sardinepier/daemon/internal/task_set.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/task_set.py
@@ -1,4 +1,4 @@
-"""The tasks of one daemon, which live and end together."""
+"""The tasks of one daemon, which are cancelled together."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -6,10 +6,10 @@
 
 
 class TaskSet:
-    """Runs the parts of the daemon and notices when one fails.
+    """Runs the tasks of the daemon and detects when one fails.
 
-    ``on_failure`` is told of the first failure. A daemon with a part missing
-    would look alive to its peers and serve badly, so the whole must end.
+    ``on_failure`` is called with the first failure. It must end the daemon,
+    which with a task missing would look alive to its peers but serve badly.
     """
 
     def __init__(self, on_failure: Callable[[BaseException], None]) -> None:
@@ -18,20 +18,20 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.failure: BaseException | None = None
 
-    def start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run ``work`` until :meth:`cancel`."""
-        task = asyncio.create_task(work)
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run ``coroutine`` as a task until :meth:`cancel`."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
     async def cancel(self) -> None:
-        """End all tasks and wait for them."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         failure = None if task.cancelled() else task.exception()
         if failure is not None and self.failure is None:
--- a/libraries/daemon/src/sardinepier/daemon/internal/translation.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/translation.py
@@ -1,4 +1,4 @@
-"""Events of the libraries as events of the time line."""
+"""Converts events of the libraries to time-line events."""
 
 from sardinepier.health import events as health_events
 from sardinepier.health import targets
@@ -11,7 +11,7 @@
 def member_event(
     event: membership_events.MemberEvent,
 ) -> events.Event:
-    """Return the time line's form of a change in membership."""
+    """Return the time-line event of a membership change."""
     member = event.instance_id
     match event:
         case membership_events.MemberJoined():
@@ -43,7 +43,7 @@
 
 
 def target_event(event: health_events.TargetChanged) -> events.Event:
-    """Return the time line's form of a change of a target's state."""
+    """Return the time-line event of a change of a target's state."""
     service, target_id = event.service, event.target_id
     reason = event.reason.value
     if event.reason is targets.Reason.HELD_BY_FLOOR:
@@ -76,10 +76,10 @@
             return target_events.TargetLeaving(service, target_id)
         case _States.COLD:
             return target_events.TargetCold(service, target_id)
-    return _back_in_service(event)
+    return _in_service_event(event)
 
 
-def _back_in_service(event: health_events.TargetChanged) -> events.Event:
+def _in_service_event(event: health_events.TargetChanged) -> events.Event:
     if event.before is _States.SUSPECT:
         return target_events.TargetCleared(
             event.service,
--- a/libraries/daemon/src/sardinepier/daemon/main.py
+++ b/libraries/daemon/src/sardinepier/daemon/main.py
@@ -10,7 +10,7 @@
 from sardinepier.settings import model, parsing
 from sardinepier.telemetry import logs
 
-_FAILED: Final = 1
+_EXIT_FAILURE: Final = 1
 _SWITCH_INTERVAL_S: Final = 0.0005
 
 
@@ -23,19 +23,20 @@
     """
     try:
         _run(settings)
-    except Exception as error:  # noqa: BLE001 - a fault of the program, too
-        # An operator gets one line, not a traceback; at level debug the line
-        # has the traceback within it.
+    except Exception as error:  # noqa: BLE001 - bugs of the daemon included
+        # Operators get one log line; only at level debug does it contain the
+        # traceback.
         logs.failure('daemon-failed', error, level=logs.Level.ERROR)
-        sys.exit(_FAILED)
+        sys.exit(_EXIT_FAILURE)
 
 
 def _run(path: str) -> None:
     logs.configure('info', '')
     instance = parsing.read_instance(path)
     logs.configure(instance.log_level, instance.daemon_id)
-    # Files are read in a thread. At the default of 5 ms that thread keeps
-    # each request waiting for longer than the whole request may take.
+    # Configuration files are read in a thread. At the default interval of
+    # 5 ms, that thread delays each request for longer than the whole request
+    # may take.
     sys.setswitchinterval(_SWITCH_INTERVAL_S)
     asyncio.run(_serve(instance))
 
--- a/libraries/daemon/src/sardinepier/daemon/process.py
+++ b/libraries/daemon/src/sardinepier/daemon/process.py
@@ -1,4 +1,4 @@
-"""The life of one daemon, from its settings to its exit."""
+"""Runs one daemon, from its settings to its exit."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class Daemon:
-    """One ``sardinepierd``.
+    """One ``sardinepierd`` daemon.
 
     For example::
 
@@ -40,89 +40,89 @@
         self._settings = settings
         self._state = status_document.DaemonState.STARTING
         self._stop = asyncio.Event()
-        self._reason = ''
-        self._tasks = task_set.TaskSet(self._part_failed)
+        self._stop_reason = ''
+        self._tasks = task_set.TaskSet(self._on_task_failure)
 
     @property
     def state(self) -> status_document.DaemonState:
-        """How far the daemon is."""
+        """The lifecycle state of the daemon."""
         return self._state
 
     def stop(self, reason: str) -> None:
         """Begin the graceful exit; a second call changes nothing."""
         if not self._stop.is_set():
-            self._reason = reason
+            self._stop_reason = reason
             self._stop.set()
 
     async def run(self) -> None:
         """Serve until stopped.
 
-        Raises ``HttpPortError`` when the address for callers is taken, and
-        the wire library's errors when the one for peers is.
+        Raises ``HttpPortError`` when the address for callers is in use, and
+        an error of the wire library when the address for peers is.
         """
-        self._catch_signals()
-        base = assembly.build_foundation(self._settings)
+        self._install_signal_handlers()
+        core = assembly.build_core(self._settings)
         async with contextlib.AsyncExitStack() as stack:
-            stack.push_async_callback(base.platform.close)
+            stack.push_async_callback(core.platform.close)
             stack.push_async_callback(self._tasks.cancel)
-            await self._serve(base, stack)
+            await self._serve(core, stack)
         if self._tasks.failure is not None:
             raise self._tasks.failure
 
     async def _serve(
         self,
-        base: assembly.Foundation,
+        core: assembly.CoreParts,
         stack: contextlib.AsyncExitStack,
     ) -> None:
-        self._tasks.start(base.network.run())
-        self._tasks.start(base.membership.run())
-        self._tasks.start(base.distributor.run())
+        self._tasks.start(core.network.run())
+        self._tasks.start(core.membership.run())
+        self._tasks.start(core.distributor.run())
         configuration = await first_configuration.wait_for(
-            base.store,
+            core.store,
             self._stop,
         )
         if configuration is None:
             return
-        context = gateway_assembly.build_context(base, configuration)
+        context = gateway_assembly.build_context(core, configuration)
         stack.push_async_callback(context.client.close)
-        self._start_request_path(base, context, configuration)
-        caller_server = await self._listen(base, context)
+        self._start_request_path(core, context, configuration)
+        caller_server = await self._listen(core, context)
         await self._stop.wait()
-        await self._depart(base, context, caller_server)
+        await self._shut_down(core, context, caller_server)
 
     def _start_request_path(
         self,
-        base: assembly.Foundation,
+        core: assembly.CoreParts,
         context: contexts.GatewayContext,
         configuration: model.Configuration,
     ) -> None:
         follower = followers.ConfigurationFollower(
             context,
-            base.platform,
-            base.membership,
+            core.platform,
+            core.membership,
         )
-        base.store.on_change(follower.follow)
+        core.store.on_change(follower.follow)
         follower.follow(configuration)
-        exchange = exchange_assembly.build_exchange(base, context)
-        upkeep = maintenance.MaintenanceLoop(
+        exchange = exchange_assembly.build_exchange(core, context)
+        maintenance_loop = maintenance.MaintenanceLoop(
             context, exchange, probes.Probes(context)
         )
-        self._tasks.start(upkeep.run())
+        self._tasks.start(maintenance_loop.run())
         self._tasks.start(maintenance.expire_records(context))
         self._tasks.start(maintenance.tune_garbage_collection())
         self._tasks.start(context.refusals.run())
 
     async def _listen(
         self,
-        base: assembly.Foundation,
+        core: assembly.CoreParts,
         context: contexts.GatewayContext,
     ) -> server.CallerServer:
         caller_server = server.CallerServer(context)
         pages.Pages(
-            status_document.StatusSource(context, base.store, base.network),
+            status_document.StatusSource(context, core.store, core.network),
             lambda: self._state,
-            base.metrics,
-            base.recorder.timeline,
+            core.metrics,
+            core.recorder.timeline,
         ).add_to(caller_server)
         settings = self._settings
         try:
@@ -130,12 +130,12 @@
         except OSError as error:
             raise _port_error(settings, error) from error
         self._state = status_document.DaemonState.SERVING
-        base.recorder.record(_started(base))
+        core.recorder.record(_started(core))
         return caller_server
 
-    async def _depart(
+    async def _shut_down(
         self,
-        base: assembly.Foundation,
+        core: assembly.CoreParts,
         context: contexts.GatewayContext,
         caller_server: server.CallerServer,
     ) -> None:
@@ -145,22 +145,22 @@
         await graceful_shutdown.GracefulShutdown(
             caller_server,
             context.activity,
-            base.membership,
-            base.clock,
-            base.recorder.record,
-            self._show_state,
-        ).run(configuration.fleet, self._reason)
+            core.membership,
+            core.clock,
+            core.recorder.record,
+            self._set_state,
+        ).run(configuration.fleet, self._stop_reason)
 
-    def _show_state(self, state: status_document.DaemonState) -> None:
+    def _set_state(self, state: status_document.DaemonState) -> None:
         self._state = state
 
-    def _part_failed(self, failure: BaseException) -> None:
+    def _on_task_failure(self, failure: BaseException) -> None:
         self.stop(f'{type(failure).__name__} in a part of the daemon')
 
-    def _catch_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop, number.name)
+        for exit_signal in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(exit_signal, self.stop, exit_signal.name)
 
 
 def _port_error(
@@ -175,9 +175,9 @@
     )
 
 
-def _started(base: assembly.Foundation) -> daemon_events.DaemonStarted:
-    settings = base.settings
-    peer = base.network.sender.address
+def _started(core: assembly.CoreParts) -> daemon_events.DaemonStarted:
+    settings = core.settings
+    peer = core.network.sender.address
     return daemon_events.DaemonStarted(
         daemon_id=settings.daemon_id,
         zone=settings.zone,
--- a/libraries/daemon/tests/conftest.py
+++ b/libraries/daemon/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A few daemons' exchanges over a fake network, for the tests of groups."""
+"""Connects the exchanges of a few daemons over an in-memory network."""
 
 import random
 
@@ -48,24 +48,28 @@
 class _View:
     """A fixed view of a few members in one zone."""
 
-    def __init__(self, own, everyone):
+    def __init__(self, own, all_members):
         self.own = own
         self.version = 1
-        self.everyone = tuple(everyone)
+        self.all_members = tuple(all_members)
 
-    def change(self, everyone):
-        self.everyone = everyone
+    def change(self, all_members):
+        self.all_members = all_members
         self.version += 1
 
     def members(self):
-        return self.everyone
+        return self.all_members
 
     def serving(self):
-        return self.everyone
+        return self.all_members
 
     def find(self, instance_id):
         return next(
-            (one for one in self.everyone if one.instance_id == instance_id),
+            (
+                member
+                for member in self.all_members
+                if member.instance_id == instance_id
+            ),
             None,
         )
 
@@ -86,9 +90,9 @@
 
 
 class _Daemon:
-    """The exchange of one daemon with real services and a fake network."""
+    """The exchange of one daemon, with real services and a fake network."""
 
-    def __init__(self, hub, clock, own, everyone, configuration):
+    def __init__(self, hub, clock, own, all_members, configuration):
         self.own = own
         sender = messages.Sender(own.instance_id, own.peer_address)
         network = hub.network(sender)
@@ -99,20 +103,20 @@
         )
         self.services.update(configuration)
         self.configuration = configuration
-        view = _View(own, everyone)
+        view = _View(own, all_members)
         self.view = view
         directory = target_directory.TargetDirectory()
         self.quarantine = quarantine.Quarantine(clock)
-        owned = own_services.OwnServices(
+        group_services = own_services.OwnServices(
             view, self.services, directory, lambda: configuration, clock
         )
         self.exchange = group_exchange.GroupExchange(
-            owned, network, self.services, directory, clock
+            group_services, network, self.services, directory, clock
         )
         self.marks = quarantine_exchange.QuarantineExchange(
-            owned, network, self.services, self.quarantine, clock
+            group_services, network, self.services, self.quarantine, clock
         )
-        self.noticer = target_notices.TargetNoticer(
+        self.notices = target_notices.TargetNoticeExchange(
             view, network, self.services, directory, lambda: configuration
         )
 
@@ -131,11 +135,11 @@
             _TARGET.format(number=number)
             for number in range(1, targets_count + 1)
         )
-        store = _configuration(text)
-        everyone = [_member(number) for number in range(daemons)]
+        configuration = _configuration(text)
+        all_members = [_member(number) for number in range(daemons)]
         self.daemons = [
-            _Daemon(self.hub, self.clock, own, everyone, store)
-            for own in everyone
+            _Daemon(self.hub, self.clock, own, all_members, configuration)
+            for own in all_members
         ]
 
     def run(self, ticks):
@@ -156,5 +160,5 @@
 
 @pytest.fixture
 def make_fleet():
-    """Return the class that joins a few daemons of one service."""
+    """Return the class that connects a few daemons of one service."""
     return Fleet
--- a/libraries/daemon/tests/cover/test_daemon_groups.py
+++ b/libraries/daemon/tests/cover/test_daemon_groups.py
@@ -1,4 +1,4 @@
-"""What the daemons of a group learn from each other, and at what cost."""
+"""The exchange among the daemons of a group, and its cost."""
 
 import pytest
 
@@ -15,37 +15,37 @@
     return interface.ListedTarget('deposits', target_id, incarnation, state)
 
 
-def test_a_leaving_mark_reaches_the_group_and_stays(make_fleet):
+def test_a_leaving_target_stays_unselectable_in_the_whole_group(make_fleet):
     fleet = make_fleet(daemons=4, per_zone=4)
     fleet.run(20)
     leaving = _listed('t1', 'a', interface.ListedState.LEAVING)
-    first = fleet.daemons[0].noticer
+    first = fleet.daemons[0].notices
     first.on_instances(interface.InstanceList(targets=(_listed('t1', 'a'),)))
     fleet.run(2)
     first.on_instances(interface.InstanceList(targets=(leaving,)))
     fleet.run(2)
     stale = interface.InstanceList(targets=(_listed('t1', 'a'),))
-    fleet.daemons[1].noticer.on_instances(stale)
+    fleet.daemons[1].notices.on_instances(stale)
     fleet.run(2)
     for daemon in fleet.daemons:
         assert 't1' not in daemon.health.selectable()
 
 
-def test_what_one_daemon_sees_the_others_learn(make_fleet):
+def test_requests_in_flight_are_reported_to_the_group(make_fleet):
     fleet = make_fleet(daemons=3, per_zone=3)
     fleet.run(20)
-    witness = fleet.daemons[0]
+    observer = fleet.daemons[0]
     for attempt in range(3):
-        witness.health.started('t1', 'register', attempt)
+        observer.health.started('t1', 'register', attempt)
     fleet.run(10)
-    others = [
+    reported = [
         daemon.health.standing('t1').peers_in_flight
         for daemon in fleet.daemons[1:]
     ]
-    assert others == [3, 3]
+    assert reported == [3, 3]
 
 
-def test_a_guest_and_the_group_hear_each_other(make_fleet):
+def test_a_guest_and_the_group_exchange_reports(make_fleet):
     fleet = make_fleet(daemons=4, per_zone=2)
     fleet.run(20)
     guest = next(
@@ -64,7 +64,7 @@
         assert guest.own.instance_id in daemon.exchange.guests('deposits')
 
 
-def test_marks_of_crashing_requests_reach_the_group_at_once(make_fleet):
+def test_quarantine_marks_reach_the_group_at_once(make_fleet):
     fleet = make_fleet(daemons=2, per_zone=2)
     fleet.run(20)
     first, second = fleet.daemons
@@ -73,12 +73,14 @@
     second.quarantine.crashed(7, 't2', target_healthy_otherwise=True)
     fleet.hub.deliver()
     for daemon in fleet.daemons:
-        held = [mark.fingerprint for mark in daemon.quarantine.quarantined()]
-        assert held == [7]
+        quarantined = [
+            mark.fingerprint for mark in daemon.quarantine.quarantined()
+        ]
+        assert quarantined == [7]
 
 
 @pytest.mark.parametrize('targets_count', (3, 47))
-def test_reports_stay_within_their_budget_of_bytes(targets_count, make_fleet):
+def test_reports_stay_within_their_byte_budget(targets_count, make_fleet):
     fleet = make_fleet(daemons=6, per_zone=6, targets_count=targets_count)
     fleet.run(20)
     before = fleet.daemons[0].exchange.spent_bytes
@@ -88,7 +90,7 @@
     assert spent <= 12_000 * seconds + 96_000
 
 
-def test_a_target_state_is_never_changed_by_an_unknown_service(make_fleet):
+def test_a_report_about_an_unknown_service_changes_no_target_state(make_fleet):
     fleet = make_fleet(daemons=2, per_zone=2)
     fleet.run(20)
     first, second = fleet.daemons
@@ -96,46 +98,52 @@
     sender = messages.Sender(first.own.instance_id, first.own.peer_address)
     message = report_codec.ReportWriter().write('no-such-service', report, 0)
     second.exchange.receive_report(sender, message)
-    states = {one.state for one in second.health.status()}
+    states = {target_status.state for target_status in second.health.status()}
     assert states == {targets.TargetState.IN_SERVICE}
 
 
 def _recorded_groups(daemon):
-    """Note from now on among whom the slots of the service are dealt."""
+    """Record the groups among which the service's slots are divided."""
     seen = []
     slots = daemon.services.get('deposits').slots
-    slots.set_group = lambda others, own: seen.append((others, own))
+    slots.set_group = lambda peers, own: seen.append((peers, own))
     return seen
 
 
-def test_slots_are_dealt_among_the_group_and_not_among_guests(make_fleet):
+def test_slots_are_divided_among_the_group_and_not_among_guests(make_fleet):
     fleet = make_fleet(daemons=3, per_zone=2)
     fleet.run(20)
     group = {
-        one.own.instance_id for one in fleet.daemons if tuple(one.services)
+        daemon.own.instance_id
+        for daemon in fleet.daemons
+        if tuple(daemon.services)
     }
-    guest = next(one for one in fleet.daemons if not tuple(one.services))
-    members_see = [
-        _recorded_groups(one) for one in fleet.daemons if one is not guest
+    guest = next(
+        daemon for daemon in fleet.daemons if not tuple(daemon.services)
+    )
+    groups_of_members = [
+        _recorded_groups(daemon)
+        for daemon in fleet.daemons
+        if daemon is not guest
     ]
-    guest_sees = _recorded_groups(guest)
+    groups_of_guest = _recorded_groups(guest)
     guest.health.started('t1', 'register', 1)
     fleet.run(20)
-    assert guest_sees == [(group, None)]
-    assert members_see == [[], []]
+    assert groups_of_guest == [(group, None)]
+    assert groups_of_members == [[], []]
 
 
-def test_a_service_published_again_has_its_slots_dealt_again(make_fleet):
+def test_a_service_published_again_has_its_slots_divided_again(make_fleet):
     fleet = make_fleet(daemons=2, per_zone=2)
     fleet.run(20)
     first, second = fleet.daemons
-    without = model.Configuration(first.configuration.fleet, {}, {})
-    first.services.update(without)
+    without_services = model.Configuration(first.configuration.fleet, {}, {})
+    first.services.update(without_services)
     first.services.update(first.configuration)
     seen = _recorded_groups(first)
     fleet.run(20)
-    others = frozenset((second.own.instance_id,))
-    assert seen == [(others, first.own.instance_id)]
+    peers = frozenset((second.own.instance_id,))
+    assert seen == [(peers, first.own.instance_id)]
 
 
 def test_a_group_shares_the_probes_of_its_targets(make_fleet):
@@ -148,26 +156,26 @@
         probes += sum(
             len(daemon.health.due_probes()) for daemon in fleet.daemons
         )
-    # The interval in the file is one second for each target.
+    # The default probe interval is one second for each target.
     assert probes == pytest.approx(5 * seconds, rel=0.15)
 
 
-def test_a_list_of_daemons_alone_tells_nothing_about_targets(make_fleet):
+def test_a_list_of_daemons_alone_does_not_affect_targets(make_fleet):
     fleet = make_fleet(daemons=2, per_zone=2)
     fleet.run(20)
-    noticer = fleet.daemons[0].noticer
+    notices = fleet.daemons[0].notices
     targets_listed = interface.InstanceList(targets=(_listed('t1', 'a'),))
-    noticer.on_instances(targets_listed)
+    notices.on_instances(targets_listed)
     fleet.run(2)
-    told = []
-    fleet.daemons[1].noticer.apply = told.append
-    noticer.on_instances(interface.InstanceList(share=shares.DAEMONS))
-    noticer.on_instances(targets_listed)
+    received = []
+    fleet.daemons[1].notices.apply = received.append
+    notices.on_instances(interface.InstanceList(share=shares.DAEMONS))
+    notices.on_instances(targets_listed)
     fleet.run(5)
-    assert not told
+    assert not received
 
 
-def test_slots_of_quiet_peers_can_be_borrowed_at_any_moment(make_fleet):
+def test_slots_of_peers_without_requests_can_always_be_borrowed(make_fleet):
     fleet = make_fleet(daemons=3, per_zone=3, targets_count=4)
     fleet.run(60)
     runtime = fleet.daemons[0].services.get('deposits')
--- a/libraries/daemon/tests/cover/test_daemon_line_events.py
+++ b/libraries/daemon/tests/cover/test_daemon_line_events.py
@@ -1,4 +1,4 @@
-"""The page for operators names all lines of an entry instance."""
+"""The page for operators documents all log events of an entry instance."""
 
 import pathlib
 
@@ -18,27 +18,29 @@
 
 
 def rows():
-    """Return the lines of the page's tables by their first cell."""
+    """Return the rows of the page's tables by their first cell."""
     lines = PAGE.read_text(encoding='utf-8').splitlines()
     cells = [line.split('|') for line in lines if line.startswith('| `')]
-    return {one[1].strip(' `'): one for one in cells}
+    return {row[1].strip(' `'): row for row in cells}
 
 
 @pytest.mark.parametrize('kind', KINDS, ids=line_events.name_of)
-def test_the_page_has_each_kind_with_its_fields(kind):
+def test_the_page_documents_each_event_with_its_fields(kind):
     row = rows()[line_events.name_of(kind)]
-    named = {one.strip(' `') for one in row[3].split(',')}
-    assert named == {one.encode_name for one in msgspec.structs.fields(kind)}
+    documented = {name.strip(' `') for name in row[3].split(',')}
+    assert documented == {
+        field.encode_name for field in msgspec.structs.fields(kind)
+    }
 
 
-def test_the_page_has_no_kind_that_is_not_written():
+def test_the_page_documents_no_unknown_event():
     known = {line_events.name_of(kind) for kind in KINDS}
-    listed = {name for name in rows() if '-' in name or name in known}
-    assert listed <= known | UNTYPED
+    documented = {name for name in rows() if '-' in name or name in known}
+    assert documented <= known | UNTYPED
 
 
 @pytest.mark.parametrize('name', request_metrics.HELP_TEXTS)
-def test_the_page_has_each_figure(name):
+def test_the_page_documents_each_metric(name):
     assert f'| `sardinepier_{name}' in PAGE.read_text(encoding='utf-8')
 
 
@@ -52,4 +54,4 @@
     'settings-refused',
     'metrics-unavailable',
 }
-"""Lines about failures of many types, with their error and its remedy."""
+"""Log events without a class of their own, for failures of any type."""
--- a/libraries/daemon/tests/cover/test_daemon_main.py
+++ b/libraries/daemon/tests/cover/test_daemon_main.py
@@ -1,4 +1,4 @@
-"""Whatever ends the daemon, the operator gets one line and a code."""
+"""Any failure of the daemon gives one log line and an exit code."""
 
 import json
 
@@ -23,11 +23,11 @@
     'failure',
     (
         errors.SardinepierError('The port is taken', 'Choose another'),
-        ZeroDivisionError('a fault of the program'),
+        ZeroDivisionError('a bug of the daemon'),
         OSError('too many open files'),
     ),
 )
-def test_a_failure_ends_in_one_line_without_a_traceback(
+def test_a_failure_is_logged_in_one_line_without_traceback(
     failure, tmp_path, monkeypatch, capsys
 ):
     async def fail(daemon):
@@ -36,10 +36,10 @@
     monkeypatch.setattr(process.Daemon, 'run', fail)
     path = tmp_path / 'instance.ini'
     path.write_text(_INSTANCE)
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         main.run(str(path))
     lines = capsys.readouterr().err.splitlines()
-    assert ended.value.code == 1
+    assert exit_info.value.code == 1
     assert len(lines) == 1
     assert json.loads(lines[0])['fields']['error'] == type(failure).__name__
     assert 'Traceback' not in lines[0]
--- a/libraries/daemon/tests/cover/test_daemon_rate_budget.py
+++ b/libraries/daemon/tests/cover/test_daemon_rate_budget.py
@@ -1,4 +1,4 @@
-"""Reports never cost more than their budget earns."""
+"""Reports stay within their rate limit."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,14 +19,14 @@
         max_size=40,
     ),
 )
-def test_spending_stays_within_the_burst_and_what_was_earned(steps):
+def test_spending_stays_within_the_burst_and_the_rate(steps):
     clock = clocks.ManualClock()
     budget = rate_budget.RateBudget(clock, _RATE, _BURST)
     spent = 0
     largest = 0
     for tenths, amount in steps:
         clock.advance(tenths / 10)
-        if budget.has(amount):
+        if budget.can_spend(amount):
             budget.spend(amount)
             spent += amount
             largest = max(largest, amount)
@@ -34,11 +34,11 @@
     assert spent <= _BURST + _RATE * clock.monotonic_s() + overdraft + 1e-6
 
 
-def test_a_message_larger_than_the_burst_goes_out_when_the_bucket_is_full():
+def test_a_full_bucket_allows_a_message_larger_than_the_burst():
     clock = clocks.ManualClock()
     budget = rate_budget.RateBudget(clock, _RATE, _BURST)
-    assert budget.has(10 * _BURST)
+    assert budget.can_spend(10 * _BURST)
     budget.spend(10 * _BURST)
-    assert not budget.has(1)
+    assert not budget.can_spend(1)
     clock.advance(10 * _BURST / _RATE)
-    assert budget.has(1)
+    assert budget.can_spend(1)
--- a/libraries/daemon/tests/cover/test_daemon_rejoining.py
+++ b/libraries/daemon/tests/cover/test_daemon_rejoining.py
@@ -1,8 +1,8 @@
-"""A daemon that is started again hears its peers before the platform.
+"""A restarted daemon is reached by its peers before it uses the platform.
 
-Its peers have tried to reach its old address in vain for a while, and each
-waits before it tries again. The platform may be stale, so that the wait of
-the starting daemon must outlast theirs.
+Peers that could not connect to the daemon wait before they reconnect. The
+platform may be stale, so the starting daemon must wait for its peers for longer
+than they wait to reconnect.
 """
 
 import zmq
@@ -14,7 +14,7 @@
 _MS_PER_S = 1000
 
 
-def test_a_sender_pauses_no_longer_than_it_says():
+def test_the_reconnect_interval_of_a_sender_has_the_stated_maximum():
     context = zmq.Context()
     sender = sockets.open_sender(
         context,
@@ -22,11 +22,13 @@
         None,
         limits.ZmqLimits(),
     )
-    longest_ms = sender.getsockopt(zmq.RECONNECT_IVL_MAX)
+    max_interval_ms = sender.getsockopt(zmq.RECONNECT_IVL_MAX)
     context.destroy(linger=0)
-    assert longest_ms == limits.MAX_RECONNECT_INTERVAL_S * _MS_PER_S
+    assert max_interval_ms == limits.MAX_RECONNECT_INTERVAL_S * _MS_PER_S
 
 
-def test_peers_connect_anew_within_half_of_the_wait_for_them():
-    waits = options.DistributorOptions()
-    assert 2 * limits.MAX_RECONNECT_INTERVAL_S <= waits.peer_wait_s
+def test_peers_reconnect_within_half_of_the_wait_for_them():
+    distributor_options = options.DistributorOptions()
+    assert (
+        2 * limits.MAX_RECONNECT_INTERVAL_S <= distributor_options.peer_wait_s
+    )
--- a/libraries/daemon/tests/cover/test_daemon_report_codec.py
+++ b/libraries/daemon/tests/cover/test_daemon_report_codec.py
@@ -1,4 +1,4 @@
-"""Reports in few bytes say the same as whole ones, whatever is lost."""
+"""Compact reports decode to the full evidence, whichever are lost."""
 
 import msgspec
 import pytest
@@ -45,35 +45,37 @@
 
 
 @given(st.lists(_STEP, max_size=30))
-def test_what_arrives_is_the_report_or_older_rows_of_it(steps):
+def test_decoding_gives_the_report_or_rows_of_older_ones(steps):
     writer, reader = report_codec.ReportWriter(), report_codec.ReportReader()
     now_s = 0.0
-    told_rows: set[evidence.TargetEvidence] = set()
-    lost_any = True
+    sent_rows: set[evidence.TargetEvidence] = set()
+    misses_full = True
     for sequence, step in enumerate(steps, start=1):
         now_s += step['elapsed_s']
         if step['has_new_peer']:
             writer.renew()
         report = _report(sequence, step['names'], step['counts'])
-        told_rows.update(report.evidence)
+        sent_rows.update(report.evidence)
         message = writer.write('deposits', report, now_s)
-        text = msgspec.msgpack.encode(message)
+        encoded = msgspec.msgpack.encode(message)
         if step['is_lost']:
-            lost_any = True
+            misses_full = True
             continue
-        lost_any = lost_any and not message.targets
-        decoded = msgspec.msgpack.decode(text, type=group_messages.GroupReport)
+        misses_full = misses_full and not message.targets
+        decoded = msgspec.msgpack.decode(
+            encoded, type=group_messages.GroupReport
+        )
         read = reader.read(decoded)
-        if not lost_any:
+        if not misses_full:
             assert read == report
         elif read is not None:
             assert read.sequence == report.sequence
-            assert set(read.evidence) <= told_rows
+            assert set(read.evidence) <= sent_rows
         assert reader.read(decoded) is None
 
 
 @pytest.mark.parametrize('position', (-1, 2, 4000))
-def test_a_row_without_a_target_is_passed_over(position):
+def test_a_row_without_a_target_is_ignored(position):
     writer, reader = report_codec.ReportWriter(), report_codec.ReportReader()
     report = _report(1, ['t1', 't2'], [1, 1, 1, 1])
     message = writer.write('deposits', report, 0.0)
@@ -82,14 +84,16 @@
     assert reader.read(forged) == report
 
 
-def test_a_quiet_report_of_a_large_service_is_small():
+def test_a_report_without_changes_of_a_large_service_is_small():
     writer = report_codec.ReportWriter()
     names = [f'worker-{number:04}' for number in range(47)]
     first = _report(1, names, list(range(47)))
-    whole = writer.write('deposits', first, 0.0)
-    quiet = writer.write(
+    full = writer.write('deposits', first, 0.0)
+    unchanged = writer.write(
         'deposits', msgspec.structs.replace(first, sequence=2), 1.0
     )
-    sizes = [len(msgspec.msgpack.encode(one)) for one in (whole, quiet)]
+    sizes = [
+        len(msgspec.msgpack.encode(message)) for message in (full, unchanged)
+    ]
     assert sizes[0] < 47 * 45
     assert sizes[1] < 100
--- a/libraries/daemon/tests/cover/test_daemon_translation.py
+++ b/libraries/daemon/tests/cover/test_daemon_translation.py
@@ -1,4 +1,4 @@
-"""Every change that a library reports has its event on the time line."""
+"""Every event of the libraries converts to a time-line event."""
 
 import itertools
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(('change', 'event'), _MEMBER_CASES)
-def test_member_changes_keep_their_kind_and_facts(change, event):
+def test_member_events_keep_their_kind_and_fields(change, event):
     assert translation.member_event(change) == event
 
 
@@ -54,18 +54,16 @@
         ),
     ),
 )
-def test_every_change_of_a_target_can_be_written_and_read(
-    before, after, reason
-):
+def test_every_target_event_can_be_encoded_and_decoded(before, after, reason):
     change = health_events.TargetChanged(
         'deposits', 't1', before, after, reason, 0.5
     )
     event = translation.target_event(change)
-    text = msgspec.json.encode(event)
-    assert msgspec.json.decode(text, type=events.Event) == event
+    encoded = msgspec.json.encode(event)
+    assert msgspec.json.decode(encoded, type=events.Event) == event
 
 
-def test_an_ejection_that_the_floor_prevents_is_told_as_such():
+def test_an_ejection_prevented_by_the_floor_has_its_own_event():
     change = health_events.TargetChanged(
         'deposits',
         't1',
--- a/libraries/daemon/tests/nocover/test_daemon_process.py
+++ b/libraries/daemon/tests/nocover/test_daemon_process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: faults of its start are told, not thrown."""
+"""The daemon as a process: failures at its start are logged clearly."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 import pytest
 
 _EXECUTABLE = str(pathlib.Path(sys.executable).parent / 'sardinepierd')
-_LIMIT_S = 60
+_TIMEOUT_S = 60
 
 _INSTANCE = """
 [instance]
@@ -41,22 +41,22 @@
 
 
 async def _end(process):
-    async with asyncio.timeout(_LIMIT_S):
-        _, errors = await process.communicate()
-    return [json.loads(line) for line in errors.decode().splitlines()]
+    async with asyncio.timeout(_TIMEOUT_S):
+        _, error_output = await process.communicate()
+    return [json.loads(line) for line in error_output.decode().splitlines()]
 
 
 @pytest.mark.processes
 @pytest.mark.parametrize(
-    ('text', 'told'),
+    ('text', 'problem'),
     (
         (None, 'cannot be read'),
         ('[instance]\nzone = north\n', 'daemon_id'),
         ('no section at all', ''),
     ),
 )
-async def test_a_bad_instance_file_ends_the_start_with_one_clear_line(
-    tmp_path, text, told
+async def test_an_invalid_instance_file_gives_exit_code_1_and_one_line(
+    tmp_path, text, problem
 ):
     path = tmp_path / 'instance.ini'
     if text is not None:
@@ -66,16 +66,16 @@
     assert process.returncode == 1
     assert len(lines) == 1
     assert lines[0]['level'] == 'error'
-    assert told in json.dumps(lines[0])
+    assert problem in json.dumps(lines[0])
     assert 'Traceback' not in json.dumps(lines)
 
 
 @pytest.mark.processes
-async def test_a_peer_port_in_use_is_named(tmp_path):
-    with socket.socket() as taken:
-        taken.bind(('127.0.0.1', 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+async def test_a_peer_port_in_use_is_named_in_the_log(tmp_path):
+    with socket.socket() as listener:
+        listener.bind(('127.0.0.1', 0))
+        listener.listen()
+        port = listener.getsockname()[1]
         path = tmp_path / 'instance.ini'
         path.write_text(
             _INSTANCE.format(http_port=_free_port(), peer_port=port),
@@ -87,13 +87,13 @@
 
 
 @pytest.mark.processes
-async def test_a_daemon_without_platform_waits_and_stops_when_told(tmp_path):
+async def test_a_daemon_without_platform_waits_and_stops_at_sigterm(tmp_path):
     path = tmp_path / 'instance.ini'
     path.write_text(
         _INSTANCE.format(http_port=_free_port(), peer_port=_free_port()),
     )
     process = await _start(path)
-    async with asyncio.timeout(_LIMIT_S):
+    async with asyncio.timeout(_TIMEOUT_S):
         first_line = await process.stderr.readline()
     assert json.loads(first_line)['event'] == 'PlatformFailed'
     process.send_signal(signal.SIGTERM)
