--- a/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/entry_parts.py
@@ -8,14 +8,14 @@
 from sardinepier.core import ids
 from sardinepier.daemon import entry_events, entry_settings
 from sardinepier.entry import (
+    buffer_budget,
     context,
     decision_log,
     header_names,
-    buffer_budget,
     request_metrics,
     service_registry,
 )
-from sardinepier.gateway import client, active_requests
+from sardinepier.gateway import active_requests, client
 from sardinepier.membership import (
     events,
     kinds,
