--- a/libraries/gateway/src/sardinepier/gateway/__init__.py
+++ b/libraries/gateway/src/sardinepier/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The request path: admission, choice, attempt, answer."""
+"""The request path: admission, target selection, attempt and answer."""
--- a/libraries/gateway/src/sardinepier/gateway/active_requests.py
+++ b/libraries/gateway/src/sardinepier/gateway/active_requests.py
@@ -1,4 +1,4 @@
-"""How many pieces of work a daemon has, and whether it is on its way out."""
+"""The number of requests in flight, and whether the daemon is draining."""
 
 import asyncio
 import types
@@ -6,12 +6,12 @@
 
 
 class ActiveRequests:
-    """Counts work in hand, and all that was begun.
+    """Counts requests in flight, and all requests that were started.
 
-    ``forwarded_bytes`` are those of requests and answers, each counted once by
-    whoever passes them on.
+    ``forwarded_bytes`` counts the bytes of requests and answers; the code that
+    forwards them adds each once.
 
-    Used as a context manager around each piece. For example::
+    Used as a context manager around each request. For example::
 
         with active_requests:
             await answer(request)
@@ -19,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        """Start with nothing in hand."""
+        """Start without requests in flight."""
         self.in_flight = 0
         self.requests_started = 0
         self.forwarded_bytes = 0
@@ -28,7 +28,7 @@
         self._idle.set()
 
     def __enter__(self) -> Self:
-        """Count one more."""
+        """Count the start of a request."""
         self.in_flight += 1
         self.requests_started += 1
         self._idle.clear()
@@ -40,15 +40,15 @@
         error: BaseException | None,
         trace: types.TracebackType | None,
     ) -> None:
-        """Count one less."""
+        """Count the end of a request."""
         self.in_flight -= 1
         if not self.in_flight:
             self._idle.set()
 
     def begin_draining(self) -> None:
-        """Tell callers from now on to go elsewhere."""
+        """Direct callers to other daemons from now on."""
         self.is_draining = True
 
     async def wait_until_idle(self) -> None:
-        """Return when nothing is in hand."""
+        """Wait until no request is in flight."""
         await self._idle.wait()
--- a/libraries/gateway/src/sardinepier/gateway/addresses.py
+++ b/libraries/gateway/src/sardinepier/gateway/addresses.py
@@ -1,4 +1,4 @@
-"""Telling callers which daemons to use for a service, and for how long."""
+"""The page that lists the daemons to use for a service, and for how long."""
 
 from typing import Final
 
@@ -18,7 +18,7 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where to send requests, with the ticket for non-idempotent ones."""
+    """The address of a daemon, with a ticket for non-idempotent requests."""
 
     ip: str
     port: int
@@ -27,17 +27,17 @@
 
 
 class AddressesAnswer(msgspec.Struct, frozen=True):
-    """The content of the answer: use these for ``valid_s`` seconds."""
+    """The body of the answer: addresses to use for ``valid_s`` seconds."""
 
     addresses: tuple[Address, ...]
     valid_s: float
 
 
 class Addresses:
-    """Chooses addresses out of this daemon's view of the fleet."""
+    """Selects addresses from this daemon's view of the fleet."""
 
     def __init__(self, context: contexts.GatewayContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the collaborators in ``context``."""
         self._context = context
 
     async def handle(
@@ -49,15 +49,15 @@
         if configuration is None:
             raise refusals.NotConfiguredError(
                 'This daemon has no settings yet',
-                'Ask again, or ask another daemon',
+                'Send the request again, or to another daemon',
                 _RETRY_AFTER_S,
             )
         name = ids.ServiceName(request.query.get('service', ''))
         settings = configuration.services.get(name)
         if settings is None:
             raise refusals.UnknownServiceError(
-                'The parameter service names no service',
-                'Ask for /v1/addresses?service=<name of the service>',
+                'The parameter service is not the name of a service',
+                'Request /v1/addresses?service=<name of the service>',
             )
         zone = ids.ZoneName(request.query.get('zone', ''))
         answer = self.choose(configuration.fleet, settings, zone)
@@ -73,23 +73,23 @@
         settings: model.ServiceSettings,
         zone: ids.ZoneName,
     ) -> AddressesAnswer:
-        """Return addresses of the service's group, those of ``zone`` first.
+        """Return addresses of the service's group, those in ``zone`` first.
 
-        Raises ``NoTargetError`` when this daemon leaves and knows no other.
+        Raises ``NoTargetError`` if this daemon is leaving and knows no other.
         """
         chosen = self._serving(settings)
-        # Shuffled first: the sort by zone keeps that order within each part.
+        # The sort by zone is stable and keeps the random order within a zone.
         self._context.random_source.shuffle(chosen)
-        chosen.sort(key=lambda one: one.zone != zone)
+        chosen.sort(key=lambda member: member.zone != zone)
         if not chosen:
             raise refusals.NoTargetError(
-                'This daemon is leaving and knows of no other one',
-                'Ask another daemon',
+                'This daemon is leaving and knows no other daemon',
+                'Send the request to another daemon',
                 _RETRY_AFTER_S,
             )
         count = fleet.addresses_per_answer
         return AddressesAnswer(
-            tuple(self._address(one) for one in chosen[:count]),
+            tuple(self._address(member) for member in chosen[:count]),
             fleet.addresses_valid_s,
         )
 
@@ -99,17 +99,17 @@
             settings.name,
             settings.group_daemons_per_zone,
         )
-        chosen = [one for one in group if not self._is_leaving(one)]
+        chosen = [member for member in group if not self._is_leaving(member)]
         if chosen:
             return chosen
-        # Only now is the whole fleet looked at: in each answer it would cost
-        # more than all the rest.
-        everyone = self._context.view.serving()
-        return [one for one in everyone if not self._is_leaving(one)]
+        # The whole fleet is only a fallback: a scan of it in each answer would
+        # cost more than everything else.
+        serving = self._context.view.serving()
+        return [member for member in serving if not self._is_leaving(member)]
 
-    def _is_leaving(self, one: members.Member) -> bool:
+    def _is_leaving(self, member: members.Member) -> bool:
         own = self._context.own
-        return self._context.activity.is_draining and one.instance_id == own
+        return self._context.activity.is_draining and member.instance_id == own
 
     def _address(self, member: members.Member) -> Address:
         context = self._context
--- a/libraries/gateway/src/sardinepier/gateway/answer_reader.py
+++ b/libraries/gateway/src/sardinepier/gateway/answer_reader.py
@@ -1,4 +1,4 @@
-"""Reading a target's answer, and refusing what can't be passed on."""
+"""Reads a target's answer and rejects one that can't be forwarded."""
 
 from typing import Final
 
@@ -14,17 +14,17 @@
 
 async def read(
     response: client_reqrep.ClientResponse,
-    item: caller_request.CallerRequest,
+    request: caller_request.CallerRequest,
     on_end: target_answer.OnEnd,
 ) -> target_answer.TargetAnswer:
-    """Return the answer: whole, or its beginning when it is a long one.
+    """Return the complete answer, or the beginning of a long one.
 
-    ``on_end`` goes to the rest of a long one. Raises ``BadAnswerError`` when
-    it can't be passed on. Unless it was read to its end, the connection is
-    closed when this raises.
+    ``on_end`` is passed to the stream of a long answer. Raises
+    ``BadAnswerError`` if the answer can't be forwarded. If this raises before
+    the answer was read to its end, it closes the connection.
     """
     try:
-        return await _read(response, item, on_end)
+        return await _read(response, request, on_end)
     except (client_exceptions.ClientError, OSError) as error:
         response.close()
         raise target_answer.truncated(error) from error
@@ -38,27 +38,27 @@
     shed: model.ShedReply,
     retry_after_s: float,
 ) -> None:
-    """Raise ``ShedError`` when this is the reply the service's file names.
+    """Raise ``ShedError`` if this is the shed reply of the service's settings.
 
-    ``retry_after_s`` is when a target of the service wants requests again.
+    ``retry_after_s`` is when a target of the service accepts requests again.
     """
     if response.status != shed.status:
         return
     if shed.header_value in response.headers.getall(shed.header_name, ()):
         response.close()
         raise errors.ShedError(
-            'The target has too much work and did not run the request',
-            'Send it again after the stated time',
+            'The target is overloaded and did not run the request',
+            'Send the request again after the stated time',
             retry_after_s,
         )
 
 
 async def _read(
     response: client_reqrep.ClientResponse,
-    item: caller_request.CallerRequest,
+    request: caller_request.CallerRequest,
     on_end: target_answer.OnEnd,
 ) -> target_answer.TargetAnswer:
-    _require_frame(response, item.method)
+    _require_framing(response, request.method)
     answer = target_answer.TargetAnswer(
         response.status,
         response.reason,
@@ -66,10 +66,10 @@
         response.content_length,
     )
     _require_readable(answer)
-    limit_bytes = item.snapshot.settings.answer_buffer_limit_bytes
+    limit_bytes = request.snapshot.settings.answer_buffer_limit_bytes
     content = response.content
     if content.is_eof() and content.total_bytes <= limit_bytes:
-        # A short answer mostly comes together with its headers.
+        # A short answer usually arrives together with its headers.
         answer.body = content.read_nowait()
         return answer
     parts: list[bytes] = []
@@ -84,19 +84,19 @@
     return answer
 
 
-def _require_frame(
+def _require_framing(
     response: client_reqrep.ClientResponse,
     method: str,
 ) -> None:
-    # An answer that ends with its connection can't be told from one that was
-    # cut somewhere before its end.
+    # An answer that ends with its connection can't be distinguished from one
+    # that was cut off.
     if method == _HEAD or response.status in _NO_CONTENT:
         return
     coding = response.headers.get(headers.TRANSFER_ENCODING, '')
     is_chunked = coding.lower().endswith(_CHUNKED)
     if not is_chunked and headers.CONTENT_LENGTH not in response.headers:
         raise errors.BadAnswerError(
-            'The target stated neither the length of its answer nor chunks',
+            'The answer of the target has neither a length nor chunks',
             'Have the target send Content-Length or use chunked encoding',
         )
 
--- a/libraries/gateway/src/sardinepier/gateway/attempt.py
+++ b/libraries/gateway/src/sardinepier/gateway/attempt.py
@@ -1,7 +1,7 @@
 """One attempt at one target, from its first byte to the end of the answer.
 
-Whatever happens, it ends in one way that health is told of, and the slot is
-given back once.
+Each attempt reports exactly one outcome to health and releases its slot
+exactly once, however it ends.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 
 _MS_PER_S: Final = 1000
 _RETRY_AFTER_S: Final = 0.2
-"""Another target is free by then, unless all are leaving."""
+"""Another target is usually available by then, unless all are leaving."""
 
 _FIRST_FAILURE_STATUS: Final = 500
 
-_ENDS: Final = (
+_OUTCOMES: Final = (
     (errors.ShedError, evidence.AttemptOutcome.SHED),
     (errors.ConnectFailedError, evidence.AttemptOutcome.CONNECT_FAILED),
     (errors.ConnectionLostError, evidence.AttemptOutcome.CONNECTION_LOST),
@@ -39,26 +39,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _StatementNames:
-    """The headers that the service's file names."""
+    """The names of the statement headers in the service's settings."""
 
     leaving: str
     limit: str
 
 
 class Attempt:
-    """One attempt of ``item`` at the target whose slot is reserved."""
+    """An attempt of ``request`` at a target with a reserved slot."""
 
     def __init__(
         self,
         context: contexts.GatewayContext,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         target_id: ids.TargetId,
     ) -> None:
-        """Take over the reserved slot."""
+        """Take ownership of the reserved slot."""
         self._context = context
-        self._item = item
+        self._request = request
         self._target_id = target_id
-        self._number = item.runtime.next_attempt()
+        self._number = request.runtime.next_attempt()
         self._started_s = context.clock.monotonic_s()
         self._is_sent = False
         self._is_open = True
@@ -66,66 +66,66 @@
     async def run(self) -> target_answer.TargetAnswer:
         """Return the target's answer.
 
-        A subclass of ``ProvedNotRunError`` or ``UnknownFateError`` tells
-        what is known when there is none.
+        Without an answer, raises a subclass of ``ProvedNotRunError`` or of
+        ``UnknownFateError``.
         """
-        item = self._item
-        item.runtime.health.started(
+        request = self._request
+        request.runtime.health.started(
             self._target_id,
-            item.route.name,
+            request.route.name,
             self._number,
         )
         try:
             answer = await self._within_deadline()
         except BaseException as error:
-            self._end_by(error)
+            self._end_with_error(error)
             raise
         if answer.remainder is None:
-            self._answered(answer.status)
+            self._end_with_answer(answer.status)
         return answer
 
     async def _within_deadline(self) -> target_answer.TargetAnswer:
-        left_s = self._item.deadline_s - self._context.clock.monotonic_s()
+        left_s = self._request.deadline_s - self._context.clock.monotonic_s()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
                 return await self._exchange()
         except TimeoutError as error:
             if not self._is_sent:
-                self._item.require_time_left(self._context.clock)
+                self._request.require_time_left(self._context.clock)
             raise errors.AnswerOverdueError(
-                'The target did not answer before the time ran out',
-                'Find out whether the request ran before sending it anew',
+                'The target did not answer before the deadline',
+                'Check whether the request ran before sending it again',
             ) from error
 
     async def _exchange(self) -> target_answer.TargetAnswer:
-        item = self._item
-        settings = item.snapshot.settings
+        request = self._request
+        settings = request.snapshot.settings
         response = await self._context.client.open(
-            item.method,
-            item.snapshot.url(self._target_id),
-            item.target_headers(self._context.clock),
-            item.body,
-            fresh=not item.route.idempotent,
-            connect_timeout_s=item.snapshot.connect_timeout_s,
+            request.method,
+            request.snapshot.url(self._target_id),
+            request.target_headers(self._context.clock),
+            request.body,
+            fresh=not request.route.idempotent,
+            connect_timeout_s=request.snapshot.connect_timeout_s,
             permit=self._permit,
-            path=item.target_path,
+            path=request.target_path,
         )
         if settings.draining_header in response.headers:
-            item.runtime.mark_leaving(self._target_id)
-        self._hear(response)
+            request.runtime.mark_leaving(self._target_id)
+        self._apply_statement(response)
         answer_reader.refuse_shed(
             response,
             settings.shed_reply,
-            item.runtime.statements.retry_after_s(
-                item.runtime.health.selectable(),
+            request.runtime.statements.retry_after_s(
+                request.runtime.health.selectable(),
             ),
         )
-        return await answer_reader.read(response, item, self._rest_ended)
+        return await answer_reader.read(response, request, self._on_stream_end)
 
-    def _hear(self, response: client_reqrep.ClientResponse) -> None:
-        """Take in what the target says of itself, whatever it answered."""
-        settings = self._item.snapshot.settings
-        self._item.runtime.statements.apply(
+    def _apply_statement(self, response: client_reqrep.ClientResponse) -> None:
+        """Apply the statement in the headers, whatever the status."""
+        settings = self._request.snapshot.settings
+        self._request.runtime.statements.apply(
             self._target_id,
             statements.read(
                 response.status,
@@ -139,94 +139,95 @@
         )
 
     def _permit(self) -> None:
-        """Allow the first byte, unless time or a pause came between.
+        """Permit the first byte, or raise.
 
-        Nor does a target get it that began to leave while a connection to
-        it was made, or any target what is held back since it was let through.
+        Refused are requests after a pause or after their deadline, requests to
+        a target that began to leave or to back off while the connection was
+        made, and requests that were quarantined since their admission.
         """
         self._context.wake_guard.require()
-        self._item.require_time_left(self._context.clock)
-        self._require_staying()
-        self._context.quarantine.raise_if_quarantined(self._item.fingerprint)
+        self._request.require_time_left(self._context.clock)
+        self._require_accepting()
+        self._context.quarantine.raise_if_quarantined(self._request.fingerprint)
         self._is_sent = True
 
-    def _require_staying(self) -> None:
-        standing = self._item.runtime.health.standing(self._target_id)
+    def _require_accepting(self) -> None:
+        standing = self._request.runtime.health.standing(self._target_id)
         if standing.state is targets.TargetState.LEAVING:
             raise errors.TargetLeftError(
-                f'The target {self._target_id} has just left',
-                'Send the request to another one',
+                f'The target {self._target_id} began to leave',
+                'Send the request to another target',
                 _RETRY_AFTER_S,
             )
-        if self._item.runtime.statements.is_backing_off(self._target_id):
+        if self._request.runtime.statements.is_backing_off(self._target_id):
             raise errors.TargetRestsError(
-                f'The target {self._target_id} asked for rest',
-                'Send the request to another one',
+                f'The target {self._target_id} asked for backoff',
+                'Send the request to another target',
                 _RETRY_AFTER_S,
             )
 
-    def _answered(self, status: int) -> None:
-        runtime = self._item.runtime
+    def _end_with_answer(self, status: int) -> None:
+        runtime = self._request.runtime
         latency_ms = self._latency_ms()
         runtime.slots.answered(self._target_id)
         runtime.queue.observe_service_time(latency_ms / _MS_PER_S)
         if status >= _FIRST_FAILURE_STATUS:
-            self._context.quarantine.released(self._item.fingerprint)
+            self._context.quarantine.released(self._request.fingerprint)
             self._end(evidence.AttemptOutcome.FAILED, None)
             return
-        runtime.lost_connections.answered(self._target_id)
-        runtime.hedge_delay(self._item.route.name).observe(latency_ms)
-        self._note_good_answer()
+        runtime.lost_connections.record_answer(self._target_id)
+        runtime.hedge_delay(self._request.route.name).observe(latency_ms)
+        self._record_good_answer()
         self._end(evidence.AttemptOutcome.ANSWERED, latency_ms)
 
-    def _note_good_answer(self) -> None:
+    def _record_good_answer(self) -> None:
         self._context.quarantine.answered(
-            self._item.fingerprint,
+            self._request.fingerprint,
             self._target_id,
         )
 
-    def _rest_ended(self, error: BaseException | None) -> None:
-        """Take in how the rest of a long answer ended."""
+    def _on_stream_end(self, error: BaseException | None) -> None:
+        """Record how the stream of a long answer ended."""
         if error is None:
-            self._note_good_answer()
+            self._record_good_answer()
             self._end(evidence.AttemptOutcome.ANSWERED, None)
         else:
-            self._end_by(error)
+            self._end_with_error(error)
 
-    def _end_by(self, error: BaseException) -> None:
-        end = _end_of(error)
-        if end is evidence.AttemptOutcome.CONNECTION_LOST:
-            end = self._suspect_crash()
+    def _end_with_error(self, error: BaseException) -> None:
+        outcome = _outcome_of(error)
+        if outcome is evidence.AttemptOutcome.CONNECTION_LOST:
+            outcome = self._suspect_crash()
         else:
-            self._context.quarantine.released(self._item.fingerprint)
+            self._context.quarantine.released(self._request.fingerprint)
         if isinstance(error, errors.ShedError):
-            self._item.runtime.slots.shed(self._target_id)
-        self._end(end, None)
+            self._request.runtime.slots.shed(self._target_id)
+        self._end(outcome, None)
 
     def _suspect_crash(self) -> evidence.AttemptOutcome:
         quarantine = self._context.quarantine
-        held = quarantine.crashed(
-            self._item.fingerprint,
+        is_quarantined = quarantine.crashed(
+            self._request.fingerprint,
             self._target_id,
-            self._item.runtime.record_lost_connection(
+            self._request.runtime.record_lost_connection(
                 self._target_id,
                 is_earlier_loss_explained=quarantine.has_suspect_request_on(
                     self._target_id,
                 ),
             ),
         )
-        if not held:
+        if not is_quarantined:
             return evidence.AttemptOutcome.CONNECTION_LOST
-        self._tell_of_quarantine()
+        self._record_quarantine()
         return evidence.AttemptOutcome.CRASH_SUSPECT
 
-    def _tell_of_quarantine(self) -> None:
-        item = self._item
+    def _record_quarantine(self) -> None:
+        request = self._request
         for mark in self._context.quarantine.quarantined():
-            if mark.fingerprint == item.fingerprint:
+            if mark.fingerprint == request.fingerprint:
                 self._context.record_event(
                     target_events.FingerprintQuarantined(
-                        item.snapshot.settings.name,
+                        request.snapshot.settings.name,
                         f'{mark.fingerprint:016x}',
                         mark.targets,
                         mark.remaining_s,
@@ -235,29 +236,29 @@
 
     def _end(
         self,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float | None,
     ) -> None:
         if not self._is_open:
             return
         self._is_open = False
-        item = self._item
-        item.runtime.health.finished(
+        request = self._request
+        request.runtime.health.finished(
             self._target_id,
-            item.route.name,
+            request.route.name,
             self._number,
-            end,
+            outcome,
             latency_ms,
         )
-        item.runtime.release(self._target_id)
+        request.runtime.release(self._target_id)
 
     def _latency_ms(self) -> float:
-        taken_s = self._context.clock.monotonic_s() - self._started_s
-        return taken_s * _MS_PER_S
+        duration_s = self._context.clock.monotonic_s() - self._started_s
+        return duration_s * _MS_PER_S
 
 
-def _end_of(error: BaseException) -> evidence.AttemptOutcome:
-    for kind, end in _ENDS:
+def _outcome_of(error: BaseException) -> evidence.AttemptOutcome:
+    for kind, outcome in _OUTCOMES:
         if isinstance(error, kind):
-            return end
+            return outcome
     return evidence.AttemptOutcome.CANCELLED
--- a/libraries/gateway/src/sardinepier/gateway/body.py
+++ b/libraries/gateway/src/sardinepier/gateway/body.py
@@ -1,4 +1,4 @@
-"""Reading a caller's body, never more of it than the service takes."""
+"""Reads the body of a caller's request, up to the limit of the service."""
 
 import asyncio
 from typing import Final
@@ -21,34 +21,35 @@
 ) -> bytes:
     """Return the whole body.
 
-    Raises ``BodyTooLargeError`` before it asks for a body that is stated to
-    be too large, and ``BodyIncompleteError`` when it ends early or late.
+    Raises ``BodyTooLargeError``, without sending ``100 Continue`` when the
+    stated length is over the limit, and ``BodyIncompleteError`` when the body
+    is cut short or is not complete by ``deadline_s``.
     """
     if (request.content_length or 0) > limit_bytes:
         raise _too_large(limit_bytes)
     content = request.content
     if content.is_eof() and content.total_bytes <= limit_bytes:
-        # A short body mostly comes together with the head.
+        # A short body usually arrives together with the headers.
         return content.read_nowait()
-    await _invite(request)
+    await _send_continue(request)
     left_s = deadline_s - clock.monotonic_s()
     try:
         async with asyncio.timeout(max(0.0, left_s)):
             return await _collect(request, limit_bytes)
     except (OSError, http_exceptions.HttpProcessingError) as error:
         raise refusals.BodyIncompleteError(
-            'The body of the request did not arrive whole and in time',
-            'Send the request again with all of its body',
+            'The body of the request did not arrive completely and in time',
+            'Send the request again with its complete body',
         ) from error
 
 
-async def _invite(request: web_request.BaseRequest) -> None:
-    """Tell a caller that waits for it to go on with the body."""
+async def _send_continue(request: web_request.BaseRequest) -> None:
+    """Send ``100 Continue`` to a caller that asked for it."""
     if request.version < http.HttpVersion11:
         return
     if request.headers.get(_EXPECT, '').lower() == _CONTINUE:
         await request.writer.write(_CONTINUE_LINE)
-        # The answer itself has not begun yet.
+        # The interim response does not count as the start of the answer.
         request.writer.output_size = 0
 
 
@@ -69,6 +70,6 @@
 def _too_large(limit_bytes: int) -> refusals.BodyTooLargeError:
     return refusals.BodyTooLargeError(
         f'The body is larger than the {limit_bytes} bytes that this service '
-        'takes',
-        'Send less in one request',
+        'accepts',
+        'Send a smaller body',
     )
--- a/libraries/gateway/src/sardinepier/gateway/caller_request.py
+++ b/libraries/gateway/src/sardinepier/gateway/caller_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, read and checked, on its way to a target."""
+"""A caller's request after it was read and validated."""
 
 import dataclasses
 
@@ -14,11 +14,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class CallerRequest:
-    """A request with the snapshot it started with.
+    """A request with the settings snapshot that it started with.
 
-    ``target_path`` is the path and query as the target gets it, byte for
-    byte what the caller sent below the service's name. ``fingerprint`` tells
-    requests apart for keys and for quarantine.
+    ``target_path`` is the path and query for the target, byte for byte what
+    the caller sent after the service's name. ``fingerprint`` distinguishes
+    requests in the ledger of keys and in the quarantine.
     """
 
     snapshot: snapshots.ServiceSnapshot
@@ -33,21 +33,21 @@
     fingerprint: int
 
     def remaining_ms(self, clock: clocks.Clock) -> int:
-        """Return how many whole milliseconds are left, at least 0."""
+        """Return the time to the deadline in whole milliseconds, at least 0."""
         left_s = self.deadline_s - clock.monotonic_s()
         return max(0, int(left_s * _MS_PER_S))
 
     def require_time_left(self, clock: clocks.Clock) -> None:
-        """Raise ``DeadlinePassedError`` when nothing is left."""
+        """Raise ``DeadlinePassedError`` if the deadline has passed."""
         if clock.monotonic_s() >= self.deadline_s:
             raise refusals.DeadlinePassedError(
-                'The time of the request ran out before it was sent',
-                'Send it again, or allow it more time',
+                'The deadline of the request passed before it was sent',
+                'Send it again with a longer deadline',
                 1.0,
             )
 
     def target_headers(self, clock: clocks.Clock) -> list[tuple[str, str]]:
-        """Return the headers for the target, with the time that is left."""
+        """Return the headers for the target, with the remaining time."""
         left = (headers.DEADLINE, str(self.remaining_ms(clock)))
         return [*self.headers, left]
 
@@ -58,7 +58,7 @@
     target_path: str,
     body: bytes,
 ) -> int:
-    """Return a 64-bit hash of all that decides what a target does."""
+    """Return a 64-bit hash of all fields that determine the effect."""
     digest = xxhash.xxh3_64(f'{service}\0{method}\0{target_path}\0'.encode())
     digest.update(body)
     return int(digest.intdigest())
--- a/libraries/gateway/src/sardinepier/gateway/client.py
+++ b/libraries/gateway/src/sardinepier/gateway/client.py
@@ -1,7 +1,7 @@
-"""The client towards targets and peers, with the connections that it keeps.
+"""The HTTP client for targets and peers, with its connection pools.
 
-What must hold for each request is in :mod:`sardinepier.gateway.outgoing`, and
-for each connection in :mod:`sardinepier.gateway.connections`.
+:mod:`sardinepier.gateway.outgoing` states the guarantees for each request, and
+:mod:`sardinepier.gateway.connections` those for each connection.
 """
 
 import asyncio
@@ -15,17 +15,17 @@
 
 from sardinepier.gateway import connections, errors, outgoing
 
-_STALE_TRIES: Final = 4
-_TIMEOUTS_KEPT: Final = 64
+_MAX_STALE_RETRIES: Final = 4
+_MAX_CACHED_TIMEOUTS: Final = 64
 _RETRY_AFTER_S: Final = 1.0
-_ANYTHING: Final = connections.Expectation()
+_NO_EXPECTATION: Final = connections.Expectation()
 
 
 class TargetClient:
-    """Keeps the connections to targets and peers; one a process."""
+    """Sends requests to targets and peers; each process has one client."""
 
     def __init__(self) -> None:
-        """Open no connection yet. Needs a running event loop."""
+        """Create empty pools. Needs a running event loop."""
         self._loop = asyncio.get_running_loop()
         self._pooled = connections.GuardedConnector(force_close=False)
         self._fresh = connections.GuardedConnector(force_close=True)
@@ -46,19 +46,19 @@
         connect_timeout_s: float,
         permit: Callable[[], None],
         path: str | None = None,
-        expects: connections.Expectation = _ANYTHING,
+        expects: connections.Expectation = _NO_EXPECTATION,
     ) -> client_reqrep.ClientResponse:
-        """Send a request and return the answer once its headers are there.
+        """Send a request and return the answer once its headers arrived.
 
-        ``path`` goes out byte for byte as the request's path and query; by
-        default it is that of ``url``. ``fresh`` takes a new connection that
+        ``path`` is sent byte for byte as the path and query; by default it is
+        that of ``url``. With ``fresh`` the request uses a new connection that
         is not kept. ``permit`` is called right before the first byte. Answers
-        and connections that ``expects`` turns down are passed over. Raises ``ConnectFailedError`` if
-        nothing was sent, ``ConnectionLostError`` or ``BadAnswerError`` if
-        something was, and what ``permit`` raises.
+        and connections that ``expects`` rejects are skipped. Raises
+        ``ConnectFailedError`` if nothing was sent, ``ConnectionLostError`` or
+        ``BadAnswerError`` if something was, and what ``permit`` raises.
         """
-        for left in range(_STALE_TRIES, -1, -1):
-            pool = self._fresh if fresh or not left else self._pooled
+        for retries_left in range(_MAX_STALE_RETRIES, -1, -1):
+            pool = self._fresh if fresh or not retries_left else self._pooled
             request = outgoing.Request(
                 method,
                 url,
@@ -79,13 +79,13 @@
 
 def _no_connection() -> errors.ConnectFailedError:
     return errors.ConnectFailedError(
-        'The target closes each connection as soon as it is made',
+        'The target closes each connection as soon as it is open',
         'Send the request again',
         _RETRY_AFTER_S,
     )
 
 
-@functools.lru_cache(maxsize=_TIMEOUTS_KEPT)
+@functools.lru_cache(maxsize=_MAX_CACHED_TIMEOUTS)
 def _timeout(connect_timeout_s: float) -> client.ClientTimeout:
     return client.ClientTimeout(
         total=None,
--- a/libraries/gateway/src/sardinepier/gateway/connections.py
+++ b/libraries/gateway/src/sardinepier/gateway/connections.py
@@ -1,9 +1,9 @@
-"""Connections to targets and peers that never give the answer of another.
+"""Connections to targets and peers that never mix up answers.
 
-One on which the target spoke or which it closed while nobody asked is never
-used again, because the next request would read the answer of another. An
-answer that comes late, where that of the next request is due, is passed over
-when the exchange says how to tell.
+A pooled connection is not reused once the target sent data on it or closed it
+while it was idle, because the next request could read the answer to an earlier
+one. A late answer to an earlier request is skipped if the exchange can
+recognize its own answer.
 """
 
 import asyncio
@@ -24,16 +24,16 @@
 )
 
 Accepts = Callable[[multidict.CIMultiDictProxy[str]], bool]
-"""Tells by an answer's headers whether it belongs to the exchange."""
+"""Returns from the headers whether an answer belongs to the exchange."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expectation:
-    """What an exchange expects of its connection.
+    """The requirements of an exchange on its connection and answer.
 
-    ``accepts`` tells the answer of this request from one that comes late to
-    an earlier one. A connection made before ``made_since_s``, a time of the
-    event loop, is not used: whoever was there may be gone.
+    ``accepts`` distinguishes the answer to this request from a late answer to
+    an earlier one. A connection made before ``made_since_s``, in event loop
+    time, is not used: the process behind it may have been replaced.
     """
 
     accepts: Accepts | None = None
@@ -45,13 +45,13 @@
 _FIRST_FINAL_STATUS: Final = 200
 _KEEP_ALIVE: Final = 'Keep-Alive'
 _TIMEOUT: Final = re.compile(r'timeout=(\d+)')
-_SHARE_OF_TIMEOUT: Final = 0.7
-"""A kept connection rests for no more of the time that the target states: a
-request that crosses the target's close is lost without anybody's fault."""
+_IDLE_TIMEOUT_SHARE: Final = 0.7
+"""The share of the target's stated idle timeout after which a pooled connection
+is not reused: a request sent while the target closes the connection is lost."""
 
 
 class GuardedHandler(client_proto.ResponseHandler):
-    """A connection that closes when the target speaks unasked."""
+    """A connection that closes if the target sends data while it is idle."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         """Start without an exchange."""
@@ -60,46 +60,46 @@
         self.is_reused = False
         self.made_s = loop.time()
         self.accepts: Accepts | None = None
-        self._rests_until_s = float('inf')
+        self._idle_until_s = float('inf')
 
     async def read(self) -> Any:
-        """Return the answer of this exchange; others are passed over."""
+        """Return the answer to this exchange and skip late answers."""
         while True:
             message, payload = await super().read()
             is_final = message.code >= _FIRST_FINAL_STATUS
             if not is_final or self._is_accepted(message):
-                self._note_timeout(message)
+                self._record_idle_timeout(message)
                 return message, payload
             await payload.read()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the exchange; an answer cut by a reset is not whole.
+        """End the exchange; mark an answer cut off by a reset as incomplete.
 
-        Without a length an answer ends with its connection, and aiohttp
-        takes any end for the end of the answer.
+        An answer without a length ends with its connection, and aiohttp
+        accepts any end of the connection as the end of the answer.
         """
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(
                 client_exceptions.ClientPayloadError(
-                    'The connection was reset within the answer',
+                    'The connection was reset during the answer',
                 ),
             )
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes of an answer; unasked ones end the connection."""
-        # Without data this only says that reading goes on.
+        """Process bytes of an answer; abort on bytes while idle."""
+        # An empty call only signals that reading resumes.
         if self.is_idle and data:
             self.abort()
             return
         super().data_received(data)
 
     def is_stale(self, made_since_s: float) -> bool:
-        """Tell whether the target closed or spoke while this was idle.
+        """Return whether the target closed or sent data during idle time.
 
-        The event loop may not have read that yet, so the socket is asked.
-        One that was made before ``made_since_s`` is stale, too.
+        The event loop may not have read that yet, so this polls the socket.
+        A connection made before ``made_since_s`` is stale, too.
         """
         if self.should_close or self.transport is None:
             return True
@@ -107,7 +107,7 @@
             return True
         if not self.is_reused:
             return False
-        if self._loop.time() > self._rests_until_s:
+        if self._loop.time() > self._idle_until_s:
             return True
         poller = select.poll()
         poller.register(
@@ -116,8 +116,8 @@
         )
         return bool(poller.poll(0))
 
-    def pooled(self) -> None:
-        """Note that the exchange is over."""
+    def mark_idle(self) -> None:
+        """Mark the connection as idle after an exchange."""
         self.is_idle = True
         self.is_reused = True
         self.accepts = None
@@ -125,23 +125,23 @@
     def _is_accepted(self, message: Any) -> bool:
         return self.accepts is None or self.accepts(message.headers)
 
-    def _note_timeout(self, message: Any) -> None:
-        """Remember until when the target keeps the connection open."""
+    def _record_idle_timeout(self, message: Any) -> None:
+        """Compute until when the idle connection may be reused."""
         stated = _TIMEOUT.search(message.headers.get(_KEEP_ALIVE, ''))
         if stated:
-            rests_s = _SHARE_OF_TIMEOUT * int(stated.group(1))
-            self._rests_until_s = self._loop.time() + rests_s
+            idle_s = _IDLE_TIMEOUT_SHARE * int(stated.group(1))
+            self._idle_until_s = self._loop.time() + idle_s
 
 
 class GuardedConnector(connector.BaseConnector):
-    """Makes guarded connections; slots of the queue bound their number.
+    """Creates guarded connections; the slots of the queue limit their number.
 
-    Targets and peers are IP numbers without TLS: there is no name to look up
-    and no choice of addresses to try side by side.
+    Targets and peers have IP addresses and no TLS, so this skips name
+    resolution and the choice between several addresses.
     """
 
     def __init__(self, *, force_close: bool) -> None:
-        """Keep connections, or with ``force_close`` none."""
+        """Keep idle connections, or none with ``force_close``."""
         if force_close:
             super().__init__(limit=0, force_close=True)
         else:
@@ -155,12 +155,12 @@
     ) -> client_proto.ResponseHandler:
         """Connect within ``timeout``, or raise an ``OSError``."""
         async with asyncio.timeout(timeout.sock_connect):
-            _, made = await self._loop.create_connection(
-                self._guarded,
+            _, protocol = await self._loop.create_connection(
+                self._new_handler,
                 host=req.host,
                 port=req.port or _HTTP_PORT,
             )
-        return made
+        return protocol
 
-    def _guarded(self) -> GuardedHandler:
+    def _new_handler(self) -> GuardedHandler:
         return GuardedHandler(self._loop)
--- a/libraries/gateway/src/sardinepier/gateway/context.py
+++ b/libraries/gateway/src/sardinepier/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the request path works with, put together once by the daemon."""
+"""The collaborators of the request path, assembled once by the daemon."""
 
 import dataclasses
 import random
@@ -23,8 +23,8 @@
 class GatewayContext:
     """The collaborators of the request path.
 
-    ``configuration`` returns what is in force now, None before the first
-    fleet file. ``started_at_s`` is this process's start on its own clock.
+    ``configuration`` returns the current configuration, or None before the
+    first fleet file. ``started_at_s`` is this process's start on its own clock.
     ``services`` must be updated whenever the configuration changes.
     """
 
--- a/libraries/gateway/src/sardinepier/gateway/delivery.py
+++ b/libraries/gateway/src/sardinepier/gateway/delivery.py
@@ -1,4 +1,4 @@
-"""Passing a target's answer on to its caller, whole or visibly broken."""
+"""Sends a target's answer to the caller, completely or visibly cut off."""
 
 import asyncio
 from typing import Final
@@ -14,56 +14,56 @@
 _COMPLETED: Final = outcomes.Outcome.COMPLETED.value
 _NOT_KEPT: Final = errors.AnswerNotKeptError(
     'The request ran, but its answer was too large to keep',
-    'Read the result from the service instead of sending the request again',
+    'Read the outcome from the service instead of sending the request again',
 )
 
 
-def whole(
+def buffered_response(
     status: int,
     reason: str | None,
     pairs: headers.Pairs,
     body: bytes,
     outcome: str = _COMPLETED,
 ) -> web_response.Response:
-    """Return an answer whose content is in memory."""
-    named = multidict.CIMultiDict(pairs)
-    named[headers.OUTCOME] = outcome
+    """Return an answer whose complete body is in memory."""
+    answer_headers = multidict.CIMultiDict(pairs)
+    answer_headers[headers.OUTCOME] = outcome
     return web_response.Response(
         status=status,
         reason=reason,
-        headers=named,
+        headers=answer_headers,
         body=body,
     )
 
 
-def empty(
+def empty_response(
     answer: target_answer.TargetAnswer,
     outcome: str = _COMPLETED,
 ) -> web_response.Response:
-    """Return an answer without content that may state the length of one."""
-    named = multidict.CIMultiDict(answer.headers)
-    named[headers.OUTCOME] = outcome
+    """Return an answer without a body, which may still state a length."""
+    answer_headers = multidict.CIMultiDict(answer.headers)
+    answer_headers[headers.OUTCOME] = outcome
     if answer.length_bytes is not None:
-        named[headers.CONTENT_LENGTH] = str(answer.length_bytes)
+        answer_headers[headers.CONTENT_LENGTH] = str(answer.length_bytes)
     return web_response.Response(
         status=answer.status,
         reason=answer.reason,
-        headers=named,
+        headers=answer_headers,
     )
 
 
-def recorded(answer: answers.RecordedAnswer) -> web_response.Response:
-    """Return a recorded answer; raise ``AnswerNotKeptError`` without one."""
+def recorded_response(answer: answers.RecordedAnswer) -> web_response.Response:
+    """Return a recorded answer; raise ``AnswerNotKeptError`` without a body."""
     if answer.body is None:
         raise _NOT_KEPT
-    return whole(answer.status, None, answer.headers, answer.body)
+    return buffered_response(answer.status, None, answer.headers, answer.body)
 
 
 class Stream:
-    """A long answer on its way to the caller.
+    """Streams a long answer to the caller.
 
-    When it breaks, the caller's connection is aborted: what was sent so far
-    must not look like the whole.
+    If the stream fails, the caller's connection is aborted: a partial answer
+    must not look complete.
     """
 
     def __init__(
@@ -74,53 +74,53 @@
         deadline_s: float,
         outcome: str = _COMPLETED,
     ) -> None:
-        """Prepare the answer's head; the stream ends by ``deadline_s``."""
+        """Prepare the headers; the stream ends by ``deadline_s``."""
         self._context = context
         self._request = request
         self._answer = answer
         self._deadline_s = deadline_s
-        self._is_caller_there = True
-        named = multidict.CIMultiDict(answer.headers)
-        named[headers.OUTCOME] = outcome
+        self._is_caller_connected = True
+        answer_headers = multidict.CIMultiDict(answer.headers)
+        answer_headers[headers.OUTCOME] = outcome
         self.response = web_response.StreamResponse(
             status=answer.status,
             reason=answer.reason,
-            headers=named,
+            headers=answer_headers,
         )
-        self._frame()
+        self._set_framing()
 
-    async def send(self, rest: target_answer.BodyStream) -> None:
-        """Send everything.
+    async def send(self, remainder: target_answer.BodyStream) -> None:
+        """Send the headers, the buffered body and the remainder.
 
-        When the caller goes away, the answer is still read to its end.
-        Raises ``TruncatedAnswerError`` or ``AnswerOverdueError`` after the
-        connection was aborted.
+        If the caller hangs up, the answer is still read to its end. Raises
+        ``TruncatedAnswerError`` or ``AnswerOverdueError`` after it aborted
+        the connection.
         """
         left_s = self._deadline_s - self._context.clock.monotonic_s()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                await self._send(rest)
+                await self._send(remainder)
         except TimeoutError as error:
-            overdue = errors.AnswerOverdueError(
-                'The answer was not through before the time ran out',
-                'Allow the request more time',
+            overdue_error = errors.AnswerOverdueError(
+                'The answer was not complete before the deadline',
+                'Send the request with a longer deadline',
             )
-            rest.close(overdue)
+            remainder.close(overdue_error)
             self._abort()
-            raise overdue from error
+            raise overdue_error from error
         except BaseException as error:
-            rest.close(error)
+            remainder.close(error)
             self._abort()
             raise
 
-    async def _send(self, rest: target_answer.BodyStream) -> None:
-        await self._pass_on(None)
-        await self._pass_on(self._answer.body)
-        async for chunk in rest.chunks():
-            await self._pass_on(chunk)
+    async def _send(self, remainder: target_answer.BodyStream) -> None:
+        await self._send_chunk(None)
+        await self._send_chunk(self._answer.body)
+        async for chunk in remainder.chunks():
+            await self._send_chunk(chunk)
 
-    async def _pass_on(self, chunk: bytes | None) -> None:
-        if not self._is_caller_there:
+    async def _send_chunk(self, chunk: bytes | None) -> None:
+        if not self._is_caller_connected:
             return
         try:
             if chunk is None:
@@ -128,9 +128,9 @@
             else:
                 await self.response.write(chunk)
         except ConnectionError:
-            self._is_caller_there = False
+            self._is_caller_connected = False
 
-    def _frame(self) -> None:
+    def _set_framing(self) -> None:
         if self._context.activity.is_draining:
             self.response.force_close()
         length_bytes = self._answer.length_bytes
--- a/libraries/gateway/src/sardinepier/gateway/errors.py
+++ b/libraries/gateway/src/sardinepier/gateway/errors.py
@@ -1,9 +1,8 @@
-"""Why a request gets no answer of a target, each reason with its own type.
+"""Errors of requests that get no answer from a target.
 
-What a caller is told for each type stands in one table, in ``problems``. The
-types under :class:`ProvedNotRunError` are raised only while nothing of the
-request was written to a target, or when the target itself says that it did
-not run it.
+The module ``problem_table`` maps each type to what the caller gets. Subclasses
+of :class:`ProvedNotRunError` are raised only while nothing of the request was
+written to a target, or when the target itself states that it did not run it.
 """
 
 from typing import Final
@@ -12,11 +11,11 @@
 
 
 class GatewayError(errors.SardinepierError):
-    """Root of the failures of the request path."""
+    """Base class of the errors of the request path."""
 
 
 class ProvedNotRunError(GatewayError):
-    """Nothing ran. ``retry_after_s`` says when to come back, if it helps."""
+    """The request did not run; ``retry_after_s`` says when to retry, if ever."""
 
     def __init__(
         self,
@@ -24,28 +23,28 @@
         remedy: str,
         retry_after_s: float | None = None,
     ) -> None:
-        """Keep in how many seconds a retry makes sense, None if never."""
+        """Set after how many seconds a retry makes sense, None for never."""
         super().__init__(what, remedy)
         self.retry_after_s = retry_after_s
 
 
 class ConnectFailedError(ProvedNotRunError):
-    """No connection to the target came about, so nothing was sent."""
+    """The connection to the target failed, so nothing was sent."""
 
 
 class ConnectTimeoutError(ConnectFailedError):
-    """The target said nothing, not even that nobody listens there.
+    """The connection attempt timed out, without even a refusal.
 
-    It may be gone, or only the way to it.
+    Either the target is down or the network path to it is broken.
     """
 
 
 class TargetLeftError(ProvedNotRunError):
-    """The target began to leave after it was chosen; nothing was sent."""
+    """The target began to leave after its selection; nothing was sent."""
 
 
 class TargetRestsError(ProvedNotRunError):
-    """The target asked for rest after it was chosen; nothing was sent."""
+    """The target asked for backoff after its selection; nothing was sent."""
 
 
 NOTHING_ARRIVED: Final = (
@@ -53,19 +52,19 @@
     TargetLeftError,
     TargetRestsError,
 )
-"""What costs no target anything: going past one needs no budget."""
+"""Errors without load on a target: the next attempt needs no retry budget."""
 
 
 class StaleConnectionError(ProvedNotRunError):
-    """A pooled connection was closed or spoken on before it was used."""
+    """The target closed a pooled connection or sent on it before its reuse."""
 
 
 class ShedError(ProvedNotRunError):
-    """The target refused by the reply that the service's file names."""
+    """The target refused with the shed reply that the service configures."""
 
 
 class UnknownFateError(GatewayError):
-    """The request may have run. Nothing is said about when to retry."""
+    """The request may have run, so no time for a retry is given."""
 
 
 class ConnectionLostError(UnknownFateError):
@@ -73,15 +72,15 @@
 
 
 class BadAnswerError(UnknownFateError):
-    """The target's answer breaks HTTP, so it can't be passed on."""
+    """The target's answer is not valid HTTP and can't be forwarded."""
 
 
 class TruncatedAnswerError(BadAnswerError):
-    """The target's answer ended before it was whole."""
+    """The target's answer ended before it was complete."""
 
 
 class AnswerOverdueError(UnknownFateError):
-    """The time ran out while the target had the request."""
+    """The deadline passed while the target had the request."""
 
 
 class UnansweredError(UnknownFateError):
@@ -89,15 +88,15 @@
 
 
 class RecordedUnknownError(UnknownFateError):
-    """An earlier send of this key ended without anybody knowing how."""
+    """An earlier send of this key ended with an unknown outcome."""
 
 
 class HomeUnreachableError(UnknownFateError):
-    """The home of the key is gone or can't be reached from here."""
+    """The home of the key is gone or can't be reached from this daemon."""
 
 
 class InternalError(UnknownFateError):
-    """A fault of this program."""
+    """An unexpected exception in this program."""
 
 
 class AnswerNotKeptError(GatewayError):
--- a/libraries/gateway/src/sardinepier/gateway/forwarding.py
+++ b/libraries/gateway/src/sardinepier/gateway/forwarding.py
@@ -1,7 +1,7 @@
-"""How often, and where, one request is attempted.
+"""Selects the targets of a request and decides on retries.
 
 An idempotent request may go to another target after a failure, within the
-retry budget. A non-idempotent one may only when it is proved that nothing
+retry budget. A non-idempotent request may only if it is proved that nothing
 ran. No target gets the same request twice.
 """
 
@@ -24,47 +24,47 @@
 from sardinepier.health import targets
 from sardinepier.routing import admission
 
-_MOST_ATTEMPTS: Final = 3
-_MOST_LOST: Final = 2
+_MAX_ATTEMPTS: Final = 3
+_MAX_LOST_CONNECTIONS: Final = 2
 _FIRST_FAILURE_STATUS: Final = 500
-_WORTH_RETRYING: Final = (errors.ConnectionLostError, errors.BadAnswerError)
+_RETRYABLE: Final = (errors.ConnectionLostError, errors.BadAnswerError)
 
 
 @dataclasses.dataclass(slots=True)
-class _History:
-    """What the attempts of one request came to so far.
+class _AttemptHistory:
+    """The attempts of one request so far.
 
-    ``tried`` are the targets that shall not get it any more. Those on which
-    an earlier send was lost are among them while there are others.
+    ``tried`` are the targets that must not get the request. They include
+    targets that it crashed in an earlier send, if other targets remain.
     """
 
     tried: set[ids.TargetId] = dataclasses.field(default_factory=set)
     attempts: int = 0
-    lost: int = 0
+    lost_connections: int = 0
     failure: errors.UnknownFateError | None = None
     answer: target_answer.TargetAnswer | None = None
 
 
 class Forwarding:
-    """Sends the requests of one daemon to targets."""
+    """Forwards the requests of one daemon to targets."""
 
     def __init__(self, context: contexts.GatewayContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the collaborators in ``context``."""
         self._context = context
 
     async def forward(
-        self, item: caller_request.CallerRequest
+        self, request: caller_request.CallerRequest
     ) -> target_answer.TargetAnswer:
         """Return a target's answer.
 
-        Raises a subclass of ``UnknownFateError`` when any attempt may have
-        run. All other errors are proof that none did.
+        Raises a subclass of ``UnknownFateError`` if an attempt may have run.
+        Any other error proves that no attempt ran.
         """
-        history = _History()
-        item.runtime.retry_budget.record_request()
-        item.runtime.hedge_budget.record_request()
+        history = _AttemptHistory()
+        request.runtime.retry_budget.record_request()
+        request.runtime.hedge_budget.record_request()
         try:
-            return await self._attempts(item, history)
+            return await self._attempt_until_done(request, history)
         except errors.UnknownFateError:
             if history.answer is not None:
                 return history.answer
@@ -79,115 +79,116 @@
                 history.failure.remedy,
             ) from error
 
-    async def _attempts(
+    async def _attempt_until_done(
         self,
-        item: caller_request.CallerRequest,
-        history: _History,
+        request: caller_request.CallerRequest,
+        history: _AttemptHistory,
     ) -> target_answer.TargetAnswer:
         while True:
-            target_id = await self._admit(item, history)
+            target_id = await self._admit(request, history)
             history.attempts += 1
             history.tried.add(target_id)
             try:
-                answer = await self._attempt(item, target_id, history)
+                answer = await self._attempt(request, target_id, history)
             except errors.GatewayError as error:
-                if not self._may_go_on(item, history, error):
+                if not self._may_retry(request, history, error):
                     raise
                 if isinstance(error, refusals.PausedError):
                     history.tried.discard(target_id)
                 continue
-            if not self._may_improve(item, history, answer):
+            if not self._may_replace_answer(request, history, answer):
                 return answer
             history.answer = answer
 
     async def _admit(
         self,
-        item: caller_request.CallerRequest,
-        history: _History,
+        request: caller_request.CallerRequest,
+        history: _AttemptHistory,
     ) -> ids.TargetId:
         """Wait until an attempt may start, and reserve a slot for it."""
         if not self._context.wake_guard.check():
-            await self._context.wake_guard.ready(item.deadline_s)
-        item.require_time_left(self._context.clock)
-        if not self._has_target(item, history.tried):
-            raise _no_target(item)
-        self._context.quarantine.admit(item.fingerprint)
-        self._avoid_crashed(item, history)
+            await self._context.wake_guard.ready(request.deadline_s)
+        request.require_time_left(self._context.clock)
+        if not self._has_target(request, history.tried):
+            raise _no_target(request)
+        self._context.quarantine.admit(request.fingerprint)
+        self._avoid_crashed(request, history)
         try:
-            return await self._wait_for_slot(item, history)
+            return await self._wait_for_slot(request, history)
         except BaseException:
-            self._context.quarantine.released(item.fingerprint)
+            self._context.quarantine.released(request.fingerprint)
             raise
 
     def _avoid_crashed(
-        self, item: caller_request.CallerRequest, history: _History
+        self, request: caller_request.CallerRequest, history: _AttemptHistory
     ) -> None:
-        """Keep the request off targets that it crashed, if others are left.
+        """Exclude targets that the request crashed, if others remain.
 
-        Crashing a target twice takes it down twice and tells nothing new.
+        A second crash of the same target does harm and proves nothing new.
         """
         crashed_targets = self._context.quarantine.crashed_targets(
-            item.fingerprint
+            request.fingerprint
         )
         if crashed_targets and self._has_target(
-            item, history.tried | crashed_targets
+            request, history.tried | crashed_targets
         ):
             history.tried |= crashed_targets
 
     async def _wait_for_slot(
         self,
-        item: caller_request.CallerRequest,
-        history: _History,
+        request: caller_request.CallerRequest,
+        history: _AttemptHistory,
     ) -> ids.TargetId:
-        target_id = await item.runtime.queue.acquire(
+        target_id = await request.runtime.queue.acquire(
             admission.QueuedRequest(
-                item.route.priority,
-                item.deadline_s,
-                accepts_any_target=item.route.idempotent and not history.tried,
+                request.route.priority,
+                request.deadline_s,
+                accepts_any_target=request.route.idempotent
+                and not history.tried,
             ),
-            lambda: self._reserve_or_give_up(item, history),
+            lambda: self._reserve_or_give_up(request, history),
         )
         if target_id == service_runtime.NO_TARGET:
-            raise _no_target(item)
+            raise _no_target(request)
         return target_id
 
     async def _attempt(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         target_id: ids.TargetId,
-        history: _History,
+        history: _AttemptHistory,
     ) -> target_answer.TargetAnswer:
-        first = attempt.Attempt(self._context, item, target_id)
-        if not (item.route.idempotent and item.route.hedged):
+        first = attempt.Attempt(self._context, request, target_id)
+        if not (request.route.idempotent and request.route.hedged):
             return await first.run()
         race = hedged.Race(
             self._context,
-            item,
-            lambda: self._reserve(item, history),
+            request,
+            lambda: self._reserve(request, history),
             history.tried,
         )
         return await race.run(first)
 
     def _reserve_or_give_up(
         self,
-        item: caller_request.CallerRequest,
-        history: _History,
+        request: caller_request.CallerRequest,
+        history: _AttemptHistory,
     ) -> ids.TargetId | None:
-        """Return ``NO_TARGET`` once no target can take the request any more.
+        """Return ``NO_TARGET`` once no target can accept the request.
 
-        Targets may go while the request waits: it is then told at once.
+        Targets may leave while the request waits; it then fails at once.
         """
-        target_id = self._reserve(item, history)
-        if target_id is None and not self._has_target(item, history.tried):
+        target_id = self._reserve(request, history)
+        if target_id is None and not self._has_target(request, history.tried):
             return service_runtime.NO_TARGET
         return target_id
 
     def _reserve(
         self,
-        item: caller_request.CallerRequest,
-        history: _History,
+        request: caller_request.CallerRequest,
+        history: _AttemptHistory,
     ) -> ids.TargetId | None:
-        runtime = item.runtime
+        runtime = request.runtime
         while True:
             target_id = runtime.slots.reserve(
                 runtime.chooser,
@@ -195,91 +196,100 @@
             )
             if target_id is None:
                 return None
-            if self._suits(item, target_id):
+            if self._is_usable(request, target_id):
                 runtime.statements.take(target_id)
                 return target_id
             runtime.slots.release(target_id)
             history.tried.add(target_id)
 
-    def _suits(
-        self, item: caller_request.CallerRequest, target_id: ids.TargetId
+    def _is_usable(
+        self, request: caller_request.CallerRequest, target_id: ids.TargetId
     ) -> bool:
-        # A newer file may have targets that the request's own has not.
-        if target_id not in item.snapshot.targets:
+        # Newer settings may have targets that this request's snapshot lacks.
+        if target_id not in request.snapshot.targets:
             return False
-        if item.route.idempotent:
+        if request.route.idempotent:
             return True
-        standing = item.runtime.health.standing(target_id)
+        standing = request.runtime.health.standing(target_id)
         return standing.state is not targets.TargetState.TRIAL
 
     def _has_target(
         self,
-        item: caller_request.CallerRequest,
+        request: caller_request.CallerRequest,
         tried: Collection[ids.TargetId],
     ) -> bool:
-        stated = item.runtime.statements
+        statements = request.runtime.statements
         return any(
             target_id not in tried
-            and self._suits(item, target_id)
-            and stated.accepts_from_s(target_id) < item.deadline_s
-            for target_id in item.runtime.health.selectable()
+            and self._is_usable(request, target_id)
+            and statements.accepts_from_s(target_id) < request.deadline_s
+            for target_id in request.runtime.health.selectable()
         )
 
-    def _may_go_on(
+    def _may_retry(
         self,
-        item: caller_request.CallerRequest,
-        history: _History,
+        request: caller_request.CallerRequest,
+        history: _AttemptHistory,
         error: errors.GatewayError,
     ) -> bool:
-        """Decide on a further attempt after one without an answer."""
+        """Return whether to retry after an attempt without an answer."""
         if isinstance(error, errors.UnknownFateError):
             history.failure = error
-            history.lost += isinstance(error, errors.ConnectionLostError)
+            history.lost_connections += isinstance(
+                error, errors.ConnectionLostError
+            )
         if isinstance(error, refusals.PausedError):
-            # It waits for the guard again, within its deadline.
-            return history.attempts < _MOST_ATTEMPTS
-        if not self._has_room(item, history):
+            # The request waits for the guard again, within its deadline.
+            return history.attempts < _MAX_ATTEMPTS
+        if not self._can_try_again(request, history):
             return False
         if isinstance(error, errors.NOTHING_ARRIVED):
-            # The number of attempts bounds it.
+            # Only the number of attempts limits these retries.
             return True
         if isinstance(error, errors.ShedError):
-            return item.runtime.retry_budget.try_spend()
-        if not item.route.idempotent or history.lost >= _MOST_LOST:
+            return request.runtime.retry_budget.try_spend()
+        if (
+            not request.route.idempotent
+            or history.lost_connections >= _MAX_LOST_CONNECTIONS
+        ):
             return False
         return (
-            isinstance(error, _WORTH_RETRYING)
-            and item.runtime.retry_budget.try_spend()
+            isinstance(error, _RETRYABLE)
+            and request.runtime.retry_budget.try_spend()
         )
 
-    def _has_room(
-        self, item: caller_request.CallerRequest, history: _History
+    def _can_try_again(
+        self, request: caller_request.CallerRequest, history: _AttemptHistory
     ) -> bool:
-        if history.attempts >= _MOST_ATTEMPTS:
+        if history.attempts >= _MAX_ATTEMPTS:
             return False
-        return self._has_target(item, history.tried)
+        return self._has_target(request, history.tried)
 
-    def _may_improve(
+    def _may_replace_answer(
         self,
-        item: caller_request.CallerRequest,
-        history: _History,
+        request: caller_request.CallerRequest,
+        history: _AttemptHistory,
         answer: target_answer.TargetAnswer,
     ) -> bool:
-        """Decide whether another target may give a better answer."""
+        """Return whether to retry in place of a failed answer."""
         if (
             answer.status < _FIRST_FAILURE_STATUS
             or answer.remainder is not None
         ):
             return False
-        if not item.route.idempotent or not self._has_room(item, history):
+        if not request.route.idempotent or not self._can_try_again(
+            request, history
+        ):
             return False
-        return item.runtime.retry_budget.try_spend()
+        return request.runtime.retry_budget.try_spend()
 
 
-def _no_target(item: caller_request.CallerRequest) -> refusals.NoTargetError:
+def _no_target(request: caller_request.CallerRequest) -> refusals.NoTargetError:
     return refusals.NoTargetError(
-        f'Service {item.snapshot.settings.name} has no target that may take '
-        'this request',
-        'Send it again after the stated time',
-        item.runtime.statements.retry_after_s(item.runtime.health.selectable()),
+        f'Service {request.snapshot.settings.name} has no target that can '
+        'accept this request',
+        'Send the request again after the stated time',
+        request.runtime.statements.retry_after_s(
+            request.runtime.health.selectable()
+        ),
     )
--- a/libraries/gateway/src/sardinepier/gateway/headers.py
+++ b/libraries/gateway/src/sardinepier/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers, and which of them go through from side to side."""
+"""Names of headers, and which headers are forwarded."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -28,7 +28,7 @@
         'upgrade',
     )
 )
-_SET_HERE: Final = frozenset(
+_SET_BY_DAEMON: Final = frozenset(
     (
         'content-length',
         'expect',
@@ -38,7 +38,7 @@
     )
 )
 
-_LEFT_OUT: Final = _HOP_BY_HOP | _SET_HERE
+_NOT_FORWARDED: Final = _HOP_BY_HOP | _SET_BY_DAEMON
 
 Pairs = tuple[tuple[str, str], ...]
 
@@ -46,17 +46,17 @@
 def for_target(
     headers: 'multidict.CIMultiDictProxy[str]',
 ) -> list[tuple[str, str]]:
-    """Return the caller's headers that go to the target, in their order."""
+    """Return the caller's headers to forward to the target, in order."""
     return _end_to_end(headers)
 
 
 def for_caller(headers: 'multidict.CIMultiDictProxy[str]') -> Pairs:
-    """Return the target's headers that go to the caller, in their order."""
+    """Return the target's headers to forward to the caller, in order."""
     return tuple(_end_to_end(headers))
 
 
 def is_readable(pairs: Iterable[tuple[str, str]]) -> bool:
-    """Tell whether all values are UTF-8, the only form that can be resent."""
+    """Return whether all values are UTF-8, as forwarding requires."""
     return all(
         text.isascii() or text.encode(errors='replace').decode() == text
         for _, text in pairs
@@ -66,13 +66,13 @@
 def _end_to_end(
     headers: 'multidict.CIMultiDictProxy[str]',
 ) -> list[tuple[str, str]]:
-    left_out = _LEFT_OUT
+    not_forwarded = _NOT_FORWARDED
     if _CONNECTION in headers:
-        left_out = _LEFT_OUT | _named_by_connection(headers)
+        not_forwarded = _NOT_FORWARDED | _named_by_connection(headers)
     return [
         (name, text)
         for name, text in headers.items()
-        if name.lower() not in left_out
+        if name.lower() not in not_forwarded
     ]
 
 
--- a/libraries/gateway/src/sardinepier/gateway/keyed.py
+++ b/libraries/gateway/src/sardinepier/gateway/keyed.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests: run at their home only, once, and recorded."""
+"""Non-idempotent requests, which run once and only at their home daemon."""
 
 import asyncio
 from typing import Final
@@ -27,14 +27,14 @@
 
 
 class KeyedPath:
-    """Runs non-idempotent requests whose home this daemon is."""
+    """Runs non-idempotent requests, or relays them to their home."""
 
     def __init__(
         self,
         context: contexts.GatewayContext,
         forward: forwarding.Forwarding,
     ) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the collaborators in ``context``."""
         self._context = context
         self._forwarding = forward
         self._relaying = relaying.Relaying(context)
@@ -42,54 +42,59 @@
 
     async def handle(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
     ) -> web_response.StreamResponse:
-        """Run, join, repeat or pass on the request that ``item`` is."""
-        key = _key(request)
+        """Run, join or relay ``request``, or return its recorded answer."""
+        key = _key(http_request)
         home = key.ticket.home
-        if home != self._context.own and headers.RELAYED not in request.headers:
-            return await self._relaying.relay(request, item, home)
-        claim = self._context.ledger.begin(key, item.caller, item.fingerprint)
+        if (
+            home != self._context.own
+            and headers.RELAYED not in http_request.headers
+        ):
+            return await self._relaying.relay(http_request, request, home)
+        claim = self._context.ledger.begin(
+            key, request.caller, request.fingerprint
+        )
         if isinstance(claim, records.Granted):
-            return await self._start(request, item, claim.record)
+            return await self._start(http_request, request, claim.record)
         if isinstance(claim, records.Answered):
-            return _repeat(claim.answer)
-        return _repeat(await claim.record.wait(item.deadline_s))
+            return _response_for(claim.answer)
+        return _response_for(await claim.record.wait(request.deadline_s))
 
     async def _start(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
         record: records.Record,
     ) -> web_response.StreamResponse:
-        # The request goes on to its end in a task of its own, even when the
-        # caller hangs up: its resend must find out what became of it.
-        task = asyncio.ensure_future(self._run(request, item, record))
+        # A separate task completes the request even if the caller hangs up,
+        # because a resend must get its outcome.
+        task = asyncio.ensure_future(self._run(http_request, request, record))
         self._running.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._remove_task)
         return await asyncio.shield(task)
 
-    def _finished(
+    def _remove_task(
         self,
         task: 'asyncio.Task[web_response.StreamResponse]',
     ) -> None:
         self._running.discard(task)
         if not task.cancelled():
-            # Looked at here, because nobody may be waiting any more.
+            # Marks the exception as retrieved: the caller may be gone.
             task.exception()
 
     async def _run(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
         record: records.Record,
     ) -> web_response.StreamResponse:
         with self._context.activity:
             try:
-                return await self._run_recorded(request, item, record)
+                return await self._run_recorded(http_request, request, record)
             except core_errors.SardinepierError as error:
-                _settle(record, error)
+                _settle_record(record, error)
                 raise
             except BaseException as error:
                 record.mark_unknown(
@@ -99,15 +104,15 @@
 
     async def _run_recorded(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
         record: records.Record,
     ) -> web_response.StreamResponse:
-        answer = await self._forwarding.forward(item)
+        answer = await self._forwarding.forward(request)
         if answer.remainder is not None:
-            return await self._stream(request, item, record, answer)
-        record.complete(_kept(answer))
-        return delivery.whole(
+            return await self._stream(http_request, request, record, answer)
+        record.complete(_recorded_answer(answer))
+        return delivery.buffered_response(
             answer.status,
             answer.reason,
             answer.headers,
@@ -116,16 +121,16 @@
 
     async def _stream(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
         record: records.Record,
         answer: target_answers.TargetAnswer,
     ) -> web_response.StreamResponse:
         stream = delivery.Stream(
             self._context,
-            request,
+            http_request,
             answer,
-            item.deadline_s,
+            request.deadline_s,
         )
         assert answer.remainder is not None  # noqa: S101 - the caller checked it
         await stream.send(answer.remainder)
@@ -135,24 +140,24 @@
         return stream.response
 
 
-def _key(request: web_request.BaseRequest) -> tickets.RequestKey:
-    found = request.headers.getall(headers.IDEMPOTENCY_KEY, [])
-    if not found:
+def _key(http_request: web_request.BaseRequest) -> tickets.RequestKey:
+    lines = http_request.headers.getall(headers.IDEMPOTENCY_KEY, [])
+    if not lines:
         raise refused.KeyRequiredError(
             'The route is not idempotent and the request has no '
             f'{headers.IDEMPOTENCY_KEY} header',
-            'Add the header: a ticket, a full stop and a part of your own, '
-            'which is new for each new request',
+            'Add the header: a ticket, a full stop and a string that is '
+            'different for each new request',
         )
-    if len(found) > 1:
+    if len(lines) > 1:
         raise once_errors.BadKeyError(
             f'The request has several {headers.IDEMPOTENCY_KEY} headers',
-            'Send one',
+            'Send exactly one',
         )
-    return tickets.parse_key(found[0])
+    return tickets.parse_key(lines[0])
 
 
-def _settle(
+def _settle_record(
     record: records.Record,
     error: core_errors.SardinepierError,
 ) -> None:
@@ -162,21 +167,23 @@
         record.mark_unknown(error.what)
 
 
-def _kept(answer: target_answers.TargetAnswer) -> answers.RecordedAnswer:
+def _recorded_answer(
+    answer: target_answers.TargetAnswer,
+) -> answers.RecordedAnswer:
     return answers.RecordedAnswer(answer.status, answer.headers, answer.body)
 
 
-def _repeat(settlement: answers.Settlement) -> web_response.Response:
-    """Return the same answer as the first send of the key got."""
+def _response_for(settlement: answers.Settlement) -> web_response.Response:
+    """Return the answer that the first send of the key got."""
     if isinstance(settlement, answers.RecordedAnswer):
-        return delivery.recorded(settlement)
+        return delivery.recorded_response(settlement)
     if isinstance(settlement, answers.UnknownFate):
         raise errors.RecordedUnknownError(
-            f'An earlier send ended so: {settlement.problem}',
-            'Find out by other means whether the request ran',
+            f'An earlier send of this key failed: {settlement.problem}',
+            'Check by other means whether the request ran',
         )
     raise refused.ReleasedError(
-        'An earlier send of this key ended without having run',
+        'An earlier send of this key did not run',
         'Send the request again with the same key',
         _RETRY_AFTER_S,
     )
--- a/libraries/gateway/src/sardinepier/gateway/outgoing.py
+++ b/libraries/gateway/src/sardinepier/gateway/outgoing.py
@@ -1,11 +1,11 @@
-"""One request on its way to a target: no byte of it is ever sent twice.
-
-aiohttp's session sends a request again by itself when a pooled connection
-turns out to be closed and it takes the method for idempotent, PUT and DELETE
-among them. Only the operators' file may say what is idempotent. So aiohttp's
-request, connection and answer are used without its session, which also adds
-cookies, redirects and defaults that have no place here. Tests pin that a
-request goes out once and as it came.
+"""Sends a request to a target, and no byte of it twice.
+
+aiohttp's session resends a request by itself when a pooled connection turns
+out to be closed and the method counts as idempotent, as PUT and DELETE do.
+Here only the operators' settings say what is idempotent. Therefore this module
+uses aiohttp's request, connection and response without its session, which also
+adds cookies, redirects and default headers. Tests check that a request is sent
+once and unchanged.
 """
 
 import asyncio
@@ -25,16 +25,16 @@
 from sardinepier.gateway import connections, errors
 
 _NO_DEFAULTS: Final = multidict.CIMultiDict[None]({hdrs.CONTENT_TYPE: None})
-_AT_ONCE_BYTES: Final = 65536
+_MAX_INLINE_BYTES: Final = 65536
 _RETRY_AFTER_S: Final = 1.0
 
 
 class Request(client_reqrep.ClientRequest):
     """A request that asks for permission right before its first byte.
 
-    ``path`` goes out as it is; yarl's URLs drop a question mark with nothing
-    behind it. ``content`` is the body, and ``expects`` says on which
-    connection it may go out, and which answer is its own.
+    ``path`` is sent unchanged; a yarl URL would drop a trailing question mark.
+    ``content`` is the body. ``expects`` restricts the connection to use and
+    identifies the answer to this request.
     """
 
     exchange: 'Exchange'
@@ -44,26 +44,26 @@
     _skip_auto_headers = _NO_DEFAULTS
 
     def update_auto_headers(self, skip_auto_headers: Any) -> None:
-        """Add nothing to what the caller sent."""
+        """Add no headers to those of the caller."""
 
     async def send(
         self, conn: connector.Connection
     ) -> client_reqrep.ClientResponse:
-        """Write the request to ``conn``, at once unless it is long."""
+        """Write the request to ``conn``; a long body in a task of its own."""
         protocol = cast(connections.GuardedHandler, conn.protocol)
         if protocol.is_stale(self.expects.made_since_s):
             raise errors.StaleConnectionError(
-                'The target closed a kept connection, or started again since',
+                'The target closed a pooled connection, or has restarted',
                 'Use another connection',
             )
         writer = await self._writer_to(conn, protocol)
-        self.exchange.about_to_write()
+        self.exchange.begin_writing()
         protocol.is_idle = False
         protocol.accepts = self.expects.accepts
-        conn.add_callback(protocol.pooled)
+        conn.add_callback(protocol.mark_idle)
         task: asyncio.Task[None] | None = None
-        if len(self.content) > _AT_ONCE_BYTES or protocol.writing_paused:
-            # A target may answer before it has taken all of a long body.
+        if len(self.content) > _MAX_INLINE_BYTES or protocol.writing_paused:
+            # A target may answer before it has read all of a long body.
             length = len(self.content)
             task = asyncio.ensure_future(self.write_bytes(writer, conn, length))
             self._writer = task
@@ -77,13 +77,13 @@
         conn: connector.Connection,
         protocol: connections.GuardedHandler,
     ) -> http_writer.StreamWriter:
-        """Prepare the head; nothing of it is written yet."""
+        """Prepare the headers; nothing is written yet."""
         protocol.set_response_params(
             skip_payload=self.method == hdrs.METH_HEAD,
             read_until_eof=True,
             auto_decompress=False,
         )
-        if conn._connector.force_close:  # noqa: SLF001 - as aiohttp's own send
+        if conn._connector.force_close:  # noqa: SLF001 - as in aiohttp's send
             self.headers[hdrs.CONNECTION] = 'close'
         writer = http_writer.StreamWriter(protocol, self.loop)
         line = f'{self.method} {self.path} HTTP/1.1'
@@ -110,7 +110,7 @@
 
 
 class Exchange:
-    """One request to one address, sent once."""
+    """A single send of a request to one address."""
 
     __slots__ = ('_permit', '_request', 'written')
 
@@ -119,14 +119,14 @@
         request: Request,
         permit: Callable[[], None],
     ) -> None:
-        """Call ``permit`` before the first byte; it raises to forbid it."""
+        """Call ``permit`` before the first byte; it raises to prevent it."""
         request.exchange = self
         self._request = request
         self._permit = permit
         self.written = False
 
-    def about_to_write(self) -> None:
-        """Ask for permission; from here on the request may have run."""
+    def begin_writing(self) -> None:
+        """Ask for permission; afterwards the request may have run."""
         self._permit()
         self.written = True
 
@@ -135,16 +135,16 @@
         pool: connector.BaseConnector,
         timeout: client.ClientTimeout,
     ) -> client_reqrep.ClientResponse:
-        """Send the request and raise only errors of this project."""
+        """Send the request; raise only errors of this project."""
         try:
             return await self._run(pool, timeout)
         except client_exceptions.ClientResponseError as error:
             raise errors.BadAnswerError(
-                f'The target answered with broken HTTP: {error.message}',
-                'Find out whether the request ran before sending it anew',
+                f'The target answered with invalid HTTP: {error.message}',
+                'Check whether the request ran before sending it again',
             ) from error
         except (client_exceptions.ClientError, OSError) as error:
-            raise self._failure(error) from error
+            raise self._connection_error(error) from error
 
     async def _run(
         self,
@@ -156,16 +156,16 @@
             response = await self._request.send(connection)
             return await _head(response, connection)
         except BaseException:
-            # A connection whose exchange broke is never used again.
+            # A connection with a failed exchange is never reused.
             connection.close()
             raise
 
-    def _failure(self, error: Exception) -> errors.GatewayError:
+    def _connection_error(self, error: Exception) -> errors.GatewayError:
         name = type(error).__name__
         if self.written:
             return errors.ConnectionLostError(
                 f'The target ended the connection without an answer ({name})',
-                'Find out whether the request ran before sending it anew',
+                'Check whether the request ran before sending it again',
             )
         kind = (
             errors.ConnectTimeoutError
@@ -173,7 +173,7 @@
             else errors.ConnectFailedError
         )
         return kind(
-            f'No connection to the target came about ({name})',
+            f'The connection to the target failed ({name})',
             'Send the request again',
             _RETRY_AFTER_S,
         )
@@ -186,6 +186,6 @@
     try:
         return await response.start(connection)
     except BaseException:
-        # Stops the writing of a body that is still on its way, too.
+        # Also stops the task that may still be writing the body.
         response.close()
         raise
--- a/libraries/gateway/src/sardinepier/gateway/pipeline.py
+++ b/libraries/gateway/src/sardinepier/gateway/pipeline.py
@@ -1,4 +1,4 @@
-"""The way of each request through the daemon, from head to answer."""
+"""The steps of each request in the daemon, from headers to answer."""
 
 import asyncio
 from typing import Final
@@ -31,7 +31,7 @@
     once_errors.BadKeyError,
     once_errors.FutureTicketError,
 )
-_UNSTATED_BODY_BYTES: Final = 1_048_576
+_DEFAULT_BODY_BYTES: Final = 1_048_576
 _UNKNOWN_SERVICE: Final = '-'
 
 
@@ -39,52 +39,52 @@
     """Answers the requests of callers to services."""
 
     def __init__(self, context: contexts.GatewayContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the collaborators in ``context``."""
         self._context = context
-        self._intake = request_reader.RequestReader(context)
-        self._records = request_metrics.RequestMetrics(context.metrics)
+        self._reader = request_reader.RequestReader(context)
+        self._metrics = request_metrics.RequestMetrics(context.metrics)
         self._forwarding = forwarding.Forwarding(context)
         self._keyed = keyed.KeyedPath(context, self._forwarding)
 
     async def handle(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        """Return the answer to a request; never raises but for a cut."""
+        """Return the answer; raise only if the request is cancelled."""
         started_s = self._context.clock.monotonic_s()
         service = _UNKNOWN_SERVICE
         with self._context.activity:
             try:
                 with self._context.activity.reserve_body_memory(
-                    _body_bytes(request)
+                    _body_bytes(http_request)
                 ):
-                    item = await self._intake.read(request)
-                    service = item.snapshot.settings.name
-                    response = await self._answer(request, item)
+                    request = await self._reader.read(http_request)
+                    service = request.snapshot.settings.name
+                    response = await self._answer(http_request, request)
             except asyncio.CancelledError:
-                self._records.count(service, 'caller-gone')
+                self._metrics.count(service, 'caller-gone')
                 raise
-            except Exception as error:  # noqa: BLE001 - the last resort
-                response = self._problem(request, service, error)
+            except Exception as error:  # noqa: BLE001 - becomes a problem response
+                response = self._problem_response(http_request, service, error)
             if self._context.activity.is_draining:
                 response.force_close()
-        taken_s = self._context.clock.monotonic_s() - started_s
-        self._records.took(service, taken_s)
-        self._records.count(service, response.headers[headers.OUTCOME])
+        duration_s = self._context.clock.monotonic_s() - started_s
+        self._metrics.record_duration(service, duration_s)
+        self._metrics.count(service, response.headers[headers.OUTCOME])
         return response
 
     async def _answer(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
     ) -> web_response.StreamResponse:
-        if not item.route.idempotent:
-            return await self._keyed.handle(request, item)
-        answer = await self._forwarding.forward(item)
+        if not request.route.idempotent:
+            return await self._keyed.handle(http_request, request)
+        answer = await self._forwarding.forward(request)
         if answer.remainder is None and not answer.body:
-            return delivery.empty(answer)
+            return delivery.empty_response(answer)
         if answer.remainder is None:
-            return delivery.whole(
+            return delivery.buffered_response(
                 answer.status,
                 answer.reason,
                 answer.headers,
@@ -92,16 +92,16 @@
             )
         stream = delivery.Stream(
             self._context,
-            request,
+            http_request,
             answer,
-            item.deadline_s,
+            request.deadline_s,
         )
         await stream.send(answer.remainder)
         return stream.response
 
-    def _problem(
+    def _problem_response(
         self,
-        request: web_request.BaseRequest,
+        http_request: web_request.BaseRequest,
         service: str,
         error: Exception,
     ) -> web_response.Response:
@@ -109,35 +109,37 @@
             logs.failure('request-failed', error, level=logs.Level.ERROR)
             error = errors.InternalError(
                 f'The daemon failed: {type(error).__name__}',
-                'Find out whether the request ran before sending it anew',
+                'Check whether the request ran before sending it again',
             )
         kind = problem_table.kind_of(error)
         self._context.refusals.record(service, kind.name)
         outcome = kind.outcome
-        if outcome is outcomes.Outcome.NOT_RUN and not self._is_proved(request):
+        if outcome is outcomes.Outcome.NOT_RUN and not self._is_proved_not_run(
+            http_request
+        ):
             outcome = outcomes.Outcome.UNKNOWN
         return problems.answer(
             error,
-            request.raw_path,
+            http_request.raw_path,
             outcome=outcome,
             ticket=self._ticket(error),
         )
 
-    def _is_proved(self, request: web_request.BaseRequest) -> bool:
-        """Tell whether no earlier send of the same key may have run.
+    def _is_proved_not_run(self, http_request: web_request.BaseRequest) -> bool:
+        """Return whether no earlier send of the same key may have run.
 
-        This send did not run. But a caller that asks again after an unknown
-        fate wants to know about its key, so ``not-run`` must hold for that.
+        This send did not run. But a caller that resends after an unknown fate
+        asks about its key, so ``not-run`` must be true of all its sends.
         """
-        found = request.headers.getall(headers.IDEMPOTENCY_KEY, ())
+        lines = http_request.headers.getall(headers.IDEMPOTENCY_KEY, ())
         configuration = self._context.configuration()
-        if len(found) != 1 or configuration is None:
-            return not found
+        if len(lines) != 1 or configuration is None:
+            return not lines
         try:
-            key = tickets.parse_key(found[0])
+            key = tickets.parse_key(lines[0])
         except once_errors.BadKeyError:
             return True
-        caller = request.headers.get(configuration.fleet.caller_header, '')
+        caller = http_request.headers.get(configuration.fleet.caller_header, '')
         return self._context.ledger.never_granted(key, ids.CallerId(caller))
 
     def _ticket(self, error: Exception) -> str | None:
@@ -154,12 +156,12 @@
         return tickets.format_ticket(ticket)
 
 
-def _body_bytes(request: web_request.BaseRequest) -> int:
-    """Return how much memory to set aside for the body."""
-    if not request.body_exists:
+def _body_bytes(http_request: web_request.BaseRequest) -> int:
+    """Return how much memory to reserve for the body."""
+    if not http_request.body_exists:
         return 0
-    stated = request.content_length
-    # A larger one is refused for its size, whatever is in hand.
+    stated = http_request.content_length
+    # A larger body is refused later for its size, not for the load.
     if stated is None or stated > activities.BODY_MEMORY_BYTES:
-        return _UNSTATED_BODY_BYTES
+        return _DEFAULT_BODY_BYTES
     return stated
--- a/libraries/gateway/src/sardinepier/gateway/probes.py
+++ b/libraries/gateway/src/sardinepier/gateway/probes.py
@@ -1,4 +1,4 @@
-"""Asking targets for their health, which hints at more than it proves."""
+"""Health probes of targets; health treats their results as hints only."""
 
 import asyncio
 from typing import Final
@@ -12,28 +12,28 @@
 
 _INTERVAL_S: Final = 0.1
 _TIMEOUT_S: Final = 2.0
-_MOST_AT_ONCE: Final = 16
+_MAX_CONCURRENT: Final = 16
 _MS_PER_S: Final = 1000
 _FIRST_BAD_STATUS: Final = 400
 
 
 class Probes:
-    """Sends the probes that each service's health asks for."""
+    """Sends the probes that the health checks of each service request."""
 
     def __init__(self, context: contexts.GatewayContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the collaborators in ``context``."""
         self._context = context
-        self._room = asyncio.Semaphore(_MOST_AT_ONCE)
+        self._free_probes = asyncio.Semaphore(_MAX_CONCURRENT)
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Send due probes until cancelled."""
         async with asyncio.TaskGroup() as running:
             while True:
                 self.start_due(running)
                 await asyncio.sleep(_INTERVAL_S)
 
     def start_due(self, running: asyncio.TaskGroup) -> None:
-        """Start the probes that are due now as tasks of ``running``."""
+        """Start the probes that are due now as tasks in ``running``."""
         for runtime in self._context.services:
             for target_id in runtime.health.due_probes():
                 running.create_task(self._probe(runtime, target_id))
@@ -45,11 +45,11 @@
     ) -> None:
         if target_id not in runtime.snapshot.targets:
             return
-        async with self._room:
+        async with self._free_probes:
             started_s = self._context.clock.monotonic_s()
             is_good = await self._is_good(runtime, target_id)
-            taken_s = self._context.clock.monotonic_s() - started_s
-        runtime.health.probed(target_id, is_good, taken_s * _MS_PER_S)
+            duration_s = self._context.clock.monotonic_s() - started_s
+        runtime.health.probed(target_id, is_good, duration_s * _MS_PER_S)
 
     async def _is_good(
         self,
@@ -78,4 +78,4 @@
 
 
 def _allow() -> None:
-    """Allow the probe: it changes nothing, whatever came between."""
+    """Always permit the request: a probe changes nothing on the target."""
--- a/libraries/gateway/src/sardinepier/gateway/problem_table.py
+++ b/libraries/gateway/src/sardinepier/gateway/problem_table.py
@@ -1,7 +1,7 @@
-"""The table of what a caller is told for each type of failure.
+"""The table of problem responses by type of error.
 
-It is the only place that maps a failure to ``not-run`` or ``unknown``. A type
-that is missing from it counts as unknown.
+This is the only place that maps an error to ``not-run`` or ``unknown``. A type
+that is not in the table counts as ``unknown``.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProblemKind:
-    """Status, outcome and name of the failures of one type."""
+    """Status, outcome, name and title of the errors of one type."""
 
     status: http.HTTPStatus
     outcome: outcomes.Outcome
@@ -33,7 +33,7 @@
 _UNKNOWN: Final = outcomes.Outcome.UNKNOWN
 _COMPLETED: Final = outcomes.Outcome.COMPLETED
 
-_REFUSED_FOR_THE_REQUEST: Final[_Kinds] = {
+_INVALID_REQUESTS: Final[_Kinds] = {
     refusals.BadRequestError: _Kind(
         _Status.BAD_REQUEST,
         _NOT_RUN,
@@ -44,19 +44,19 @@
         _Status.NOT_FOUND,
         _NOT_RUN,
         'unknown-service',
-        'There is no such service',
+        'Unknown service',
     ),
     refusals.UnknownRouteError: _Kind(
         _Status.NOT_FOUND,
         _NOT_RUN,
         'unknown-route',
-        'There is no such route',
+        'Unknown route',
     ),
     refusals.MethodNotAllowedError: _Kind(
         _Status.METHOD_NOT_ALLOWED,
         _NOT_RUN,
         'method-not-allowed',
-        'The route has other methods',
+        'The route does not support this method',
     ),
     refusals.HeaderTooLargeError: _Kind(
         _Status.REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -74,7 +74,7 @@
         _Status.REQUEST_TIMEOUT,
         _NOT_RUN,
         'body-incomplete',
-        'The body did not arrive whole',
+        'The body is incomplete',
     ),
     refusals.KeyRequiredError: _Kind(
         _Status.PRECONDITION_REQUIRED,
@@ -108,12 +108,12 @@
     ),
 }
 
-_REFUSED_FOR_THE_MOMENT: Final[_Kinds] = {
+_TEMPORARY_REFUSALS: Final[_Kinds] = {
     refusals.NotConfiguredError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'not-configured',
-        'No settings are in force yet',
+        'The daemon has no settings yet',
     ),
     refusals.PausedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
@@ -125,13 +125,13 @@
         _Status.GATEWAY_TIMEOUT,
         _NOT_RUN,
         'deadline-passed',
-        'The time ran out before the request was sent',
+        'The deadline passed before the request was sent',
     ),
     refusals.OverloadedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'overloaded',
-        'The daemon has too much in hand',
+        'The daemon is overloaded',
     ),
     refusals.ReleasedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
@@ -143,19 +143,19 @@
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'no-target',
-        'No target can take the request',
+        'No target can accept the request',
     ),
     once_errors.LedgerFullError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'records-full',
-        'No further request can be recorded',
+        'No more requests can be recorded',
     ),
     once_errors.QuarantinedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'quarantined',
-        'The request is held back',
+        'The request is quarantined',
     ),
     routing_errors.QueueFullError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
@@ -185,7 +185,7 @@
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'shed',
-        'The targets have too much work',
+        'The targets are overloaded',
     ),
 }
 
@@ -194,7 +194,7 @@
         _Status.GONE,
         _UNKNOWN,
         'ticket-expired',
-        'The ticket has run out',
+        'The ticket has expired',
     ),
     once_errors.ForeignHomeError: _Kind(
         _Status.MISDIRECTED_REQUEST,
@@ -218,7 +218,7 @@
         _Status.BAD_GATEWAY,
         _UNKNOWN,
         'recorded-unknown',
-        'The request ended unanswered before',
+        'The outcome of an earlier send is unknown',
     ),
     errors.ConnectionLostError: _Kind(
         _Status.BAD_GATEWAY,
@@ -230,7 +230,7 @@
         _Status.BAD_GATEWAY,
         _UNKNOWN,
         'bad-answer',
-        'The answer of the target is not whole',
+        'The answer of the target is not valid',
     ),
     errors.AnswerOverdueError: _Kind(
         _Status.GATEWAY_TIMEOUT,
@@ -246,23 +246,23 @@
     ),
 }
 
-_RAN: Final[_Kinds] = {
+_COMPLETED_KINDS: Final[_Kinds] = {
     errors.AnswerNotKeptError: _Kind(
         _Status.CONFLICT,
         _COMPLETED,
         'answer-not-kept',
-        'The request ran, its answer was not kept',
+        'The request ran, but its answer was not kept',
     ),
 }
 
 KINDS: Final[_Kinds] = {
-    **_REFUSED_FOR_THE_REQUEST,
-    **_REFUSED_FOR_THE_MOMENT,
+    **_INVALID_REQUESTS,
+    **_TEMPORARY_REFUSALS,
     **_UNKNOWN_FATE,
-    **_RAN,
+    **_COMPLETED_KINDS,
 }
 
-OTHER: Final = ProblemKind(
+INTERNAL: Final = ProblemKind(
     _Status.INTERNAL_SERVER_ERROR,
     _UNKNOWN,
     'internal',
@@ -271,9 +271,9 @@
 
 
 def kind_of(error: BaseException) -> ProblemKind:
-    """Return what callers are told for errors of this type."""
+    """Return the problem kind for the type of ``error``."""
     for ancestor in type(error).__mro__:
         kind = KINDS.get(ancestor)
         if kind is not None:
             return kind
-    return OTHER
+    return INTERNAL
--- a/libraries/gateway/src/sardinepier/gateway/problems.py
+++ b/libraries/gateway/src/sardinepier/gateway/problems.py
@@ -1,4 +1,4 @@
-"""The form of our own answers: a problem document (RFC 9457)."""
+"""Answers of the daemon itself to failed requests: RFC 9457 documents."""
 
 import math
 from typing import Final
@@ -15,10 +15,10 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The body of an answer of our own.
+    """The body of a problem response.
 
-    ``remedy`` says what the caller can do. ``ticket`` is a fresh one where
-    the request lacked a good one.
+    ``remedy`` says what the caller can do. ``ticket`` is a new ticket for a
+    request that came without a valid one.
     """
 
     type: str
@@ -37,9 +37,9 @@
     outcome: outcomes.Outcome | None = None,
     ticket: str | None = None,
 ) -> web_response.Response:
-    """Return the answer to the request at the path ``instance``.
+    """Return the problem response for a request to the path ``instance``.
 
-    ``outcome`` overrides the one of the table.
+    ``outcome`` overrides the outcome in the problem table.
     """
     kind = problem_table.kind_of(error)
     problem = Problem(
@@ -51,13 +51,15 @@
         remedy=error.remedy,
         ticket=ticket,
     )
-    named = {headers.OUTCOME: (outcome or kind.outcome).value}
+    answer_headers = {headers.OUTCOME: (outcome or kind.outcome).value}
     retry_after_s = getattr(error, 'retry_after_s', None)
     if retry_after_s is not None:
-        named[headers.RETRY_AFTER] = str(max(1, math.ceil(retry_after_s)))
+        answer_headers[headers.RETRY_AFTER] = str(
+            max(1, math.ceil(retry_after_s))
+        )
     return web_response.Response(
         status=kind.status,
         body=msgspec.json.encode(problem),
-        headers=named,
+        headers=answer_headers,
         content_type=CONTENT_TYPE,
     )
--- a/libraries/gateway/src/sardinepier/gateway/protocol.py
+++ b/libraries/gateway/src/sardinepier/gateway/protocol.py
@@ -1,4 +1,4 @@
-"""aiohttp's server side, with our own form for what it refuses by itself."""
+"""aiohttp's server protocol, with problem documents for invalid requests."""
 
 import asyncio
 from typing import Any, Final
@@ -15,13 +15,13 @@
 
 _LINE_LIMIT_BYTES: Final = 8190
 _FIELD_LIMIT_BYTES: Final = 8190
-_MOST_HEADERS: Final = 100
+_MAX_HEADERS: Final = 100
 _KEEPALIVE_S: Final = 75.0
 _LINGERING_S: Final = 2.0
 
 
 class CallerConnection(web_protocol.RequestHandler):
-    """One connection of a caller."""
+    """A connection from a caller."""
 
     def handle_error(
         self,
@@ -30,23 +30,23 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web_response.StreamResponse:
-        """Answer what can't be parsed; nothing of it was run."""
+        """Answer a request that can't be parsed, so that none of it ran."""
         if request.writer.output_size > 0:
-            raise ConnectionResetError('The answer broke on its way')
+            raise ConnectionResetError('The answer was interrupted')
         response = problems.answer(_error_for(exc, message), request.raw_path)
         response.force_close()
         return response
 
 
 class CallerConnections(web_server.Server):
-    """All connections of callers, with the limits on what they may send."""
+    """Accepts connections from callers and limits the size of requests."""
 
     def __init__(self, handler: Any) -> None:
-        """Answer requests by ``handler``, which is cancelled on a hang-up."""
+        """Call ``handler`` for each request; cancel it if the caller hangs up."""
         super().__init__(handler, handler_cancellation=True)
 
     def __call__(self) -> CallerConnection:
-        """Make the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return CallerConnection(
             self,
             loop=asyncio.get_running_loop(),
@@ -55,7 +55,7 @@
             lingering_time=_LINGERING_S,
             max_line_size=_LINE_LIMIT_BYTES,
             max_field_size=_FIELD_LIMIT_BYTES,
-            max_headers=_MOST_HEADERS,
+            max_headers=_MAX_HEADERS,
             auto_decompress=False,
         )
 
@@ -76,5 +76,5 @@
         )
     return errors.InternalError(
         f'The daemon failed: {type(exc).__name__}',
-        'Find out whether the request ran before sending it anew',
+        'Check whether the request ran before sending it again',
     )
--- a/libraries/gateway/src/sardinepier/gateway/refusal_counts.py
+++ b/libraries/gateway/src/sardinepier/gateway/refusal_counts.py
@@ -1,4 +1,4 @@
-"""Adding up refusals, so that the time line tells of them now and then."""
+"""Sums of refusals, recorded periodically as events of the time line."""
 
 import asyncio
 import collections
@@ -8,14 +8,14 @@
 from sardinepier.telemetry import daemon_events, events
 
 _WINDOW_S: Final = 10.0
-_MOST_KINDS: Final = 256
+_MAX_KINDS: Final = 256
 
 
 class RefusalCounts:
-    """Counts refusals by service and reason, in bounded number."""
+    """Counts refusals by service and reason, up to a number of pairs."""
 
     def __init__(self, record_event: Callable[[events.Event], object]) -> None:
-        """Record the sums by ``record_event``."""
+        """Record the sums with ``record_event``."""
         self._record_event = record_event
         self._counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
@@ -24,11 +24,11 @@
     def record(self, service: str, reason: str) -> None:
         """Count one refusal."""
         key = (service, reason)
-        if key in self._counts or len(self._counts) < _MOST_KINDS:
+        if key in self._counts or len(self._counts) < _MAX_KINDS:
             self._counts[key] += 1
 
     def flush(self, window_s: float) -> None:
-        """Record one event for each kind counted in the last ``window_s``."""
+        """Record one event for each pair counted in the last ``window_s``."""
         counts = self._counts
         self._counts = collections.Counter()
         for (service, reason), count in counts.items():
@@ -37,7 +37,7 @@
             )
 
     async def run(self) -> None:
-        """Record sums every ten seconds until cancelled."""
+        """Record the sums every ten seconds until cancelled."""
         while True:
             await asyncio.sleep(_WINDOW_S)
             self.flush(_WINDOW_S)
--- a/libraries/gateway/src/sardinepier/gateway/refusals.py
+++ b/libraries/gateway/src/sardinepier/gateway/refusals.py
@@ -1,18 +1,18 @@
-"""Why a request is refused before any attempt at a target is made."""
+"""Errors that refuse a request before any attempt at a target."""
 
 from sardinepier.gateway import errors
 
 
 class NotConfiguredError(errors.ProvedNotRunError):
-    """No settings file is in force yet."""
+    """The daemon has no settings yet."""
 
 
 class BadRequestError(errors.ProvedNotRunError):
-    """The request breaks HTTP or a rule of ``docs/callers.md``."""
+    """The request violates HTTP or a rule of ``docs/callers.md``."""
 
 
 class UnknownServiceError(errors.ProvedNotRunError):
-    """No service has the name with which the path starts."""
+    """No service has the name at the start of the path."""
 
 
 class UnknownRouteError(errors.ProvedNotRunError):
@@ -20,40 +20,40 @@
 
 
 class MethodNotAllowedError(errors.ProvedNotRunError):
-    """The service has routes for the path, but none with this method."""
+    """The service has routes for the path, but none for this method."""
 
 
 class HeaderTooLargeError(errors.ProvedNotRunError):
-    """The request line or the headers are over the limits."""
+    """The request line or a header exceeds the size limits."""
 
 
 class BodyTooLargeError(errors.ProvedNotRunError):
-    """The body is larger than the service takes."""
+    """The body exceeds the size limit of the service."""
 
 
 class BodyIncompleteError(errors.ProvedNotRunError):
-    """The caller's body ended before its stated length, or too late."""
+    """The caller's body was cut short or did not arrive in time."""
 
 
 class KeyRequiredError(errors.ProvedNotRunError):
-    """A non-idempotent request came without an ``Idempotency-Key``."""
+    """A non-idempotent request has no ``Idempotency-Key``."""
 
 
 class PausedError(errors.ProvedNotRunError):
-    """The process stood still and has not caught up with its peers yet."""
+    """The process was paused and has not synchronized with its peers yet."""
 
 
 class DeadlinePassedError(errors.ProvedNotRunError):
-    """The time ran out before anything was sent."""
+    """The deadline passed before anything was sent."""
 
 
 class NoTargetError(errors.ProvedNotRunError):
-    """The service has no target that may take work."""
+    """The service has no target that can accept the request."""
 
 
 class ReleasedError(errors.ProvedNotRunError):
-    """The send of the same key that this one waited for did not run."""
+    """This send waited for an earlier one of its key, which did not run."""
 
 
 class OverloadedError(errors.ProvedNotRunError):
-    """The daemon has as many requests in hand as its memory allows."""
+    """The daemon has as many requests in flight as its limits allow."""
--- a/libraries/gateway/src/sardinepier/gateway/relaying.py
+++ b/libraries/gateway/src/sardinepier/gateway/relaying.py
@@ -1,7 +1,7 @@
-"""Passing a request on to the home of its key, one hop and never two.
+"""Relays a request to the home daemon of its key, over one hop at most.
 
-Whatever goes wrong on the way, the answer is ``unknown``: even if nothing
-was sent now, an earlier send of the same key may have run.
+Any failure of the relay yields the outcome ``unknown``: even if nothing was
+sent now, an earlier send of the same key may have run.
 """
 
 import asyncio
@@ -26,32 +26,32 @@
 
 
 class Relaying:
-    """Sends requests to the homes of their keys."""
+    """Relays requests to the home daemons of their keys."""
 
     def __init__(self, context: contexts.GatewayContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the collaborators in ``context``."""
         self._context = context
 
     async def relay(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
         home: ids.InstanceId,
     ) -> web_response.StreamResponse:
         """Return the home's answer; raise ``HomeUnreachableError``."""
         member = self._find(home)
-        left_s = item.deadline_s - self._context.clock.monotonic_s()
+        left_s = request.deadline_s - self._context.clock.monotonic_s()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                response = await self._open(request, item, member)
+                response = await self._open(http_request, request, member)
                 outcome = _outcome(response)
-                answer = await answer_reader.read(response, item, _ignore)
+                answer = await answer_reader.read(response, request, _ignore)
         except (errors.GatewayError, TimeoutError) as error:
             raise _unreachable(home, 'did not answer') from error
         if answer.remainder is None and not answer.body:
-            return delivery.empty(answer, outcome)
+            return delivery.empty_response(answer, outcome)
         if answer.remainder is None:
-            return delivery.whole(
+            return delivery.buffered_response(
                 answer.status,
                 answer.reason,
                 answer.headers,
@@ -60,9 +60,9 @@
             )
         stream = delivery.Stream(
             self._context,
-            request,
+            http_request,
             answer,
-            item.deadline_s,
+            request.deadline_s,
             outcome,
         )
         await stream.send(answer.remainder)
@@ -78,21 +78,21 @@
 
     async def _open(
         self,
-        request: web_request.BaseRequest,
-        item: caller_request.CallerRequest,
+        http_request: web_request.BaseRequest,
+        request: caller_request.CallerRequest,
         member: members.Member,
     ) -> client_reqrep.ClientResponse:
         origin = snapshots.origin(member.http_ip, member.http_port)
-        pairs = item.target_headers(self._context.clock)
+        pairs = request.target_headers(self._context.clock)
         return await self._context.client.open(
-            item.method,
+            request.method,
             yarl.URL(origin, encoded=True),
             [*pairs, (headers.RELAYED, self._context.own)],
-            item.body,
+            request.body,
             fresh=False,
             connect_timeout_s=_CONNECT_TIMEOUT_S,
             permit=self._context.wake_guard.require,
-            path=request.raw_path,
+            path=http_request.raw_path,
         )
 
 
@@ -101,7 +101,7 @@
     if outcome is None:
         response.close()
         raise errors.BadAnswerError(
-            'What answered at the address of the home is not a daemon',
+            'The process at the address of the home is not a daemon',
             'Check the addresses of the daemons',
         )
     return outcome
@@ -114,9 +114,9 @@
     return errors.HomeUnreachableError(
         f'{home}, the home of the key, {problem}',
         'Send the same request with the same key to the address that came '
-        'with the ticket, or find out by other means whether it ran',
+        'with the ticket, or check by other means whether it ran',
     )
 
 
 def _ignore(error: BaseException | None) -> None:
-    """Take no notice: the home itself sees how its target does."""
+    """Do nothing: the home itself records the outcome for its target."""
--- a/libraries/gateway/src/sardinepier/gateway/request_reader.py
+++ b/libraries/gateway/src/sardinepier/gateway/request_reader.py
@@ -1,4 +1,4 @@
-"""From what a caller sent to a checked piece of work."""
+"""Reads and validates the requests of callers."""
 
 import re
 from typing import Final
@@ -15,24 +15,24 @@
 _SLASH: Final = '/'
 _QUERY: Final = '?'
 _FRAGMENT: Final = '#'
-_LONGEST_CALLER: Final = 256
+_MAX_CALLER_LENGTH: Final = 256
 _RETRY_AFTER_S: Final = 1.0
 _MILLISECONDS: Final = re.compile('[0-9]{1,12}')
 
 
 class RequestReader:
-    """Reads and checks requests; nothing it refuses has run."""
+    """Reads and validates requests; a refused request did not run."""
 
     def __init__(self, context: contexts.GatewayContext) -> None:
-        """Work with the daemon's collaborators."""
+        """Use the collaborators in ``context``."""
         self._context = context
 
     async def read(
         self, request: web_request.BaseRequest
     ) -> caller_request.CallerRequest:
-        """Return the request as work.
+        """Return the validated request.
 
-        It is bound to the settings in force at this moment and keeps them.
+        It keeps the settings that are in force now until it ends.
         """
         context = self._context
         arrived_s = context.clock.monotonic_s()
@@ -42,7 +42,7 @@
         snapshot = runtime.snapshot
         path = target_path.partition(_QUERY)[0]
         route = snapshot.route(request.method, path)
-        deadline_s = arrived_s + _allowed_ms(request, route) / _MS_PER_S
+        deadline_s = arrived_s + _time_limit_ms(request, route) / _MS_PER_S
         if not context.wake_guard.check():
             await context.wake_guard.ready(deadline_s)
         caller = _caller(request, configuration.fleet)
@@ -82,19 +82,19 @@
 
 
 def _split(raw_path: str) -> tuple[ids.ServiceName, str]:
-    """Return the service's name and the path and query below it."""
-    # A full URL or a fragment has no place here, and what is not ASCII could
-    # not be passed on as it is.
+    """Return the service's name, and the path and query after it."""
+    # Absolute URLs and fragments are not valid here, and a path that is not
+    # ASCII could not be forwarded byte for byte.
     is_path = raw_path.startswith(_SLASH) and raw_path.isascii()
     if not is_path or _FRAGMENT in raw_path:
         raise refusals.BadRequestError(
-            'The target of the request is not an ASCII path',
+            'The request target is not an ASCII path',
             'Write it as /<service>/<path of the route>, percent-encoded',
         )
     service, slash, below = raw_path[1:].partition(_SLASH)
     if not slash:
         raise refusals.UnknownRouteError(
-            'The path names no route',
+            'The path contains no route',
             'Write it as /<service>/<path of the route>',
         )
     return ids.ServiceName(service), f'{_SLASH}{below}'
@@ -105,10 +105,10 @@
     fleet: model.FleetSettings,
 ) -> ids.CallerId:
     name = request.headers.get(fleet.caller_header, '')
-    if len(name) > _LONGEST_CALLER or not name.isascii():
+    if len(name) > _MAX_CALLER_LENGTH or not name.isascii():
         raise refusals.BadRequestError(
-            f'The header {fleet.caller_header} is not a name of up to '
-            f'{_LONGEST_CALLER} ASCII characters',
+            f'The header {fleet.caller_header} is not a name of at most '
+            f'{_MAX_CALLER_LENGTH} ASCII characters',
             'Send the name that the operators gave to the caller',
         )
     return ids.CallerId(name)
@@ -124,11 +124,11 @@
     return pairs
 
 
-def _allowed_ms(
+def _time_limit_ms(
     request: web_request.BaseRequest,
     route: model.RouteSettings,
 ) -> int:
-    """Return the time that the route and the caller both allow."""
+    """Return the shorter of the route's and the caller's deadline."""
     stated = request.headers.get(headers.DEADLINE)
     if stated is None:
         return route.deadline_ms
--- a/libraries/gateway/src/sardinepier/gateway/server.py
+++ b/libraries/gateway/src/sardinepier/gateway/server.py
@@ -24,12 +24,12 @@
     Awaitable[web_response.StreamResponse],
 ]
 
-_OWN_PREFIX: Final = '/v1/'
+_PAGES_PREFIX: Final = '/v1/'
 _BACKLOG: Final = 512
 
 
 class CallerServer:
-    """Serves callers: services, and the daemon's own pages under ``/v1/``.
+    """Serves the requests to services, and the daemon's pages under ``/v1/``.
 
     For example::
 
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, context: contexts.GatewayContext) -> None:
-        """Prepare to serve; nothing is bound yet."""
+        """Create the server without binding a port."""
         self._context = context
         self._pipeline = pipeline.Pipeline(context)
         self._pages: dict[str, Handler] = {
@@ -49,14 +49,14 @@
         self._listener: asyncio.Server | None = None
 
     def add_page(self, path: str, handler: Handler) -> None:
-        """Answer ``GET <path>`` by ``handler``; the path begins with /v1/.
+        """Serve ``GET <path>`` with ``handler``; the path begins with /v1/.
 
         Errors of this project that it raises become problem documents.
         """
         self._pages[path] = handler
 
     async def start(self, ip: str, port: int) -> int:
-        """Listen, and return the port, which the system chose for 0."""
+        """Listen, and return the port; the system chooses one for 0."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             self._connections,
@@ -68,35 +68,35 @@
         return bound
 
     def begin_draining(self) -> None:
-        """Send callers elsewhere; everything is still served.
+        """Direct callers to other daemons; all requests are still served.
 
-        The addresses leave this daemon out, and every answer asks its caller
-        to close the connection.
+        The address lists omit this daemon, and every answer closes its
+        connection.
         """
         self._context.activity.begin_draining()
 
     def stop_listening(self) -> None:
-        """Take no new connections; those that are open are served."""
+        """Accept no new connections; open ones are still served."""
         if self._listener is not None:
             self._listener.close()
 
     async def close(self, finish_s: float) -> int:
-        """Finish what is in hand, then close all connections.
+        """Finish the requests in flight, then close all connections.
 
-        Returns how many requests were still unfinished after ``finish_s``
-        seconds and were cut.
+        Returns how many requests were unfinished after ``finish_s`` seconds
+        and were aborted.
         """
         self.stop_listening()
         loop = asyncio.get_running_loop()
         until_s = loop.time() + finish_s
-        # Connections are not told to close before: that would also stop the
-        # bodies that are still arriving.
+        # The connections shut down only afterwards: an earlier shutdown would
+        # also stop request bodies that are still arriving.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(until_s):
                 await self._context.activity.wait_until_idle()
         unfinished = self._context.activity.in_flight
         self._connections.pre_shutdown()
-        # Answers that are ready may still be on their way out.
+        # Completed answers may not be sent yet.
         await self._connections.shutdown(max(1.0, until_s - loop.time()))
         return unfinished
 
@@ -104,7 +104,7 @@
         self,
         request: web_request.BaseRequest,
     ) -> web_response.StreamResponse:
-        if not request.raw_path.startswith(_OWN_PREFIX):
+        if not request.raw_path.startswith(_PAGES_PREFIX):
             return await self._pipeline.handle(request)
         try:
             response = await self._page(request)
@@ -128,7 +128,7 @@
             )
         if request.method not in {'GET', 'HEAD'}:
             raise refusals.MethodNotAllowedError(
-                "The daemon's own pages can only be read",
+                "The daemon's own pages are read-only",
                 'Use GET',
             )
         return await handler(request)
--- a/libraries/gateway/src/sardinepier/gateway/service_runtime.py
+++ b/libraries/gateway/src/sardinepier/gateway/service_runtime.py
@@ -1,4 +1,4 @@
-"""What a daemon learns and counts about its services between requests."""
+"""The state that a daemon keeps for a service between requests."""
 
 import dataclasses
 import random
@@ -19,13 +19,13 @@
 )
 from sardinepier.settings import model
 
-_QUIET_TICKS: Final = 5
-_CALLERS_REMEMBERED: Final = 8192
+_IDLE_TICKS: Final = 5
+_MAX_TRACKED_CALLERS: Final = 8192
 _SLOT_OPTIONS: Final = in_flight.SlotOptions()
 _NO_INCARNATION: Final = ids.TargetIncarnation('')
 
 NO_TARGET: Final = ids.TargetId('')
-"""Stands for a slot at no target, given to a request that can't get one."""
+"""Returned instead of a target when no target can accept the request."""
 
 MakeHealth = Callable[[model.ServiceSettings], service_health.ServiceHealth]
 ConfigureHealth = Callable[
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RuntimeParts:
-    """What all services are made from.
+    """The dependencies that all service runtimes share.
 
-    ``make_health`` builds the judge of a new service. ``configure_health``
-    puts changed settings of a known service in force, or a changed number of
-    daemons that judge it together. ``slot_options`` must fit how often the
-    daemons of a group report.
+    ``make_health`` creates the health checks of a new service.
+    ``configure_health`` applies changed settings of a service, or a changed
+    number of daemons in its group. ``slot_options`` must match the interval at
+    which the daemons of a group report.
     """
 
     clock: clocks.Clock
@@ -65,12 +65,12 @@
         self._parts = parts
         self._incarnations: dict[ids.TargetId, ids.TargetIncarnation] = {}
         self._attempts = 0
-        self._judged_attempts = 0
-        self._quiet_ticks = 0
+        self._evaluated_attempts = 0
+        self._skipped_ticks = 0
         self._group_size = 1
         self._weights: dict[ids.TargetId, float] = {}
         self.last_used_s = float('-inf')
-        self._hedges: dict[ids.RouteName, hedging.HedgeDelay] = {}
+        self._hedge_delays: dict[ids.RouteName, hedging.HedgeDelay] = {}
         self.health = parts.make_health(settings)
         self.slots = in_flight.TargetSlots(
             parts.clock,
@@ -84,65 +84,69 @@
         )
         self.lost_connections = lost_connections.LostConnections(parts.clock)
         self.snapshot = snapshots.ServiceSnapshot(settings)
-        self._build()
+        self._build_admission()
         self._apply_targets()
 
     def update(self, settings: model.ServiceSettings) -> None:
-        """Take a new file; targets that stay keep their state."""
+        """Apply new settings; targets that remain keep their state."""
         if settings is self.snapshot.settings:
             return
         before = self.snapshot.settings
         self.snapshot = snapshots.ServiceSnapshot(settings)
-        if _figures(before) != _figures(settings):
-            self._build()
+        if _admission_settings(before) != _admission_settings(settings):
+            self._build_admission()
         self._configure_health()
         self._apply_targets()
 
     def set_group(
         self,
-        others: Collection[ids.InstanceId],
+        other_daemons: Collection[ids.InstanceId],
         own: ids.InstanceId | None,
     ) -> None:
-        """Set which daemons judge this service and share its slots.
+        """Set which daemons evaluate this service and share its slots.
 
         ``own`` is None when this daemon is not one of them.
         """
-        self.slots.set_group(others, own)
-        self.statements.set_senders(others, own)
-        self._group_size = len(others) + (own is not None)
+        self.slots.set_group(other_daemons, own)
+        self.statements.set_senders(other_daemons, own)
+        self._group_size = len(other_daemons) + (own is not None)
         self._configure_health()
 
     def set_incarnations(
         self,
         listed: Mapping[ids.TargetId, ids.TargetIncarnation],
     ) -> None:
-        """Take the targets' starts from the platform's instance list."""
+        """Apply the incarnations in the platform's instance list."""
         if self._incarnations != listed:
             before = self._incarnations
             self._incarnations = dict(listed)
             self.statements.forget(
-                [one for one in listed if before.get(one) != listed[one]],
+                [
+                    target_id
+                    for target_id in listed
+                    if before.get(target_id) != listed[target_id]
+                ],
             )
             self._apply_targets()
 
     def tick(self) -> None:
-        """Judge the targets anew and hand out what came free.
+        """Evaluate the targets again and serve the queue.
 
-        A service without requests is judged at every fifth call only: each
-        judgement looks at all targets, and there is next to nothing new.
+        A service without requests is evaluated only at every fifth call: an
+        evaluation visits all targets, and there is hardly any new evidence.
         """
-        self._quiet_ticks += 1
-        is_busy = self._attempts != self._judged_attempts or len(self.queue)
+        self._skipped_ticks += 1
+        is_busy = self._attempts != self._evaluated_attempts or len(self.queue)
         if not is_busy and not self.slots.report():
-            if self._quiet_ticks < _QUIET_TICKS:
+            if self._skipped_ticks < _IDLE_TICKS:
                 return
-        self._quiet_ticks = 0
-        self._judged_attempts = self._attempts
+        self._skipped_ticks = 0
+        self._evaluated_attempts = self._attempts
         self.health.tick()
         self.refresh()
 
     def refresh(self) -> None:
-        """Let the choice of targets follow their health."""
+        """Apply the health of the targets to their selection weights."""
         for target_id in self.snapshot.targets:
             weight = self.health.standing(target_id).weight
             if weight != self._weights.get(target_id):
@@ -151,7 +155,7 @@
         self.queue.wake()
 
     def mark_leaving(self, target_id: ids.TargetId) -> bool:
-        """Give no more work to this start of a target; True when new."""
+        """Send no more requests to this incarnation; return True if new."""
         incarnation = self._incarnations.get(target_id, _NO_INCARNATION)
         is_new = self.health.mark_leaving(target_id, incarnation)
         if is_new:
@@ -159,12 +163,12 @@
         return is_new
 
     def next_attempt(self) -> int:
-        """Return a number for an attempt, never given before."""
+        """Return a unique number for an attempt."""
         self._attempts += 1
         return self._attempts
 
     def release(self, target_id: ids.TargetId) -> None:
-        """Give back a slot and let the next request have it."""
+        """Release a slot and serve the next request in the queue."""
         self.slots.release(target_id)
         self.queue.wake()
 
@@ -174,13 +178,13 @@
         *,
         is_earlier_loss_explained: bool = False,
     ) -> bool:
-        """Note a lost connection; True if the target seemed healthy.
+        """Record a lost connection; return True if the target was healthy.
 
-        One under suspicion that still gets work counts as healthy: one crash
-        is enough for that, and the next request that crashes it is to be held
-        back after as many targets as the first. An earlier loss counts
-        against the target unless ``is_earlier_loss_explained`` by a request
-        that is suspected of crashing it.
+        A suspected target that still gets requests counts as healthy: a
+        single crash makes a target suspected, and the next request that
+        crashes it must be quarantined after as many targets as the first. An
+        earlier loss counts against the target, unless
+        ``is_earlier_loss_explained`` by a request suspected of crashing it.
         """
         is_first = (
             self.lost_connections.record(target_id) or is_earlier_loss_explained
@@ -198,23 +202,23 @@
         )
 
     def hedge_delay(self, route: ids.RouteName) -> hedging.HedgeDelay:
-        """Return what was learned of the route's latency."""
-        delay = self._hedges.get(route)
+        """Return the hedge delay that follows the route's latency."""
+        delay = self._hedge_delays.get(route)
         if delay is None:
             delay = hedging.HedgeDelay()
-            self._hedges[route] = delay
+            self._hedge_delays[route] = delay
         return delay
 
-    def _build(self) -> None:
+    def _build_admission(self) -> None:
         settings = self.snapshot.settings
         clock = self._parts.clock
-        # A queue that is replaced still serves those who wait in it: its
-        # own timer looks for free slots while anybody waits.
+        # A replaced queue still serves its waiting requests: its own timer
+        # looks for free slots until it is empty.
         self.queue = admission.SlotQueue(
             clock,
             settings.queue_length,
             self._parts.random_source,
-            self._give_back,
+            self._release_unused,
             lambda: self.statements.forecast(self.health.selectable()),
         )
         self.retry_budget = budget.RetryBudget(
@@ -229,11 +233,11 @@
             clock,
             settings.caller_requests_per_s,
             settings.caller_burst_requests,
-            _CALLERS_REMEMBERED,
+            _MAX_TRACKED_CALLERS,
             self._parts.random_source,
         )
 
-    def _give_back(self, target_id: ids.TargetId) -> None:
+    def _release_unused(self, target_id: ids.TargetId) -> None:
         if target_id != NO_TARGET:
             self.slots.release(target_id)
             self.statements.refund(target_id)
@@ -247,35 +251,37 @@
 
     def _apply_targets(self) -> None:
         settings = self.snapshot.settings
-        # The slots forget the weights of targets that they take anew.
+        # ``set_targets`` resets the weights of the slots.
         self._weights.clear()
-        most = settings.connections_per_target
+        max_slots = settings.connections_per_target
         self.health.set_targets(
             targets.TargetIdentity(
-                one.target_id,
-                self._incarnations.get(one.target_id, _NO_INCARNATION),
-                one.slots,
+                target.target_id,
+                self._incarnations.get(target.target_id, _NO_INCARNATION),
+                target.slots,
             )
-            for one in settings.targets
+            for target in settings.targets
         )
         self.slots.set_targets(
             in_flight.TargetCapacity(
-                one.target_id,
-                one.zone,
-                min(one.slots, most),
+                target.target_id,
+                target.zone,
+                min(target.slots, max_slots),
             )
-            for one in settings.targets
+            for target in settings.targets
         )
         self.lost_connections.keep(frozenset(self.snapshot.targets))
         self.statements.keep(frozenset(self.snapshot.targets))
         names = {route.name for route in settings.routes}
-        self._hedges = {
-            name: delay for name, delay in self._hedges.items() if name in names
+        self._hedge_delays = {
+            name: delay
+            for name, delay in self._hedge_delays.items()
+            if name in names
         }
         self.refresh()
 
 
-def _figures(settings: model.ServiceSettings) -> tuple[float, ...]:
+def _admission_settings(settings: model.ServiceSettings) -> tuple[float, ...]:
     return (
         settings.queue_length,
         settings.retry_budget_percent,
--- a/libraries/gateway/src/sardinepier/gateway/service_runtimes.py
+++ b/libraries/gateway/src/sardinepier/gateway/service_runtimes.py
@@ -1,4 +1,4 @@
-"""The services that one daemon has to do with."""
+"""The services that this daemon has received requests for."""
 
 from collections.abc import Collection, Iterator, Mapping
 
@@ -8,10 +8,10 @@
 
 
 class ServiceRuntimes:
-    """The runtimes of the services that this daemon has to do with.
+    """The runtimes of the services that this daemon handles.
 
-    One is made when a service is first asked for, so that a daemon pays for
-    its own services and not for all of the fleet's.
+    A runtime is created when its service is first requested, so that a daemon
+    spends no memory and time on the other services of the fleet.
     """
 
     def __init__(self, parts: service_runtime.RuntimeParts) -> None:
@@ -24,11 +24,11 @@
         self._settings: Mapping[ids.ServiceName, model.ServiceSettings] = {}
 
     def __iter__(self) -> Iterator[service_runtime.ServiceRuntime]:
-        """Go over the services that were asked for."""
+        """Iterate over the runtimes that exist."""
         return iter(tuple(self._by_name.values()))
 
     def update(self, configuration: model.Configuration) -> None:
-        """Take a new configuration; services that are gone are dropped."""
+        """Apply a new configuration and drop removed services."""
         self._settings = configuration.services
         for name, runtime in tuple(self._by_name.items()):
             settings = self._settings.get(name)
@@ -59,7 +59,7 @@
         settings = self._settings.get(name)
         if settings is None:
             raise refusals.UnknownServiceError(
-                'No service has the name with which the path starts',
+                'No service has the name at the start of the path',
                 'Write the path as /<service>/<path of the route>',
             )
         runtime = service_runtime.ServiceRuntime(settings, self._parts)
@@ -71,16 +71,16 @@
         kept: Collection[ids.ServiceName],
         unused_since_s: float,
     ) -> None:
-        """Drop the services not in ``kept`` that nobody asked for of late.
+        """Drop services not in ``kept`` without requests since then.
 
-        A stray request may come for any service of the fleet. Without this a
-        daemon would in the end judge the targets of all of them.
+        Any daemon may get a stray request for any service of the fleet.
+        Without this method every daemon would end up evaluating all targets.
         """
         for name, runtime in tuple(self._by_name.items()):
             if name not in kept and runtime.last_used_s < unused_since_s:
                 del self._by_name[name]
 
     def tick(self) -> None:
-        """Judge the targets of all services anew."""
+        """Evaluate the targets of all services again."""
         for runtime in self:
             runtime.tick()
--- a/libraries/gateway/src/sardinepier/gateway/snapshots.py
+++ b/libraries/gateway/src/sardinepier/gateway/snapshots.py
@@ -1,7 +1,7 @@
-"""One service's settings made ready for requests; never changed.
+"""Immutable snapshots of a service's settings, prepared for requests.
 
-A request keeps the snapshot with which it started to its end: its route, its
-limits and the addresses of its targets are all from one file.
+A request keeps its snapshot from start to end, so that its route, its limits
+and the addresses of its targets come from the same version of the settings.
 """
 
 from typing import Final
@@ -18,20 +18,20 @@
 
 
 class ServiceSnapshot:
-    """A service's file with its routes compiled and its targets by name."""
+    """A service's settings with compiled routes and targets by id."""
 
     def __init__(self, settings: model.ServiceSettings) -> None:
-        """Compile ``settings``, which were checked before."""
+        """Compile ``settings``, which must be valid."""
         self.settings = settings
         self.connect_timeout_s = settings.connect_timeout_ms / _MS_PER_S
-        self.targets = {one.target_id: one for one in settings.targets}
+        self.targets = {target.target_id: target for target in settings.targets}
         self._table = routes.RouteTable(settings.routes)
         self._urls: dict[ids.TargetId, yarl.URL] = {}
 
     def route(self, method: str, path: str) -> model.RouteSettings:
         """Return the route of a request; ``path`` has no query.
 
-        ``HEAD`` takes the route of ``GET`` when it has none of its own.
+        ``HEAD`` uses the route of ``GET`` if it has none of its own.
         Raises ``UnknownRouteError`` or ``MethodNotAllowedError``.
         """
         route = self._table.match(method, path)
@@ -42,7 +42,7 @@
         return route
 
     def origin(self, target_id: ids.TargetId) -> str:
-        """Return what goes before the path in the target's URLs."""
+        """Return scheme, IP address and port of the target's URLs."""
         target = self.targets[target_id]
         return origin(target.ip, target.port)
 
@@ -69,6 +69,6 @@
 
 
 def origin(ip: str, port: int) -> str:
-    """Return ``http://`` with an IP number, of either version, and a port."""
+    """Return ``http://``, the IPv4 or IPv6 address and the port."""
     host = f'[{ip}]' if ':' in ip else ip
     return f'http://{host}:{port}'
--- a/libraries/gateway/src/sardinepier/gateway/statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/statements.py
@@ -1,9 +1,9 @@
-"""What a target says of itself in the head of an answer.
+"""Statements: what a target reports about itself in response headers.
 
-Each answer may tell it, whatever became of the request: that the target leaves,
-how many requests a second it takes from all daemons together, and with a
-status of 503 for how long it wants none. A header that can't be read says
-nothing; the answer is as good as without it.
+Any answer, whatever its status, may state that the target is leaving and how
+many requests a second it accepts from all daemons together. With status 503 it
+may also state for how long it wants no requests. A header that can't be parsed
+is ignored and does not affect the answer.
 """
 
 import dataclasses
@@ -18,40 +18,40 @@
 from sardinepier.gateway import headers
 
 _DECIMAL: Final = re.compile(r'[0-9]{1,9}(?:\.[0-9]{1,9})?')
-_LONGEST_DATE: Final = 40
-_YES: Final = '1'
+_MAX_DATE_LENGTH: Final = 40
+_IS_LEAVING: Final = '1'
 _MS_PER_S: Final = 1000
 
-_LONGEST_REST_S: Final = 30.0
-"""A target that asks for more is asked again after this time: a wrong figure
-must not take it out of service for good."""
+_MAX_BACKOFF_S: Final = 30.0
+"""The longest backoff that is honoured: a wrong number must not take a target
+out of service permanently."""
 
-_LEAST_LIMIT_PER_S: Final = 0.1
-"""A target that names less is given this: without any answer of it nobody would
-learn that it takes more again."""
+_MIN_LIMIT_PER_S: Final = 0.1
+"""The lowest limit that is applied: without any requests to the target, no
+daemon would learn from an answer that the target accepts more again."""
 
 
 class StatementNames(Protocol):
-    """The headers in which targets speak of themselves."""
+    """The names of the headers that carry statements."""
 
     @property
     def leaving(self) -> str:
-        """Return the header that says whether the target leaves."""
+        """Return the header that states whether the target is leaving."""
         ...
 
     @property
     def limit(self) -> str:
-        """Return the header with the requests a second that it takes."""
+        """Return the header with the accepted requests a second."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Statement:
-    """What one answer told.
+    """The statement of one answer.
 
-    ``backoff_until_s`` is a reading of the monotonic clock until which the target
-    wants no request, 0.0 when it asks for no rest. ``limit_per_s`` is None
-    when it names no limit.
+    ``backoff_until_s`` is the monotonic time until which the target wants no
+    requests, 0.0 when it asks for no backoff. ``limit_per_s`` is None when
+    the target states no limit.
     """
 
     is_leaving: bool = False
@@ -60,35 +60,39 @@
 
 
 EMPTY: Final = Statement()
-"""What most answers tell."""
+"""The statement of an answer without any of the headers."""
 
 
 def read(
     status: int,
-    told: 'multidict.CIMultiDictProxy[str]',
+    answer_headers: 'multidict.CIMultiDictProxy[str]',
     names: StatementNames,
     clock: clocks.Clock,
 ) -> Statement:
-    """Return what an answer with the headers ``told`` says of its target."""
-    rest_s = 0.0
+    """Return the statement in ``answer_headers`` about the target."""
+    backoff_s = 0.0
     if status == http.HTTPStatus.SERVICE_UNAVAILABLE:
-        rest_s = _rest_s(_only(told, headers.RETRY_AFTER), clock)
-    limit_per_s = _decimal(_only(told, names.limit))
+        backoff_s = _backoff_s(
+            _single_header(answer_headers, headers.RETRY_AFTER), clock
+        )
+    limit_per_s = _decimal(_single_header(answer_headers, names.limit))
     return Statement(
-        is_leaving=_only(told, names.leaving) == _YES,
-        backoff_until_s=clock.monotonic_s() + rest_s if rest_s > 0 else 0.0,
+        is_leaving=_single_header(answer_headers, names.leaving) == _IS_LEAVING,
+        backoff_until_s=clock.monotonic_s() + backoff_s
+        if backoff_s > 0
+        else 0.0,
         limit_per_s=(
-            None
-            if limit_per_s is None
-            else max(_LEAST_LIMIT_PER_S, limit_per_s)
+            None if limit_per_s is None else max(_MIN_LIMIT_PER_S, limit_per_s)
         ),
     )
 
 
-def _only(told: 'multidict.CIMultiDictProxy[str]', name: str) -> str | None:
-    """Return the value of a header, None unless there is just one."""
-    texts = told.getall(name, [])
-    return texts[0].strip() if len(texts) == 1 else None
+def _single_header(
+    answer_headers: 'multidict.CIMultiDictProxy[str]', name: str
+) -> str | None:
+    """Return the value of a header, None if absent or repeated."""
+    lines = answer_headers.getall(name, [])
+    return lines[0].strip() if len(lines) == 1 else None
 
 
 def _decimal(text: str | None) -> float | None:
@@ -97,20 +101,20 @@
     return float(text)
 
 
-def _rest_s(text: str | None, clock: clocks.Clock) -> float:
-    """Return how long the target wants to rest, as seconds or a date tell."""
-    rest_s = _decimal(text)
-    if rest_s is None:
-        rest_s = _left_until(text, clock)
-    return min(_LONGEST_REST_S, max(0.0, rest_s))
+def _backoff_s(text: str | None, clock: clocks.Clock) -> float:
+    """Return the backoff that a number of seconds or a date states."""
+    backoff_s = _decimal(text)
+    if backoff_s is None:
+        backoff_s = _seconds_until(text, clock)
+    return min(_MAX_BACKOFF_S, max(0.0, backoff_s))
 
 
-def _left_until(text: str | None, clock: clocks.Clock) -> float:
-    if text is None or len(text) > _LONGEST_DATE:
+def _seconds_until(text: str | None, clock: clocks.Clock) -> float:
+    if text is None or len(text) > _MAX_DATE_LENGTH:
         return 0.0
     try:
         at_s = email_utils.parsedate_to_datetime(text).timestamp()
     except (ValueError, OverflowError):
-        # A header that can't be read says nothing.
+        # An invalid date is ignored, as any header that can't be parsed.
         return 0.0
     return at_s - clock.wall_ms() / _MS_PER_S
--- a/libraries/gateway/src/sardinepier/gateway/target_answer.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_answer.py
@@ -1,4 +1,4 @@
-"""A target's answer: whole in memory, or whole so far with more to come."""
+"""A target's answer, buffered completely or with a remainder to stream."""
 
 import dataclasses
 from collections.abc import AsyncIterator, Callable
@@ -12,9 +12,9 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class TargetAnswer:
-    """What a target answered.
+    """The answer of a target.
 
-    ``body`` is the whole content unless ``remainder`` is set. Then it is the
+    ``body`` is the complete body, unless ``remainder`` is set: then it is the
     beginning, and ``remainder`` must be read to its end or closed.
     """
 
@@ -27,9 +27,9 @@
 
 
 class BodyStream:
-    """The part of a long answer that is still on its way.
+    """The remainder of a long answer that has not arrived yet.
 
-    ``on_end`` is called once, with the error that ended it early or None.
+    ``on_end`` is called once, with None or the error that ended the stream.
     """
 
     def __init__(
@@ -37,26 +37,26 @@
         response: client_reqrep.ClientResponse,
         on_end: OnEnd,
     ) -> None:
-        """Go on reading ``response``."""
+        """Continue to read ``response``."""
         self._response = response
         self._on_end: OnEnd | None = on_end
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Give the content as it comes.
+        """Yield the body as it arrives.
 
-        Raises ``TruncatedAnswerError`` when it ends too early.
+        Raises ``TruncatedAnswerError`` if it is cut off.
         """
         try:
             async for chunk in self._response.content.iter_any():
                 yield chunk
         except (client_exceptions.ClientError, OSError) as error:
-            cut = truncated(error)
-            self.close(cut)
-            raise cut from error
+            cut_error = truncated(error)
+            self.close(cut_error)
+            raise cut_error from error
         self._end(None)
 
     def close(self, error: BaseException) -> None:
-        """Give up: the connection is closed and never used again."""
+        """Stop reading and close the connection, which is not reused."""
         self._response.close()
         self._end(error)
 
@@ -68,9 +68,9 @@
 
 
 def truncated(error: Exception) -> errors.TruncatedAnswerError:
-    """Return the error for an answer that was cut short."""
+    """Return the error for an answer that was cut off."""
     name = type(error).__name__
     return errors.TruncatedAnswerError(
-        f"The target's answer ended before it was whole ({name})",
-        'Find out whether the request ran before sending it anew',
+        f"The target's answer ended before it was complete ({name})",
+        'Check whether the request ran before sending it again',
     )
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -1,7 +1,7 @@
-"""What one target asked for, and when this daemon may send it a request.
+"""The statements of one target, and when this daemon may send it a request.
 
-A limit is one on the sum over all daemons. Each has a part of it, most of them none,
-and spaces its requests evenly.
+A limit applies to the sum over all daemons. Each daemon has a part of it, most
+daemons have none, and each spaces its requests evenly.
 """
 
 import dataclasses
@@ -13,75 +13,75 @@
 from sardinepier.gateway import statements
 from sardinepier.routing import wait_queue
 
-_KEPT_S: Final = 30.0
-"""How long a limit is believed that nobody heard again. The daemon that sends to
-the target hears it with each answer and passes it on, so that it only lapses
-where nobody sends or passes on anything."""
+_LIMIT_VALID_S: Final = 30.0
+"""How long a limit applies after its last report. The daemon that sends to the
+target receives the limit with each answer and shares it, so it expires only
+when no daemon sends requests or shares reports."""
 
-_SPREAD: Final = 1.5
+_MAX_SPREAD: Final = 1.5
 
 
 def retry_after_s(
     waits_s: Iterable[float],
-    least_s: float,
+    min_s: float,
     random_source: random.Random,
 ) -> float:
-    """Return when a new try makes sense, by when each target wants a request.
+    """Return the retry delay, given the wait until each target accepts one.
 
-    Beyond ``least_s`` it is spread, so that callers refused together don't
-    return together. For example waits of 4 s and 9 s become 4 s to 6 s.
+    A delay above ``min_s`` is randomized, so that callers that were refused
+    together don't return together: waits of 4 s and 9 s become 4 s to 6 s.
     """
     wait_s = min(waits_s, default=0.0)
-    if wait_s <= least_s:
-        return least_s
-    return wait_s * random_source.uniform(1, _SPREAD)
+    if wait_s <= min_s:
+        return min_s
+    return wait_s * random_source.uniform(1, _MAX_SPREAD)
 
 
 def forecast(
-    closed: Iterable['TargetStatements'],
+    waiting: Iterable['TargetStatements'],
     now_s: float,
 ) -> wait_queue.CapacityForecast:
-    """Return when targets of which none wants a request now want some again."""
-    first_s = math.inf
-    any_s = math.inf
+    """Return when the targets, none of which accepts now, accept requests."""
+    limit_wait_s = math.inf
+    backoff_wait_s = math.inf
     per_s = 0.0
-    for stated in closed:
+    for stated in waiting:
         wait_s = stated.accepts_from_s(now_s) - now_s
         if stated.newest.limit_per_s is None:
-            any_s = min(any_s, wait_s)
+            backoff_wait_s = min(backoff_wait_s, wait_s)
         else:
-            first_s = min(first_s, wait_s)
+            limit_wait_s = min(limit_wait_s, wait_s)
             per_s += stated.own_per_s
     return wait_queue.CapacityForecast(
-        first_s, 1 / per_s if per_s else 0.0, any_s
+        limit_wait_s, 1 / per_s if per_s else 0.0, backoff_wait_s
     )
 
 
 class TargetStatements:
-    """The statements of one start of a target, and the pace that they allow.
+    """The statements of one incarnation of a target, and the allowed pace.
 
     For example::
 
-        stated.apply(told, now_s)
+        stated.apply(statement, now_s)
         if stated.accepts_from_s(now_s) <= now_s:
             stated.take(now_s)
 
-    ``newest`` was told at ``received_s``, to this daemon or to another one.
-    ``part``, 0 to 1, is how much of the target's limit is this daemon's.
-    ``backoff_until_s`` is until when it wants nothing from this daemon; no later
-    statement shortens that. ``has_backed_off`` says that its newest answer to this
-    daemon asked for rest.
+    This daemon or another one received ``newest`` at ``received_s``. ``part``,
+    0 to 1, is this daemon's part of the target's limit. The target accepts
+    nothing from this daemon before ``backoff_until_s``, which no later
+    statement shortens. ``has_backed_off`` says that the newest answer to this
+    daemon asked for backoff.
     """
 
     def __init__(self) -> None:
-        """Start with a target that asked for nothing."""
+        """Start without a statement."""
         self.newest = statements.EMPTY
         self.received_s = 0.0
         self.part = 1.0
         self.backoff_until_s = 0.0
         self.has_backed_off = False
-        self._lapses_at_s = 0.0
-        self._next_s = 0.0
+        self._limit_expires_s = 0.0
+        self._next_request_s = 0.0
 
     @property
     def interval_s(self) -> float:
@@ -91,14 +91,14 @@
 
     @property
     def own_per_s(self) -> float:
-        """Return what this daemon may send of the limit, 0.0 without one."""
+        """Return the rate of this daemon's part, 0.0 without a limit."""
         return self.part * (self.newest.limit_per_s or 0.0)
 
     def apply(self, statement: statements.Statement, received_s: float) -> bool:
-        """Take in what the target told; tell whether that is anything new.
+        """Apply a statement; return whether it changes anything.
 
-        What was told before what is known already is passed over, unless it is
-        that the target leaves: no answer undoes that.
+        A statement older than the newest one is ignored, unless it says that
+        the target is leaving: no other answer revokes that.
         """
         if received_s < self.received_s and not statement.is_leaving:
             return False
@@ -109,39 +109,39 @@
             self.newest.limit_per_s is None
             and statement.limit_per_s is not None
         ):
-            self._next_s = received_s + 1 / statement.limit_per_s
+            self._next_request_s = received_s + 1 / statement.limit_per_s
         self.newest = statement
         self.received_s = received_s
-        self._lapses_at_s = received_s + _KEPT_S
+        self._limit_expires_s = received_s + _LIMIT_VALID_S
         self.backoff_until_s = max(
             self.backoff_until_s, statement.backoff_until_s
         )
         return is_new
 
     def answered(self, statement: statements.Statement) -> None:
-        """Take in whether an answer to this daemon asked for rest."""
+        """Record whether an answer to this daemon asked for backoff."""
         self.has_backed_off = statement.backoff_until_s > 0
 
     def is_backing_off(self, now_s: float) -> bool:
-        """Tell whether the target wants nothing from this daemon now."""
+        """Return whether the target accepts nothing from this daemon now."""
         return now_s < self.backoff_until_s
 
     def accepts_from_s(self, now_s: float) -> float:
         """Return from when on this daemon may send a request.
 
-        It is infinite while others have all of the target's limit.
+        It is infinite while other daemons have all of the target's limit.
         """
         accepts_from_s = max(now_s, self.backoff_until_s)
         if self.newest.limit_per_s is None:
             return accepts_from_s
-        if self.part or now_s >= self._lapses_at_s:
-            return max(accepts_from_s, self._next_s)
+        if self.part or now_s >= self._limit_expires_s:
+            return max(accepts_from_s, self._next_request_s)
         return math.inf
 
     def wait_s(self, now_s: float) -> float:
-        """Return in how many seconds the target wants a request of anybody.
+        """Return in how many seconds the target accepts any request.
 
-        When others send to it, that is taken to be its usual interval.
+        If only other daemons may send to it, the limit's interval is assumed.
         """
         accepts_from_s = self.accepts_from_s(now_s)
         if math.isinf(accepts_from_s):
@@ -151,13 +151,15 @@
     def take(self, now_s: float) -> None:
         """Count a request that is about to be sent."""
         if self.newest.limit_per_s is not None:
-            # One that comes late, for want of requests, may be made up for.
+            # One interval that passed without a request may be made up for.
             interval_s = self._own_interval_s()
-            self._next_s = max(self._next_s, now_s - interval_s) + interval_s
+            self._next_request_s = (
+                max(self._next_request_s, now_s - interval_s) + interval_s
+            )
 
     def refund(self) -> None:
-        """Return what was counted for a request that was not sent."""
-        self._next_s -= self._own_interval_s()
+        """Undo :meth:`take` for a request that was not sent."""
+        self._next_request_s -= self._own_interval_s()
 
     def _own_interval_s(self) -> float:
         return self.interval_s / (self.part or 1.0)
--- a/libraries/gateway/src/sardinepier/gateway/wake_guard.py
+++ b/libraries/gateway/src/sardinepier/gateway/wake_guard.py
@@ -1,9 +1,9 @@
-"""Finding out that the process was paused, before it acts on old knowledge.
+"""Detects that the process was paused, before it acts on outdated state.
 
-A paused process wakes up with the same view as before, while its targets,
-its peers and the settings may have changed. A task ticks in the event loop;
-when the last tick is too long ago, the process stood still. ``check`` looks
-at the clock itself, so that it also notices when it runs before the tick.
+After a pause the process still has its old view, while targets, peers and
+settings may have changed. A task in the event loop ticks regularly; when the
+last tick is too long ago, the process was paused. ``check`` reads the clock
+itself, so that it detects a pause even when it runs before the next tick.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from sardinepier.gateway import refusals
 
 Confirm = Callable[[float], bool | Awaitable[bool]]
-"""Says whether something was refreshed after the given local moment."""
+"""Returns whether some state was refreshed after the given monotonic time."""
 
 _TICKS_PER_GAP: Final = 4
 _POLL_INTERVAL_S: Final = 0.02
@@ -24,9 +24,10 @@
 
 
 class WakeGuard:
-    """Lets no attempt start after a pause until the view is refreshed.
+    """Blocks new attempts after a pause until the state is refreshed.
 
-    ``on_gap`` is told of each pause in milliseconds, and of the bound.
+    ``on_gap`` is called for each pause with its length and the threshold,
+    both in milliseconds.
     """
 
     def __init__(
@@ -38,9 +39,9 @@
         *,
         wait_limit_s: float = 2.0,
     ) -> None:
-        """Take pauses over ``gap_ms`` seriously.
+        """React to pauses longer than ``gap_ms``.
 
-        A request waits for the refresh for ``wait_limit_s`` at most.
+        A request waits for the refresh for at most ``wait_limit_s``.
         """
         self._clock = clock
         self._gap_ms = gap_ms
@@ -48,10 +49,10 @@
         self._on_gap = on_gap
         self._wait_limit_s = wait_limit_s
         self._last_tick_s = clock.monotonic_s()
-        self._awake_since_s: float | None = None
+        self._resumed_s: float | None = None
 
     def set_gap_ms(self, gap_ms: int) -> None:
-        """Use another bound from now on."""
+        """Change the threshold for pauses."""
         self._gap_ms = gap_ms
 
     def check(self) -> bool:
@@ -60,25 +61,25 @@
         gap_ms = (now_s - self._last_tick_s) * _MS_PER_S
         if gap_ms > self._gap_ms:
             self._last_tick_s = now_s
-            self._awake_since_s = now_s
+            self._resumed_s = now_s
             self._on_gap(int(gap_ms), self._gap_ms)
-        return self._awake_since_s is None
+        return self._resumed_s is None
 
     def require(self) -> None:
         """Raise ``PausedError`` when no attempt may start now."""
         if not self.check():
             raise refusals.PausedError(
-                'This daemon stood still for a while and has not caught up '
-                'with its peers yet',
-                'Send the request again, best to another address',
+                'This daemon was paused and has not synchronized with its '
+                'peers yet',
+                'Send the request again, preferably to another address',
                 _RETRY_AFTER_S,
             )
 
     async def ready(self, deadline_s: float) -> None:
-        """Return when attempts may start.
+        """Wait until attempts may start.
 
-        Raises ``PausedError`` when that takes until ``deadline_s``, or too
-        long in any case.
+        Raises ``PausedError`` after ``wait_limit_s``, or at ``deadline_s`` if
+        that is earlier.
         """
         if self.check():
             return
@@ -89,34 +90,34 @@
         self.require()
 
     async def run(self) -> None:
-        """Tick, and refresh after each pause, until cancelled."""
+        """Tick, and check for the refresh after a pause, until cancelled."""
         self._last_tick_s = self._clock.monotonic_s()
         while True:
             await self.tick()
-            if self._awake_since_s is None:
+            if self._resumed_s is None:
                 await asyncio.sleep(self._gap_ms / _MS_PER_S / _TICKS_PER_GAP)
             else:
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def tick(self) -> None:
-        """Note that the loop runs, and refresh if it stood still before.
+        """Record that the loop runs, and end a pause once it is confirmed.
 
-        For an owner of a loop of its own that calls this a few times in each
-        ``gap_ms``, in place of :meth:`run`.
+        A caller with its own loop can call this a few times in each
+        ``gap_ms`` instead of :meth:`run`.
         """
         self.check()
         self._last_tick_s = self._clock.monotonic_s()
-        since_s = self._awake_since_s
-        if since_s is None or not await self._confirmed(since_s):
+        resumed_s = self._resumed_s
+        if resumed_s is None or not await self._confirmed(resumed_s):
             return
-        # Another pause while the answers were awaited starts it all again.
+        # A new pause during the confirmations requires new confirmations.
         self.check()
-        if self._awake_since_s == since_s:
-            self._awake_since_s = None
+        if self._resumed_s == resumed_s:
+            self._resumed_s = None
 
-    async def _confirmed(self, since_s: float) -> bool:
+    async def _confirmed(self, resumed_s: float) -> bool:
         for confirm in self._confirms:
-            answer = confirm(since_s)
+            answer = confirm(resumed_s)
             if inspect.isawaitable(answer):
                 answer = await answer
             if not answer:
--- a/libraries/gateway/tests/conftest.py
+++ b/libraries/gateway/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Targets that misbehave on demand, and a gateway in front of them."""
+"""Targets with configurable faults, and gateways in front of them."""
 
 import asyncio
 import collections
@@ -35,8 +35,8 @@
 
 
 @dataclasses.dataclass
-class Seen:
-    """One request as a target got it."""
+class ReceivedRequest:
+    """A request as a target received it."""
 
     line: str
     headers: list[tuple[str, str]]
@@ -47,9 +47,10 @@
 
 
 class RawTarget:
-    """A target on a raw socket; ``behaviour`` says how it misbehaves.
+    """A target on a raw socket; ``behaviour`` selects a fault.
 
-    It counts each request that it got whole as run, by key or else by path.
+    It counts each completely received request as run, by its key or else by
+    its request line.
     """
 
     def __init__(self, name):
@@ -93,8 +94,10 @@
             writer.transport.abort()
             return False
         line, *lines = head.strip().split('\r\n')
-        pairs = [one.split(': ', 1) for one in lines]
-        seen = Seen(line, [(name.lower(), text) for name, text in pairs], b'')
+        pairs = [header.split(': ', 1) for header in lines]
+        seen = ReceivedRequest(
+            line, [(name.lower(), text) for name, text in pairs], b''
+        )
         seen.body = await reader.readexactly(
             int(seen.header('content-length') or 0),
         )
@@ -106,12 +109,12 @@
         if behaviour == 'shed':
             writer.write(_head(503, 0, 'Not-Run: shed'))
             return True
-        if behaviour == 'tired':
+        if behaviour == 'shed with backoff':
             writer.write(_head(503, 0, 'Not-Run: shed', 'Retry-After: 4'))
             return True
         self.ran[seen.header('idempotency-key') or seen.line] += 1
         if behaviour == 'hang':
-            await _either(self.released.wait(), reader.read(1))
+            await _wait_for_first(self.released.wait(), reader.read(1))
             if not self.released.is_set():
                 return False
             behaviour = 'ok'
@@ -138,8 +141,8 @@
     return _head(status, len(content), *more) + content
 
 
-async def _either(*waits):
-    tasks = [asyncio.ensure_future(one) for one in waits]
+async def _wait_for_first(*waits):
+    tasks = [asyncio.ensure_future(wait) for wait in waits]
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
         task.cancel()
@@ -147,7 +150,7 @@
 
 CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
 
-# Each gives the parts to write and whether the connection stays open.
+# Each returns the parts to write and whether the connection stays open.
 ANSWERS = {
     'ok': lambda content: ([_whole(content)], True),
     'failing': lambda content: ([_whole(content, 500)], True),
@@ -178,11 +181,11 @@
         True,
     ),
     'closed after the answer': lambda content: ([_whole(content)], False),
-    'speaks again unasked': lambda content: (
+    'sends an unsolicited answer': lambda content: (
         [_whole(content), _whole(b'for nobody')],
         True,
     ),
-    'speaks again in part': lambda content: (
+    'sends part of an unsolicited answer': lambda content: (
         [_whole(content), b'HTTP/1.1 200 OK\r\nContent-Le'],
         True,
     ),
@@ -190,24 +193,30 @@
 
 
 class FakeView:
-    """A view of the fleet that a test sets."""
+    """A view of the fleet with the members that a test sets."""
 
     version = 1
 
     def __init__(self):
-        self.known = []
+        self.current_members = []
         self.own = None
 
     def members(self):
-        return tuple(self.known)
+        return tuple(self.current_members)
 
     def serving(self):
         alive = members.MemberState.ALIVE
-        return tuple(one for one in self.known if one.state is alive)
+        return tuple(
+            member for member in self.current_members if member.state is alive
+        )
 
     def find(self, instance_id):
-        found = [one for one in self.known if one.instance_id == instance_id]
-        return found[0] if found else None
+        matching = [
+            member
+            for member in self.current_members
+            if member.instance_id == instance_id
+        ]
+        return matching[0] if matching else None
 
 
 FLEET = model.FleetSettings(
@@ -259,8 +268,10 @@
     fields = {
         'name': SERVICE,
         'targets': tuple(
-            model.TargetSettings(one.name, LOOPBACK, one.port, ZONE, slots)
-            for one in targets
+            model.TargetSettings(
+                target.name, LOOPBACK, target.port, ZONE, slots
+            )
+            for target in targets
         ),
         'routes': ROUTES,
         'shed_reply': model.ShedReply(503, 'Not-Run', 'shed'),
@@ -286,13 +297,13 @@
 
 
 class Gateway:
-    """One daemon's request path on a port of its own."""
+    """The request path of one daemon, on its own port."""
 
     def __init__(self, number, view, services, clock=None):
         self.instance = ids.InstanceId(f'd{number}~{number:016x}')
         self.clock = clock or clocks.SystemClock()
         self.events = []
-        self.gaps = []
+        self.pauses = []
         self.is_confirmed = True
         self.configuration = None
         source = random.Random(number)
@@ -309,8 +320,8 @@
         self.guard = wake_guard.WakeGuard(
             self.clock,
             FLEET.wake_gap_ms,
-            [lambda since_s: self.is_confirmed],
-            lambda *gap: self.gaps.append(gap),
+            [lambda resumed_s: self.is_confirmed],
+            lambda *pause: self.pauses.append(pause),
             wait_limit_s=0.0,
         )
         self.context = context.GatewayContext(
@@ -340,8 +351,8 @@
         self.configure(*services)
 
     def configure(self, *services, fleet=FLEET):
-        named = {one.name: one for one in services}
-        self.configuration = model.Configuration(fleet, named, {})
+        by_name = {service.name: service for service in services}
+        self.configuration = model.Configuration(fleet, by_name, {})
         self.runtimes.update(self.configuration)
 
     def runtime(self):
@@ -379,8 +390,8 @@
         )
 
 
-class World:
-    """Targets, gateways and a caller, all in this process."""
+class Harness:
+    """Runs targets, gateways and a caller in this process."""
 
     def __init__(self, stack):
         self.stack = stack
@@ -411,12 +422,12 @@
         await gateway.start()
         self.stack.push_async_callback(gateway.stop)
         self.gateways.append(gateway)
-        self.view.known.append(gateway.member())
-        self.view.own = self.view.known[0]
+        self.view.current_members.append(gateway.member())
+        self.view.own = self.view.current_members[0]
         return gateway
 
     async def send(self, method, path, *, at=0, **more):
-        """Return the answer and its content, read whole."""
+        """Return the answer and its complete body."""
         port = more.pop('port', None) or self.gateways[at].port
         url = f'http://{LOOPBACK}:{port}{path}'
         async with self.caller.request(method, url, **more) as answer:
@@ -428,42 +439,46 @@
     async def ticket(self, at=0):
         answer, _ = await self.send('GET', f'/v1/addresses?service={SERVICE}')
         own = self.gateways[at].instance
-        found = (await answer.json())['addresses']
+        addresses = (await answer.json())['addresses']
         return next(
-            one['ticket'] for one in found if one['ticket'].startswith(own)
+            address['ticket']
+            for address in addresses
+            if address['ticket'].startswith(own)
         )
 
     def runs_by_line(self):
-        """Return how many targets got each request, by its first line."""
+        """Return how often targets received each request line."""
         return collections.Counter(
             seen.line for target in self.targets for seen in target.seen
         )
 
     def runs(self):
-        return sum((one.ran for one in self.targets), collections.Counter())
+        return sum(
+            (target.ran for target in self.targets), collections.Counter()
+        )
 
 
 @contextlib.asynccontextmanager
-async def open_world():
+async def open_harness():
     async with contextlib.AsyncExitStack() as stack:
-        made = World(stack)
-        made.caller = client.ClientSession(
+        harness = Harness(stack)
+        harness.caller = client.ClientSession(
             cookie_jar=cookiejar.DummyCookieJar(),
             auto_decompress=False,
             timeout=client.ClientTimeout(total=30),
         )
-        stack.push_async_callback(made.caller.close)
-        yield made
+        stack.push_async_callback(harness.caller.close)
+        yield harness
 
 
 @pytest.fixture
-async def world():
-    """Give a world without targets and gateways."""
-    async with open_world() as made:
-        yield made
+async def harness():
+    """Return a harness without targets and gateways."""
+    async with open_harness() as harness:
+        yield harness
 
 
 @pytest.fixture
-def make_world():
-    """Give what makes a world, for tests that run loops of their own."""
-    return open_world
+def make_harness():
+    """Return the function that opens a harness, for tests with own loops."""
+    return open_harness
--- a/libraries/gateway/tests/cover/test_gateway_client.py
+++ b/libraries/gateway/tests/cover/test_gateway_client.py
@@ -1,4 +1,4 @@
-"""The client towards targets, below all policy."""
+"""The HTTP client for targets and its connections."""
 
 import asyncio
 import socket
@@ -12,8 +12,8 @@
 ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 
 
-class Peer:
-    """A listening socket whose connections the test drives by hand."""
+class ManualTarget:
+    """A listening socket whose connections the test controls directly."""
 
     def __init__(self):
         self.listener = socket.create_server(('127.0.0.1', 0))
@@ -21,31 +21,31 @@
         self.url = yarl.URL(
             'http://127.0.0.1:{0}/x?'.format(self.listener.getsockname()[1]),
         )
-        self.taken = []
+        self.accepted = []
 
     async def answer_next(self, is_new=True):
         loop = asyncio.get_running_loop()
         if is_new:
-            taken, _ = await loop.sock_accept(self.listener)
-            taken.setblocking(False)
-            self.taken.append(taken)
-        await loop.sock_recv(self.taken[-1], 65536)
-        await loop.sock_sendall(self.taken[-1], ANSWER)
+            accepted, _ = await loop.sock_accept(self.listener)
+            accepted.setblocking(False)
+            self.accepted.append(accepted)
+        await loop.sock_recv(self.accepted[-1], 65536)
+        await loop.sock_sendall(self.accepted[-1], ANSWER)
 
 
 @pytest.fixture
 async def peer():
-    made = Peer()
-    yield made
-    for one in (*made.taken, made.listener):
-        one.close()
+    target = ManualTarget()
+    yield target
+    for open_socket in (*target.accepted, target.listener):
+        open_socket.close()
 
 
 @pytest.fixture
 async def client():
-    made = clients.TargetClient()
-    yield made
-    await made.close()
+    target_client = clients.TargetClient()
+    yield target_client
+    await target_client.close()
 
 
 async def fetch(client, peer, *, permit=bool, fresh=False):
@@ -70,19 +70,19 @@
 
 
 @pytest.mark.parametrize('stray', [b'HTTP/1.1 200 OK\r\n', ANSWER, b''])
-async def test_what_the_event_loop_has_not_read_yet_is_seen(
+async def test_unread_data_or_a_close_makes_a_connection_stale(
     client,
     peer,
     stray,
 ):
     assert await exchange(client, peer) == b'ok'
     if stray:
-        peer.taken[0].send(stray)
+        peer.accepted[0].send(stray)
     else:
-        peer.taken[0].shutdown(socket.SHUT_WR)
-    # Nothing is awaited in between: the bytes are in the kernel only.
+        peer.accepted[0].shutdown(socket.SHUT_WR)
+    # There is no await in between, so only the kernel has the bytes.
     assert await exchange(client, peer) == b'ok'
-    assert len(peer.taken) == 2
+    assert len(peer.accepted) == 2
 
 
 async def test_a_good_connection_is_kept_and_a_fresh_one_is_not(client, peer):
@@ -90,7 +90,7 @@
     await exchange(client, peer, is_new=False)
     await exchange(client, peer, fresh=True)
     await exchange(client, peer, fresh=True)
-    assert len(peer.taken) == 3
+    assert len(peer.accepted) == 3
 
 
 async def test_permission_is_asked_right_before_the_first_byte(client, peer):
@@ -99,16 +99,16 @@
 
     with pytest.raises(errors.ShedError):
         await fetch(client, peer, permit=forbid)
-    taken, _ = await asyncio.get_running_loop().sock_accept(peer.listener)
-    peer.taken.append(taken)
-    assert await asyncio.get_running_loop().sock_recv(taken, 10) == b''
+    accepted, _ = await asyncio.get_running_loop().sock_accept(peer.listener)
+    peer.accepted.append(accepted)
+    assert await asyncio.get_running_loop().sock_recv(accepted, 10) == b''
 
 
-async def test_a_lost_connection_is_told_from_one_that_never_was(client, peer):
+async def test_a_lost_connection_differs_from_a_failed_connect(client, peer):
     async def hang_up():
         await peer.answer_next()
-        await asyncio.get_running_loop().sock_recv(peer.taken[0], 65536)
-        peer.taken[0].close()
+        await asyncio.get_running_loop().sock_recv(peer.accepted[0], 65536)
+        peer.accepted[0].close()
 
     hanging_up = asyncio.ensure_future(hang_up())
     await fetch(client, peer)
@@ -120,23 +120,23 @@
         await fetch(client, peer)
 
 
-async def test_a_target_that_says_nothing_is_told_from_one_that_refuses(
+async def test_a_connect_timeout_differs_from_a_refused_connect(
     client,
 ):
-    """The way to it may be lost; whoever refuses is there to do so."""
+    """A timeout may be a network fault; a refusal proves the host is up."""
     with socket.socket() as silent:
         silent.bind(('127.0.0.1', 0))
         silent.listen(0)
         address = silent.getsockname()
-        # The system ignores connections while the queue of new ones is full.
+        # The kernel ignores new connections while the accept queue is full.
         waiting = [socket.socket() for _ in range(4)]
-        for one in waiting:
-            one.setblocking(False)
-            one.connect_ex(address)
+        for pending in waiting:
+            pending.setblocking(False)
+            pending.connect_ex(address)
         with pytest.raises(errors.ConnectTimeoutError):
             await open_to(client, address[1])
-        for one in waiting:
-            one.close()
+        for pending in waiting:
+            pending.close()
     with pytest.raises(errors.ConnectFailedError) as refused:
         await open_to(client, address[1])
     assert not isinstance(refused.value, errors.ConnectTimeoutError)
--- a/libraries/gateway/tests/cover/test_gateway_faults.py
+++ b/libraries/gateway/tests/cover/test_gateway_faults.py
@@ -1,4 +1,4 @@
-"""What callers are told when targets fail; the targets' counters witness."""
+"""Answers to callers when targets fail, checked against run counters."""
 
 import asyncio
 import json
@@ -49,8 +49,8 @@
     ('behaviour', 'status', 'outcome', 'problem', 'runs'),
     ALWAYS_BROKEN,
 )
-async def test_a_key_runs_at_most_once_and_resends_get_the_same(
-    world,
+async def test_a_key_runs_at_most_once_and_resends_agree(
+    harness,
     method,
     path,
     behaviour,
@@ -59,18 +59,22 @@
     problem,
     runs,
 ):
-    target = await world.add_target(behaviour)
-    await world.add_gateway()
+    target = await harness.add_target(behaviour)
+    await harness.add_gateway()
     headers = {
-        'Idempotency-Key': f'{await world.ticket()}.1',
+        'Idempotency-Key': f'{await harness.ticket()}.1',
         'Caller': 'c1',
     }
     if behaviour == 'hang':
         headers['Sardinepier-Deadline-Ms'] = '1500'
-    answer, content = await world.send(method, path, headers=headers, data=b'x')
+    answer, content = await harness.send(
+        method, path, headers=headers, data=b'x'
+    )
     check(answer, content, status, outcome, problem)
     target.behaviour = 'ok'
-    again, repeated = await world.send(method, path, headers=headers, data=b'x')
+    again, repeated = await harness.send(
+        method, path, headers=headers, data=b'x'
+    )
     if outcome == 'completed':
         assert (again.status, repeated) == (status, target.content)
     elif outcome == 'unknown':
@@ -94,46 +98,46 @@
         ('hang', False),
     ],
 )
-async def test_another_target_hides_a_failure_from_idempotent_requests(
-    world,
+async def test_a_retry_hides_a_failure_from_idempotent_requests(
+    harness,
     behaviour,
     is_hidden,
 ):
-    await world.add_targets(behaviour, 'ok')
-    await world.add_gateway()
+    await harness.add_targets(behaviour, 'ok')
+    await harness.add_gateway()
     headers = {'Sardinepier-Deadline-Ms': '1500'} if behaviour == 'hang' else {}
     sent = [
-        await world.send('GET', f'/books/books/{number}', headers=headers)
+        await harness.send('GET', f'/books/books/{number}', headers=headers)
         for number in range(4)
     ]
-    good = [content == world.targets[1].content for _, content in sent]
+    good = [content == harness.targets[1].content for _, content in sent]
     assert all(good) is is_hidden
     assert any(good)
 
 
 @pytest.mark.parametrize('behaviour', ['shed', 'gone'])
 async def test_a_key_goes_to_another_target_only_when_proved_not_run(
-    world,
+    harness,
     behaviour,
 ):
-    first, second = await world.add_targets(behaviour, 'ok')
-    await world.add_gateway()
+    first, second = await harness.add_targets(behaviour, 'ok')
+    await harness.add_gateway()
     if behaviour == 'gone':
         await first.stop()
     for number in range(4):
-        headers = {'Idempotency-Key': f'{await world.ticket()}.{number}'}
-        answer, content = await world.send('POST', POSTING, headers=headers)
+        headers = {'Idempotency-Key': f'{await harness.ticket()}.{number}'}
+        answer, content = await harness.send('POST', POSTING, headers=headers)
         check(answer, content, 200, 'completed', None)
     assert sum(first.ran.values()) == 0
     assert set(second.ran.values()) == {1}
 
 
-async def test_no_target_can_be_reached(world):
-    for target in await world.add_targets('ok', 'ok'):
+async def test_no_target_can_be_reached(harness):
+    for target in await harness.add_targets('ok', 'ok'):
         await target.stop()
-    await world.add_gateway()
-    headers = {'Idempotency-Key': f'{await world.ticket()}.1'}
-    answer, content = await world.send('POST', POSTING, headers=headers)
+    await harness.add_gateway()
+    headers = {'Idempotency-Key': f'{await harness.ticket()}.1'}
+    answer, content = await harness.send('POST', POSTING, headers=headers)
     assert answer.headers['Sardinepier-Outcome'] == 'not-run'
     assert int(answer.headers['Retry-After']) >= 1
     assert json.loads(content)['remedy']
@@ -145,21 +149,21 @@
     ['drop after running', 'drop while reading'],
 )
 async def test_the_client_library_never_resends_by_itself(
-    world,
+    harness,
     method,
     behaviour,
 ):
-    target = await world.add_target('ok')
-    gateway = await world.add_gateway(retry_budget_percent=0.0)
+    target = await harness.add_target('ok')
+    gateway = await harness.add_gateway(retry_budget_percent=0.0)
     path = '/books/books/1' if method == 'PUT' else '/books/postings/1'
-    headers = {'Idempotency-Key': f'{await world.ticket()}.1'}
+    headers = {'Idempotency-Key': f'{await harness.ticket()}.1'}
     for number in range(3):
-        # Warm connections are what the library would resend on.
-        await world.send('PUT', f'/books/books/w{number}')
+        # The library resends only on pooled connections.
+        await harness.send('PUT', f'/books/books/w{number}')
     gateway.runtime().retry_budget = _NoBudget()
     target.behaviour = behaviour
     before = target.connections
-    answer, content = await world.send(method, path, headers=headers)
+    answer, content = await harness.send(method, path, headers=headers)
     check(answer, content, 502, 'unknown', 'connection-lost')
     assert target.connections - before == int(method == 'DELETE')
     assert max(target.ran.values()) == 1
@@ -177,23 +181,23 @@
     'behaviour',
     [
         'closed after the answer',
-        'speaks again unasked',
-        'speaks again in part',
+        'sends an unsolicited answer',
+        'sends part of an unsolicited answer',
     ],
 )
-async def test_a_kept_connection_never_gives_the_answer_of_another(
-    world,
+async def test_a_pooled_connection_never_gives_another_answer(
+    harness,
     behaviour,
 ):
-    target = await world.add_target(behaviour)
-    gateway = await world.add_gateway()
+    target = await harness.add_target(behaviour)
+    gateway = await harness.add_gateway()
     gateway.runtime().retry_budget = _NoBudget()
     for number in range(5):
         target.content = b'answer to %d' % number
-        answer, content = await world.send('GET', f'/books/books/{number}')
+        answer, content = await harness.send('GET', f'/books/books/{number}')
         assert (answer.status, content) == (200, target.content)
-        # A second answer that comes after the next request was written can't
-        # be told from its answer; that is not claimed.
+        # An unsolicited answer that arrives after the next request was written
+        # can't be distinguished from its answer; this test does not cover it.
         await asyncio.sleep(0.05)
 
 
@@ -203,29 +207,29 @@
     [('ok', True), ('chunked', True), ('truncated', False)]
     + [('chunked and cut', False)],
 )
-async def test_a_long_answer_arrives_whole_or_visibly_broken(
-    world,
+async def test_a_long_answer_arrives_complete_or_visibly_cut_off(
+    harness,
     size_bytes,
     behaviour,
     is_whole,
 ):
-    target = await world.add_target(behaviour)
+    target = await harness.add_target(behaviour)
     target.content = bytes(index % 251 for index in range(size_bytes))
-    await world.add_gateway()
-    headers = {'Idempotency-Key': f'{await world.ticket()}.1'}
+    await harness.add_gateway()
+    headers = {'Idempotency-Key': f'{await harness.ticket()}.1'}
     for method, path in (('GET', '/books/books/1'), ('POST', POSTING)):
         try:
-            answer, content = await world.send(method, path, headers=headers)
-        except Exception:  # noqa: BLE001 - any form of a break will do
+            answer, content = await harness.send(method, path, headers=headers)
+        except Exception:  # noqa: BLE001 - any error counts as a cut
             assert not is_whole
             assert size_bytes > 10_000
             continue
         assert (content == target.content) is is_whole
         assert (answer.status == 200) is is_whole
-    again, content = await world.send('POST', POSTING, headers=headers)
+    again, content = await harness.send('POST', POSTING, headers=headers)
     if is_whole and size_bytes > 10_000:
         check(again, content, 409, 'completed', 'answer-not-kept')
     elif not is_whole:
         check(again, content, 502, 'unknown', 'recorded-unknown')
-    posted = [one for one in target.seen if one.line.startswith('POST')]
+    posted = [seen for seen in target.seen if seen.line.startswith('POST')]
     assert len(posted) == 1
--- a/libraries/gateway/tests/cover/test_gateway_held_back.py
+++ b/libraries/gateway/tests/cover/test_gateway_held_back.py
@@ -1,4 +1,4 @@
-"""Where a request goes that may crash its targets, and when it no longer may."""
+"""Target selection and quarantine for requests that may crash targets."""
 
 import asyncio
 import json
@@ -19,45 +19,45 @@
             await asyncio.sleep(0.005)
 
 
-@pytest.mark.parametrize('is_told_by_a_peer', [False, True])
+@pytest.mark.parametrize('is_reported_by_a_peer', [False, True])
 async def test_a_request_does_not_return_to_a_target_that_it_crashed(
-    world,
-    is_told_by_a_peer,
+    harness,
+    is_reported_by_a_peer,
 ):
-    """Guards against a third crash: one target twice, and another one."""
-    await world.add_targets('ok', 'ok')
-    gateway = await world.add_gateway()
+    """Guards against three crashes: the same target twice and another one."""
+    await harness.add_targets('ok', 'ok')
+    gateway = await harness.add_gateway()
     for number in range(4):
         path = f'/books/{number}'
         suspect = caller_request.fingerprint('books', 'GET', path, b'')
-        if is_told_by_a_peer:
-            _hear(gateway, suspect, 't0')
+        if is_reported_by_a_peer:
+            _receive_report(gateway, suspect, 't0')
         else:
             gateway.context.quarantine.crashed(suspect, 't0', True)
-        answer, _ = await world.send('GET', f'/books{path}')
+        answer, _ = await harness.send('GET', f'/books{path}')
         assert answer.status == 200
-    assert [len(target.seen) for target in world.targets] == [0, 4]
+    assert [len(target.seen) for target in harness.targets] == [0, 4]
 
 
-async def test_the_only_target_gets_the_request_that_crashed_it(world):
-    """One crash proves nothing, and there is nowhere else to go."""
-    target = await world.add_target('drop after running')
-    await world.add_gateway()
-    await world.send('GET', '/books/books/1')
+async def test_the_only_target_gets_the_request_that_crashed_it(harness):
+    """A single crash proves nothing, and there is no other target."""
+    target = await harness.add_target('drop after running')
+    await harness.add_gateway()
+    await harness.send('GET', '/books/books/1')
     target.behaviour = 'ok'
-    answer, _ = await world.send('GET', '/books/books/1')
+    answer, _ = await harness.send('GET', '/books/books/1')
     assert answer.status == 200
 
 
-async def test_what_is_held_back_while_it_waits_does_not_run(world):
-    """Guards against a third target: marks come while a request waits."""
-    target = await world.add_target('hang')
-    gateway = await world.add_gateway(slots=1)
-    first = asyncio.ensure_future(world.send('GET', '/books/books/1'))
+async def test_a_request_quarantined_while_it_waits_does_not_run(harness):
+    """Guards against a third crash after marks that arrive during the wait."""
+    target = await harness.add_target('hang')
+    gateway = await harness.add_gateway(slots=1)
+    first = asyncio.ensure_future(harness.send('GET', '/books/books/1'))
     await until(lambda: target.seen)
-    waiting = asyncio.ensure_future(world.send('GET', '/books/books/poison'))
+    waiting = asyncio.ensure_future(harness.send('GET', '/books/books/poison'))
     await until(lambda: len(gateway.runtime().queue))
-    _hear(
+    _receive_report(
         gateway,
         caller_request.fingerprint('books', 'GET', '/books/poison', b''),
         't8',
@@ -69,10 +69,10 @@
     assert answer.status == 503
     assert answer.headers['Sardinepier-Outcome'] == 'not-run'
     assert json.loads(content)['type'].endswith('quarantined')
-    assert world.runs_by_line()[POISON] == 0
+    assert harness.runs_by_line()[POISON] == 0
 
 
-def _hear(gateway, fingerprint, *crashed_targets):
+def _receive_report(gateway, fingerprint, *crashed_targets):
     report = marks.QuarantineReport(
         (marks.CrashMark(fingerprint, crashed_targets, 60.0),),
     )
--- a/libraries/gateway/tests/cover/test_gateway_losses.py
+++ b/libraries/gateway/tests/cover/test_gateway_losses.py
@@ -1,4 +1,4 @@
-"""Which lost connections say something about the request."""
+"""Which lost connections count as a first crash of a target."""
 
 import pytest
 
@@ -15,44 +15,44 @@
 
 
 @pytest.fixture
-def lost(clock):
+def losses(clock):
     return lost_connections.LostConnections(clock)
 
 
-def test_the_first_loss_stands_for_itself(lost):
-    assert lost.record(TARGET)
+def test_the_first_loss_is_a_first_event(losses):
+    assert losses.record(TARGET)
 
 
-def test_connections_cut_together_are_one_event(clock, lost):
-    lost.record(TARGET)
+def test_connections_cut_together_are_one_event(clock, losses):
+    losses.record(TARGET)
     clock.advance(0.5)
-    assert lost.record(TARGET)
+    assert losses.record(TARGET)
 
 
-def test_a_target_that_falls_again_says_nothing_of_the_request(clock, lost):
-    lost.record(TARGET)
+def test_a_second_event_soon_after_is_not_a_first_event(clock, losses):
+    losses.record(TARGET)
     clock.advance(3.0)
-    assert not lost.record(TARGET)
+    assert not losses.record(TARGET)
 
 
-def test_a_target_that_answered_since_is_fine_again(clock, lost):
-    """Else the second of two requests that crash it is not held back."""
-    lost.record(TARGET)
+def test_an_answer_makes_the_next_loss_a_first_event(clock, losses):
+    """Else the second of two requests that crash it isn't quarantined."""
+    losses.record(TARGET)
     clock.advance(3.0)
-    lost.answered(TARGET)
-    assert lost.record(TARGET)
+    losses.record_answer(TARGET)
+    assert losses.record(TARGET)
 
 
-def test_an_answer_that_was_on_its_way_does_not_end_the_event(clock, lost):
-    lost.record(TARGET)
+def test_an_answer_during_the_event_does_not_end_it(clock, losses):
+    losses.record(TARGET)
     clock.advance(0.2)
-    lost.answered(TARGET)
+    losses.record_answer(TARGET)
     clock.advance(3.0)
-    assert not lost.record(TARGET)
+    assert not losses.record(TARGET)
 
 
-def test_targets_that_are_gone_are_forgotten(clock, lost):
-    lost.record(TARGET)
-    lost.keep(frozenset())
+def test_targets_that_are_gone_are_forgotten(clock, losses):
+    losses.record(TARGET)
+    losses.keep(frozenset())
     clock.advance(3.0)
-    assert lost.record(TARGET)
+    assert losses.record(TARGET)
