--- a/libraries/gateway/tests/cover/test_gateway_pages.py
+++ b/libraries/gateway/tests/cover/test_gateway_pages.py
@@ -1,4 +1,4 @@
-"""The daemon's own pages: addresses, and those that the daemon adds."""
+"""The daemon's own pages: addresses, added pages; and health probes."""
 
 import asyncio
 import collections
@@ -14,11 +14,11 @@
 from sardinepier.once import tickets
 
 
-def make_members(world, states):
-    own = world.gateways[0].member()
+def make_members(harness, states):
+    own = harness.gateways[0].member()
     for number, (zone, state) in enumerate(states):
         name = ids.DaemonId(f'm{number}')
-        world.view.known.append(
+        harness.view.current_members.append(
             dataclasses.replace(
                 own,
                 instance_id=ids.InstanceId(f'{name}~{number:016x}'),
@@ -30,8 +30,8 @@
         )
 
 
-async def test_addresses_are_those_that_serve_own_zone_first(world):
-    gateway = await world.add_gateway()
+async def test_addresses_list_serving_daemons_of_the_zone_first(harness):
+    gateway = await harness.add_gateway()
     states = [
         ('z1', 'alive'),
         ('z1', 'suspect'),
@@ -39,39 +39,39 @@
         ('z2', 'leaving'),
         ('z2', 'alive'),
     ]
-    make_members(world, states)
+    make_members(harness, states)
     chooser = addresses.Addresses(gateway.context)
     first = collections.Counter()
     for _ in range(60):
         answer = chooser.choose(
             gateway.configuration.fleet,
-            world.service([]),
+            harness.service([]),
             ids.ZoneName('z2'),
         )
-        zones = [one.zone for one in answer.addresses]
+        zones = [address.zone for address in answer.addresses]
         assert zones == ['z2', 'z2', 'z1']
         first[answer.addresses[0].port] += 1
-        for one in answer.addresses:
-            home = tickets.parse_ticket(one.ticket).home
-            assert world.view.find(home).http_port == one.port
+        for address in answer.addresses:
+            home = tickets.parse_ticket(address.ticket).home
+            assert harness.view.find(home).http_port == address.port
     assert set(first) == {3, 5}
     assert answer.valid_s == 30
 
 
-async def test_pages_of_the_daemon_tell_an_outcome_and_their_errors(world):
-    gateway = await world.add_gateway()
+async def test_pages_of_the_daemon_state_an_outcome_and_errors(harness):
+    gateway = await harness.add_gateway()
 
     async def fail(request):
         raise refusals.NotConfiguredError('Nothing yet', 'Wait', 3)
 
     gateway.server.add_page('/v1/status', fail)
-    answer, content = await world.send('GET', '/v1/status')
+    answer, content = await harness.send('GET', '/v1/status')
     assert (answer.status, answer.headers['Retry-After']) == (503, '3')
     assert msgspec.json.decode(content)['detail'] == 'Nothing yet'
-    good, _ = await world.send('GET', '/v1/addresses?service=books&zone=z1')
+    good, _ = await harness.send('GET', '/v1/addresses?service=books&zone=z1')
     assert good.headers['Sardinepier-Outcome'] == 'completed'
     gateway.configuration = None
-    early, _ = await world.send('GET', '/v1/addresses?service=books')
+    early, _ = await harness.send('GET', '/v1/addresses?service=books')
     assert early.status == 503
 
 
@@ -84,31 +84,31 @@
         ('draining', True, True),
     ],
 )
-async def test_probes_are_sent_and_told_to_health(
-    world,
+async def test_probes_are_sent_and_reported_to_health(
+    harness,
     behaviour,
     is_good,
     is_leaving,
 ):
-    target = await world.add_target(behaviour)
-    gateway = await world.add_gateway()
+    target = await harness.add_target(behaviour)
+    gateway = await harness.add_gateway()
     runtime = gateway.runtime()
-    told = asyncio.get_running_loop().create_future()
-    runtime.health = _Health(runtime.health, target.name, told)
+    reported = asyncio.get_running_loop().create_future()
+    runtime.health = _Health(runtime.health, target.name, reported)
     running = asyncio.ensure_future(probes.Probes(gateway.context).run())
-    assert await asyncio.wait_for(told, 10) is is_good
-    found = runtime.health.standing(target.name).state
-    assert (found is targets.TargetState.LEAVING) is is_leaving
+    assert await asyncio.wait_for(reported, 10) is is_good
+    state = runtime.health.standing(target.name).state
+    assert (state is targets.TargetState.LEAVING) is is_leaving
     running.cancel()
 
 
 class _Health:
-    """Asks for one probe and hands on how it went."""
+    """Requests one probe and reports its result."""
 
-    def __init__(self, inner, target_id, told):
+    def __init__(self, inner, target_id, reported):
         self._inner = inner
         self._due = [target_id]
-        self._told = told
+        self._told = reported
 
     def __getattr__(self, name):
         return getattr(self._inner, name)
--- a/libraries/gateway/tests/cover/test_gateway_requests.py
+++ b/libraries/gateway/tests/cover/test_gateway_requests.py
@@ -1,4 +1,4 @@
-"""What goes through unchanged, and what is refused before it is sent."""
+"""Requests that are forwarded unchanged, and requests that are refused."""
 
 import asyncio
 import json
@@ -22,9 +22,9 @@
         '/books/!$&()*,;=:@',
     ],
 )
-async def test_path_query_and_body_arrive_byte_for_byte(world, path):
-    target = await world.add_target()
-    gateway = await world.add_gateway()
+async def test_path_query_and_body_arrive_byte_for_byte(harness, path):
+    target = await harness.add_target()
+    gateway = await harness.add_gateway()
     body = bytes(range(256))
     reader, writer = await asyncio.open_connection('127.0.0.1', gateway.port)
     writer.write(
@@ -46,20 +46,20 @@
     assert 0 < int(seen.header('sardinepier-deadline-ms')) <= 20_000
 
 
-async def test_a_long_body_arrives_whole(world):
-    target = await world.add_target()
-    await world.add_gateway(request_body_limit_bytes=10**6)
+async def test_a_long_body_arrives_whole(harness):
+    target = await harness.add_target()
+    await harness.add_gateway(request_body_limit_bytes=10**6)
     body = bytes(range(256)) * 3000
-    answer, _ = await world.send('PUT', '/books/books/1', data=body)
+    answer, _ = await harness.send('PUT', '/books/books/1', data=body)
     assert answer.status == 200
-    assert [one.body for one in target.seen] == [body]
+    assert [seen.body for seen in target.seen] == [body]
 
 
-async def test_head_keeps_the_length_and_has_no_content(world):
-    target = await world.add_target()
+async def test_head_keeps_the_length_and_has_no_content(harness):
+    target = await harness.add_target()
     target.content = b''
-    await world.add_gateway()
-    answer, content = await world.send('HEAD', '/books/books/1')
+    await harness.add_gateway()
+    answer, content = await harness.send('HEAD', '/books/books/1')
     assert (answer.status, content) == (200, b'')
     assert answer.headers['Content-Length'] == '0'
     assert target.seen[0].line.startswith('HEAD')
@@ -105,7 +105,7 @@
     REFUSED,
 )
 async def test_refused_requests_reach_no_target(
-    world,
+    harness,
     method,
     path,
     headers,
@@ -113,9 +113,9 @@
     status,
     problem,
 ):
-    target = await world.add_target()
-    await world.add_gateway()
-    answer, content = await world.send(
+    target = await harness.add_target()
+    await harness.add_gateway()
+    answer, content = await harness.send(
         method,
         path,
         headers=headers,
@@ -130,7 +130,7 @@
     assert not target.seen
     if problem in {'key-required', 'bad-key'}:
         headers = {'Idempotency-Key': f'{document["ticket"]}.1'}
-        answer, _ = await world.send(method, path, headers=headers)
+        answer, _ = await harness.send(method, path, headers=headers)
         assert answer.status == 200
 
 
@@ -164,9 +164,9 @@
         ),
     ],
 )
-async def test_raw_requests(world, sent, status):
-    target = await world.add_target()
-    gateway = await world.add_gateway()
+async def test_raw_requests_get_the_expected_status(harness, sent, status):
+    target = await harness.add_target()
+    gateway = await harness.add_gateway()
     reader, writer = await asyncio.open_connection('127.0.0.1', gateway.port)
     writer.write(sent)
     head = await reader.readuntil(b'\r\n\r\n')
@@ -177,20 +177,20 @@
     writer.close()
 
 
-async def test_refusals_of_a_resend_do_not_claim_not_run(world):
-    target = await world.add_target('drop after running')
-    gateway = await world.add_gateway(caller_burst_requests=1)
-    headers = {'Idempotency-Key': f'{await world.ticket()}.1', 'Caller': 'c'}
-    first, _ = await world.send('POST', '/books/postings', headers=headers)
+async def test_refusals_of_a_resend_do_not_claim_not_run(harness):
+    target = await harness.add_target('drop after running')
+    gateway = await harness.add_gateway(caller_burst_requests=1)
+    headers = {'Idempotency-Key': f'{await harness.ticket()}.1', 'Caller': 'c'}
+    first, _ = await harness.send('POST', '/books/postings', headers=headers)
     assert first.headers['Sardinepier-Outcome'] == 'unknown'
     gateway.runtime().caller_limits = _Refusing()
-    again, _ = await world.send('POST', '/books/postings', headers=headers)
+    again, _ = await harness.send('POST', '/books/postings', headers=headers)
     assert (again.status, again.headers['Sardinepier-Outcome']) == (
         429,
         'unknown',
     )
-    other = {**headers, 'Idempotency-Key': f'{await world.ticket()}.2'}
-    fresh, _ = await world.send('POST', '/books/postings', headers=other)
+    new_key = {**headers, 'Idempotency-Key': f'{await harness.ticket()}.2'}
+    fresh, _ = await harness.send('POST', '/books/postings', headers=new_key)
     assert fresh.headers['Sardinepier-Outcome'] == 'not-run'
     assert int(fresh.headers['Retry-After']) >= 1
     assert sum(target.ran.values()) == 1
@@ -203,12 +203,12 @@
         raise errors.CallerLimitError('Too many', 'Wait', 2.5)
 
 
-async def test_a_key_belongs_to_one_request_and_one_caller(world):
-    target = await world.add_target()
-    await world.add_gateway()
-    headers = {'Idempotency-Key': f'{await world.ticket()}.1', 'Caller': 'a'}
-    await world.send('POST', '/books/postings', headers=headers, data=b'1')
-    conflict, content = await world.send(
+async def test_a_key_belongs_to_one_request_and_one_caller(harness):
+    target = await harness.add_target()
+    await harness.add_gateway()
+    headers = {'Idempotency-Key': f'{await harness.ticket()}.1', 'Caller': 'a'}
+    await harness.send('POST', '/books/postings', headers=headers, data=b'1')
+    conflict, content = await harness.send(
         'POST',
         '/books/postings',
         headers=headers,
@@ -216,13 +216,13 @@
     )
     assert conflict.status == 422
     assert json.loads(content)['type'].endswith('key-conflict')
-    other, _ = await world.send(
+    other_caller, _ = await harness.send(
         'POST',
         '/books/postings',
         headers={**headers, 'Caller': 'b'},
         data=b'1',
     )
-    assert other.status == 200
+    assert other_caller.status == 200
     assert [seen.header('caller') for seen in target.seen] == ['a', 'b']
 
 
@@ -235,23 +235,23 @@
     ],
 )
 async def test_tickets_of_others_and_of_the_future(
-    world,
+    harness,
     change,
     status,
     outcome,
 ):
-    target = await world.add_target()
-    await world.add_gateway()
-    mine = tickets.parse_ticket(await world.ticket())
+    target = await harness.add_target()
+    await harness.add_gateway()
+    valid = tickets.parse_ticket(await harness.ticket())
     fields = {
-        'home': mine.home,
-        'epoch': mine.epoch,
-        'nonce': mine.nonce,
+        'home': valid.home,
+        'epoch': valid.epoch,
+        'nonce': valid.nonce,
         **change,
     }
     text = tickets.format_ticket(tickets.Ticket(**fields))
     headers = {'Idempotency-Key': f'{text}.1'}
-    answer, _ = await world.send('POST', '/books/postings', headers=headers)
+    answer, _ = await harness.send('POST', '/books/postings', headers=headers)
     assert (answer.status, answer.headers['Sardinepier-Outcome']) == (
         status,
         outcome,
@@ -259,11 +259,13 @@
     assert not target.seen
 
 
-async def test_bodies_in_hand_are_bounded(world):
-    target = await world.add_target('hang')
-    gateway = await world.add_gateway()
+async def test_the_memory_of_bodies_is_limited(harness):
+    target = await harness.add_target('hang')
+    gateway = await harness.add_gateway()
     with gateway.context.activity.reserve_body_memory(67_108_863):
-        answer, content = await world.send('PUT', '/books/books/1', data=b'xy')
+        answer, content = await harness.send(
+            'PUT', '/books/books/1', data=b'xy'
+        )
         assert (answer.status, answer.headers['Retry-After']) == (503, '1')
         assert json.loads(content)['type'].endswith('overloaded')
     assert not gateway.context.activity.body_bytes
--- a/libraries/gateway/tests/cover/test_gateway_stated.py
+++ b/libraries/gateway/tests/cover/test_gateway_stated.py
@@ -1,4 +1,4 @@
-"""Targets that ask for less in their answers, on the project's own interface."""
+"""Targets that state a backoff or a limit in their answers."""
 
 import asyncio
 import collections
@@ -7,72 +7,72 @@
 from sardinepier.gateway import statements
 
 
-async def test_a_target_that_asked_for_rest_is_left_alone(world):
-    """Guards against a back-off that is the same whatever a target asks for."""
-    await world.add_targets('tired', 'ok')
-    await world.add_gateway()
-    tired, _ = world.targets
+async def test_a_target_that_asked_for_backoff_gets_no_requests(harness):
+    """Guards against a backoff that ignores the time that a target states."""
+    await harness.add_targets('shed with backoff', 'ok')
+    await harness.add_gateway()
+    backing_off, _ = harness.targets
     for number in range(12):
-        answer, _ = await world.send('GET', f'/books/books/{number}')
+        answer, _ = await harness.send('GET', f'/books/books/{number}')
         assert answer.status == 200
         await asyncio.sleep(0.1)
-    assert len(tired.seen) == 1
+    assert len(backing_off.seen) == 1
 
 
-async def test_when_all_rest_a_caller_is_told_how_long_at_once(world):
-    """Guards against a refusal that names a time at which all still rest."""
-    await world.add_targets('tired', 'tired')
-    await world.add_gateway()
+async def test_a_request_fails_at_once_when_all_targets_back_off(harness):
+    """Guards against a Retry-After at which all targets still back off."""
+    await harness.add_targets('shed with backoff', 'shed with backoff')
+    await harness.add_gateway()
     loop = asyncio.get_running_loop()
     for _ in range(3):
-        began_s = loop.time()
-        answer, _ = await world.send(
+        started_s = loop.time()
+        answer, _ = await harness.send(
             'GET',
             '/books/books/1',
             headers={'Sardinepier-Deadline-Ms': '2000'},
         )
         assert answer.status == 503
         assert 3 < float(answer.headers['Retry-After']) <= 7
-        assert loop.time() - began_s < 1
-    assert [len(one.seen) for one in world.targets] == [1, 1]
+        assert loop.time() - started_s < 1
+    assert [len(target.seen) for target in harness.targets] == [1, 1]
 
 
-async def test_a_target_at_its_limit_is_passed_by(world):
-    """Guards against a limit that the choice of a target doesn't know."""
-    await world.add_targets('limited', 'ok')
-    await world.add_gateway()
-    limited, _ = world.targets
+async def test_a_target_at_its_limit_gets_no_requests(harness):
+    """Guards against a target selection that ignores the limit."""
+    await harness.add_targets('limited', 'ok')
+    await harness.add_gateway()
+    limited, _ = harness.targets
     for number in range(12):
-        answer, _ = await world.send('GET', f'/books/books/{number}')
+        answer, _ = await harness.send('GET', f'/books/books/{number}')
         assert answer.status == 200
     assert len(limited.seen) == 1
 
 
-async def test_the_daemons_of_a_group_share_a_limit(world):
-    """Guards against a limit that each daemon uses whole."""
-    await world.add_targets('ok')
-    gateway = await world.add_gateway()
+async def test_the_daemons_of_a_group_share_a_limit(harness):
+    """Guards against daemons that each use the full limit."""
+    await harness.add_targets('ok')
+    gateway = await harness.add_gateway()
     stated = gateway.runtime().statements
-    target_id = world.targets[0].name
+    target_id = harness.targets[0].name
     group = [ids.InstanceId(name) for name in ('a', 'b', 'c')]
     parts = collections.Counter()
     for limit_per_s in (2, 30):
-        told = statements.Statement(limit_per_s=limit_per_s)
+        statement = statements.Statement(limit_per_s=limit_per_s)
         for own in group:
-            others = [one for one in group if one != own]
-            stated.set_senders(others, own)
-            stated.apply(target_id, told)
-            parts[limit_per_s] += stated._known[target_id].part
+            other_daemons = [daemon for daemon in group if daemon != own]
+            stated.set_senders(other_daemons, own)
+            stated.apply(target_id, statement)
+            parts[limit_per_s] += stated._statements[target_id].part
     assert parts == {2: 1, 30: 1}
     stated.set_senders(group, None)
     assert target_id in stated.not_accepting()
 
 
-async def test_another_start_of_a_target_asked_for_nothing(world):
-    await world.add_targets('ok')
-    gateway = await world.add_gateway()
+async def test_a_new_incarnation_drops_the_statements_of_a_target(harness):
+    await harness.add_targets('ok')
+    gateway = await harness.add_gateway()
     runtime = gateway.runtime()
-    target_id = world.targets[0].name
+    target_id = harness.targets[0].name
     runtime.set_incarnations({target_id: ids.TargetIncarnation('1')})
     until_s = gateway.clock.monotonic_s() + 9
     runtime.statements.apply(
--- a/libraries/gateway/tests/cover/test_gateway_statements.py
+++ b/libraries/gateway/tests/cover/test_gateway_statements.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves, well or badly written."""
+"""Statement headers of targets, valid and invalid."""
 
 import dataclasses
 
@@ -18,22 +18,22 @@
     limit: str = LIMIT
 
 
-def read(*told, status=503):
+def read(*answer_headers, status=503):
     clock = clocks.ManualClock(1000.0)
-    said = statements.read(
+    statement = statements.read(
         status,
-        multidict.CIMultiDictProxy(multidict.CIMultiDict(told)),
+        multidict.CIMultiDictProxy(multidict.CIMultiDict(answer_headers)),
         Names(),
         clock,
     )
-    rest_s = max(0.0, said.backoff_until_s - clock.monotonic_s())
-    return said.is_leaving, rest_s, said.limit_per_s
+    backoff_s = max(0.0, statement.backoff_until_s - clock.monotonic_s())
+    return statement.is_leaving, backoff_s, statement.limit_per_s
 
 
 EMPTY = (False, 0.0, None)
 
 CASES = (
-    # Well written.
+    # Valid.
     ((), EMPTY),
     (((LEAVING, '1'),), (True, 0.0, None)),
     (((LIMIT, '2.8'),), (False, 0.0, 2.8)),
@@ -45,12 +45,12 @@
         ((RETRY, '4'), (LIMIT, '1'), (LEAVING, '1')),
         (True, 4.0, 1.0),
     ),
-    # A most, and a least.
+    # Clamped to the maximum or the minimum.
     (((RETRY, '31536000'),), (False, 30.0, None)),
     (((RETRY, 'Fri, 01 Jan 2100 00:00:00 GMT'),), (False, 30.0, None)),
     (((LIMIT, '0'),), (False, 0.0, 0.1)),
     (((LIMIT, '0.0001'),), (False, 0.0, 0.1)),
-    # Says nothing.
+    # Ignored.
     (((LEAVING, '0'),), EMPTY),
     (((LEAVING, ''),), EMPTY),
     (((LEAVING, '1'), (LEAVING, '0')), EMPTY),
@@ -74,10 +74,10 @@
 )
 
 
-@pytest.mark.parametrize(('told', 'expected'), CASES)
-def test_what_can_not_be_read_says_nothing(told, expected):
-    assert read(*told) == pytest.approx(expected)
+@pytest.mark.parametrize(('answer_headers', 'expected'), CASES)
+def test_statements_are_parsed_or_ignored(answer_headers, expected):
+    assert read(*answer_headers) == pytest.approx(expected)
 
 
-def test_only_a_503_asks_for_rest():
+def test_only_a_503_states_a_backoff():
     assert read((RETRY, '3'), status=200) == EMPTY
--- a/libraries/gateway/tests/cover/test_gateway_targets.py
+++ b/libraries/gateway/tests/cover/test_gateway_targets.py
@@ -1,4 +1,4 @@
-"""Which targets get work, and what becomes of it when they change."""
+"""Target selection, quarantine, queueing, hedging and draining."""
 
 import asyncio
 import json
@@ -21,21 +21,21 @@
             await asyncio.sleep(0.005)
 
 
-async def test_the_second_target_that_a_request_crashes_is_the_last(world):
-    await world.add_targets('ok', 'ok', 'ok', 'ok')
-    gateway = await world.add_gateway()
-    first, _ = await world.send('GET', '/books/books/poison')
+async def test_a_request_is_quarantined_after_two_crashed_targets(harness):
+    await harness.add_targets('ok', 'ok', 'ok', 'ok')
+    gateway = await harness.add_gateway()
+    first, _ = await harness.send('GET', '/books/books/poison')
     assert (first.status, outcome_of(first)) == (502, 'unknown')
     for _ in range(3):
-        again, content = await world.send('GET', '/books/books/poison')
+        again, content = await harness.send('GET', '/books/books/poison')
         assert (again.status, outcome_of(again)) == (503, 'not-run')
         assert json.loads(content)['type'].endswith('quarantined')
         assert int(again.headers['Retry-After']) > 1
-        good, _ = await world.send('GET', '/books/books/other')
+        good, _ = await harness.send('GET', '/books/books/other')
         assert good.status == 200
-    assert world.runs()['GET /books/poison HTTP/1.1'] == 2
+    assert harness.runs()['GET /books/poison HTTP/1.1'] == 2
     gateway.runtime().tick()
-    for target in world.targets:
+    for target in harness.targets:
         state = gateway.runtime().health.standing(target.name).state
         assert state is not targets.TargetState.EJECTED
     assert isinstance(
@@ -48,25 +48,26 @@
     )
 
 
-async def test_a_target_under_mere_suspicion_speaks_against_a_request(world):
-    """A crash puts its target under suspicion for seconds.
+async def test_a_crash_of_a_suspected_target_counts_for_quarantine(harness):
+    """Guards against a request that crashes three targets.
 
-    A different request that crashes it then, after it has answered others,
-    would else run on two further targets before it is held back.
+    A crash makes a target suspected for seconds. If another request crashes
+    it then, after it answered others, that crash must count, or the request
+    would run on two more targets before it is quarantined.
     """
-    await world.add_targets('ok', 'ok', 'ok', 'ok')
-    gateway = await world.add_gateway()
-    await world.send('GET', '/books/books/poison')
+    await harness.add_targets('ok', 'ok', 'ok', 'ok')
+    gateway = await harness.add_gateway()
+    await harness.send('GET', '/books/books/poison')
     runtime = gateway.runtime()
     runtime.tick()
     suspected = [
         target.name
-        for target in world.targets
+        for target in harness.targets
         if runtime.health.standing(target.name).state
         is targets.TargetState.SUSPECT
     ]
     assert suspected
-    # As when it answered another request in between.
+    # The same state as after an answer to another request.
     runtime.lost_connections.keep(frozenset())
     assert runtime.record_lost_connection(suspected[0])
 
@@ -74,40 +75,40 @@
 @pytest.mark.parametrize('gap_s', [0.0, 0.9, 1.1, 4.0])
 @pytest.mark.parametrize('method', ['GET', 'PUT'])
 async def test_each_of_several_requests_crashes_two_targets_at_most(
-    world,
+    harness,
     method,
     gap_s,
 ):
-    """Guards against a third target: the crash before hid the next one."""
-    await world.add_targets('ok', 'ok', 'ok', 'ok')
+    """Guards against a third crash, when an earlier crash hides the next."""
+    await harness.add_targets('ok', 'ok', 'ok', 'ok')
     clock = clocks.ManualClock(100.0)
-    await world.add_gateway(clock=clock)
+    await harness.add_gateway(clock=clock)
     for name in ('a', 'b', 'c', 'd'):
         for number in range(5):
-            await _send_poison(world, method, name, number)
+            await _send_poison(harness, method, name, number)
         clock.advance(gap_s)
-    runs = world.runs_by_line()
+    runs = harness.runs_by_line()
     assert len(runs) == 4
     assert max(runs.values()) <= 2, runs
 
 
-async def _send_poison(world, method, name, number):
+async def _send_poison(harness, method, name, number):
     path = f'/books/books/poison-{name}'
     headers = {}
     if method == 'PUT':
         path = f'/books/postings/poison-{name}'
-        key = f'{await world.ticket()}.{name}{number}'
+        key = f'{await harness.ticket()}.{name}{number}'
         headers = {'Idempotency-Key': key}
-    await world.send(method, path, headers=headers)
+    await harness.send(method, path, headers=headers)
 
 
-async def test_keys_of_one_caller_crash_two_targets_at_most(world):
-    await world.add_targets('ok', 'ok', 'ok', 'ok')
-    await world.add_gateway()
+async def test_keys_of_one_caller_crash_two_targets_at_most(harness):
+    await harness.add_targets('ok', 'ok', 'ok', 'ok')
+    await harness.add_gateway()
     outcomes = []
     for number in range(5):
-        headers = {'Idempotency-Key': f'{await world.ticket()}.{number}'}
-        answer, _ = await world.send(
+        headers = {'Idempotency-Key': f'{await harness.ticket()}.{number}'}
+        answer, _ = await harness.send(
             'PUT',
             '/books/postings/poison',
             headers=headers,
@@ -115,123 +116,127 @@
         outcomes.append(outcome_of(answer))
     assert outcomes[:2] == ['unknown', 'unknown']
     assert outcomes[2:] == ['not-run', 'not-run', 'not-run']
-    assert world.runs().total() == 2
+    assert harness.runs().total() == 2
 
 
-async def test_a_popular_request_is_not_caught_in_an_outage(world):
-    await world.add_targets('ok', 'ok', 'ok', 'ok')
-    gateway = await world.add_gateway()
-    await world.send('GET', '/books/books/popular')
-    for target in world.targets[:3]:
+async def test_an_outage_does_not_quarantine_a_popular_request(harness):
+    await harness.add_targets('ok', 'ok', 'ok', 'ok')
+    gateway = await harness.add_gateway()
+    await harness.send('GET', '/books/books/popular')
+    for target in harness.targets[:3]:
         target.behaviour = 'drop after running'
     for _ in range(6):
-        await world.send('GET', '/books/books/popular')
+        await harness.send('GET', '/books/books/popular')
     assert not gateway.context.quarantine.quarantined()
-    for target in world.targets:
+    for target in harness.targets:
         target.behaviour = 'ok'
-    answer, _ = await world.send('GET', '/books/books/popular')
+    answer, _ = await harness.send('GET', '/books/books/popular')
     assert answer.status == 200
 
 
-async def test_a_full_queue_refuses_at_once(world):
-    target = await world.add_target('hang')
-    gateway = await world.add_gateway(slots=1, queue_length=1)
+async def test_a_full_queue_refuses_at_once(harness):
+    target = await harness.add_target('hang')
+    gateway = await harness.add_gateway(slots=1, queue_length=1)
     busy = [
-        asyncio.ensure_future(world.send('GET', f'/books/books/{number}'))
+        asyncio.ensure_future(harness.send('GET', f'/books/books/{number}'))
         for number in range(2)
     ]
     await until(lambda: len(gateway.runtime().queue) == 1)
-    answer, content = await world.send('GET', '/books/books/9')
+    answer, content = await harness.send('GET', '/books/books/9')
     assert (answer.status, outcome_of(answer)) == (503, 'not-run')
     assert json.loads(content)['type'].endswith('queue-full')
     assert int(answer.headers['Retry-After']) >= 1
     target.released.set()
-    assert {(await one)[0].status for one in busy} == {200}
+    assert {(await sent)[0].status for sent in busy} == {200}
     assert len(target.seen) == 2
 
 
-async def test_an_answer_after_the_deadline_reaches_nobody(world):
-    target = await world.add_target('hang')
-    gateway = await world.add_gateway()
-    hasty = {'Sardinepier-Deadline-Ms': '1500'}
-    late, _ = await world.send('GET', '/books/books/1', headers=hasty)
+async def test_an_answer_after_the_deadline_is_discarded(harness):
+    target = await harness.add_target('hang')
+    gateway = await harness.add_gateway()
+    short_deadline = {'Sardinepier-Deadline-Ms': '1500'}
+    late, _ = await harness.send(
+        'GET', '/books/books/1', headers=short_deadline
+    )
     assert (late.status, outcome_of(late)) == (504, 'unknown')
     await until(lambda: target.closed)
     target.behaviour = 'ok'
     target.content = b'for the second'
-    _, content = await world.send('GET', '/books/books/2')
+    _, content = await harness.send('GET', '/books/books/2')
     assert content == b'for the second'
     assert not gateway.runtime().slots.report()
 
 
 @pytest.mark.parametrize('is_slow_first', [True, False])
-async def test_a_hedge_wins_and_its_loser_is_closed(world, is_slow_first):
-    await world.add_targets('hang', 'ok')
-    gateway = await world.add_gateway()
+async def test_the_connection_of_the_slower_attempt_is_closed(
+    harness, is_slow_first
+):
+    await harness.add_targets('hang', 'ok')
+    gateway = await harness.add_gateway()
     delay = gateway.runtime().hedge_delay('GET /hedged/{id}')
     for _ in range(100):
         delay.observe(5)
     if not is_slow_first:
-        await world.send('GET', '/books/hedged/0')
+        await harness.send('GET', '/books/hedged/0')
     for number in range(3):
-        answer, content = await world.send('GET', f'/books/hedged/{number}')
-        assert (answer.status, content) == (200, world.targets[1].content)
-    slow = world.targets[0]
+        answer, content = await harness.send('GET', f'/books/hedged/{number}')
+        assert (answer.status, content) == (200, harness.targets[1].content)
+    slow = harness.targets[0]
     await until(lambda: slow.seen and slow.closed == slow.connections)
     assert not gateway.runtime().slots.report()
 
 
-async def test_a_draining_answer_ends_new_work_at_once(world):
-    await world.add_targets('draining', 'ok')
-    await world.add_gateway()
+async def test_a_draining_target_gets_no_new_requests(harness):
+    await harness.add_targets('draining', 'ok')
+    await harness.add_gateway()
     for number in range(6):
-        answer, _ = await world.send('GET', f'/books/books/{number}')
+        answer, _ = await harness.send('GET', f'/books/books/{number}')
         assert answer.status == 200
-    assert len(world.targets[0].seen) == 1
+    assert len(harness.targets[0].seen) == 1
 
 
 async def test_a_target_that_left_while_connecting_gets_nothing(
-    world,
+    harness,
     monkeypatch,
 ):
-    """It was chosen by what was known before the connection was made."""
-    await world.add_targets('ok', 'ok')
-    gateway = await world.add_gateway()
+    """The target was selected before the connection was made."""
+    await harness.add_targets('ok', 'ok')
+    gateway = await harness.add_gateway()
     connect = connections.GuardedConnector._create_connection
-    left = []
+    leaving = []
 
-    async def connect_and_hear(self, request, *details):
-        made = await connect(self, request, *details)
-        if not left:
+    async def connect_and_mark_leaving(self, request, *details):
+        connection = await connect(self, request, *details)
+        if not leaving:
             chosen = gateway.runtime().slots.report()
-            left.extend(chosen)
-            gateway.runtime().mark_leaving(left[0])
-        return made
+            leaving.extend(chosen)
+            gateway.runtime().mark_leaving(leaving[0])
+        return connection
 
     monkeypatch.setattr(
         connections.GuardedConnector,
         '_create_connection',
-        connect_and_hear,
+        connect_and_mark_leaving,
     )
-    answer, _ = await world.send('GET', '/books/books/1')
+    answer, _ = await harness.send('GET', '/books/books/1')
     assert answer.status == 200
-    seen = {target.name: len(target.seen) for target in world.targets}
-    assert seen.pop(left[0]) == 0
+    seen = {target.name: len(target.seen) for target in harness.targets}
+    assert seen.pop(leaving[0]) == 0
     assert list(seen.values()) == [1]
 
 
-async def test_a_request_keeps_the_settings_it_started_with(world):
-    old = await world.add_target('hang')
-    gateway = await world.add_gateway(slots=1)
-    holding = asyncio.ensure_future(world.send('GET', '/books/books/1'))
+async def test_a_request_keeps_the_settings_it_started_with(harness):
+    old = await harness.add_target('hang')
+    gateway = await harness.add_gateway(slots=1)
+    holding = asyncio.ensure_future(harness.send('GET', '/books/books/1'))
     await until(lambda: old.seen)
-    waiting = asyncio.ensure_future(world.send('GET', '/books/books/2'))
+    waiting = asyncio.ensure_future(harness.send('GET', '/books/books/2'))
     await until(lambda: len(gateway.runtime().queue))
-    new = await world.add_target('ok')
-    gateway.configure(world.service([new], answer_buffer_limit_bytes=1))
-    fresh, _ = await world.send('GET', '/books/books/3')
+    new = await harness.add_target('ok')
+    gateway.configure(harness.service([new], answer_buffer_limit_bytes=1))
+    fresh, _ = await harness.send('GET', '/books/books/3')
     assert fresh.status == 200
-    # It knows only the old target, which is configured no longer.
+    # Its snapshot has only the old target, which is no longer configured.
     refused, content = await waiting
     assert outcome_of(refused) == 'not-run'
     assert json.loads(content)['type'].endswith('no-target')
@@ -240,27 +245,27 @@
     assert [seen.line.split()[1] for seen in new.seen] == ['/books/3']
 
 
-async def test_a_service_without_targets_refuses_at_once(world):
-    await world.add_gateway()
-    answer, content = await world.send('GET', '/books/books/1')
+async def test_a_service_without_targets_refuses_at_once(harness):
+    await harness.add_gateway()
+    answer, content = await harness.send('GET', '/books/books/1')
     assert (answer.status, outcome_of(answer)) == (503, 'not-run')
     assert json.loads(content)['type'].endswith('no-target')
     assert answer.headers['Retry-After'] == '1'
 
 
-async def test_draining_serves_everything_and_sends_callers_elsewhere(world):
-    target = await world.add_target('hang')
-    gateway = await world.add_gateway()
-    await world.add_gateway()
-    headers = {'Idempotency-Key': f'{await world.ticket()}.1'}
+async def test_a_draining_daemon_serves_and_directs_callers_to_others(harness):
+    target = await harness.add_target('hang')
+    gateway = await harness.add_gateway()
+    await harness.add_gateway()
+    headers = {'Idempotency-Key': f'{await harness.ticket()}.1'}
     path = '/books/postings'
-    first = asyncio.ensure_future(world.send('POST', path, headers=headers))
+    first = asyncio.ensure_future(harness.send('POST', path, headers=headers))
     await until(lambda: target.seen)
     gateway.server.begin_draining()
-    await _check_draining_addresses(world)
+    await _check_draining_addresses(harness)
     closing = asyncio.ensure_future(gateway.server.close(20))
     again = asyncio.ensure_future(
-        world.send('POST', path, at=1, headers=headers),
+        harness.send('POST', path, at=1, headers=headers),
     )
     await asyncio.sleep(0.05)
     target.released.set()
@@ -272,8 +277,8 @@
     assert list(target.ran.values()) == [1]
 
 
-async def _check_draining_addresses(world):
-    answer, content = await world.send('GET', '/v1/addresses?service=books')
-    ports = [one['port'] for one in json.loads(content)['addresses']]
-    assert ports == [world.gateways[1].port]
+async def _check_draining_addresses(harness):
+    answer, content = await harness.send('GET', '/v1/addresses?service=books')
+    ports = [address['port'] for address in json.loads(content)['addresses']]
+    assert ports == [harness.gateways[1].port]
     assert answer.headers['Connection'] == 'close'
--- a/libraries/gateway/tests/nocover/test_gateway_random_faults.py
+++ b/libraries/gateway/tests/nocover/test_gateway_random_faults.py
@@ -1,4 +1,4 @@
-"""Whatever targets do in whatever order, the counters bear out the answers."""
+"""Outcomes agree with the targets' run counters under random faults."""
 
 import asyncio
 import collections
@@ -38,16 +38,16 @@
 
 
 @pytest.fixture
-def play(request):
-    """Run one story in a loop and a world of its own."""
-    make_world = request.getfixturevalue('make_world')
+def run_in_harness(request):
+    """Return a function that runs a scenario in its own loop and harness."""
+    make_harness = request.getfixturevalue('make_harness')
 
-    def run(story):
-        async def tell():
-            async with make_world() as world:
-                await story(world)
+    def run(scenario):
+        async def run_scenario():
+            async with make_harness() as harness:
+                await scenario(harness)
 
-        asyncio.run(tell())
+        asyncio.run(run_scenario())
 
     return run
 
@@ -57,18 +57,20 @@
     suppress_health_check=[hypothesis.HealthCheck.function_scoped_fixture],
 )
 @hypothesis.given(steps=STEPS, seed=st.integers(0, 9))
-def test_counters_bear_out_the_answers(play, steps, seed):
-    async def story(world):
-        targets = await world.add_targets('ok', 'ok', 'ok')
+def test_run_counters_agree_with_the_outcomes(run_in_harness, steps, seed):
+    async def scenario(harness):
+        targets = await harness.add_targets('ok', 'ok', 'ok')
         for target in targets:
             target.is_echoing = True
-        await world.add_gateway()
-        await world.add_gateway()
-        told = collections.defaultdict(list)
+        await harness.add_gateway()
+        await harness.add_gateway()
+        outcomes_by_key = collections.defaultdict(list)
         for number, step in enumerate(steps):
-            await _send(world, number, step, told, random.Random(seed))
-        runs = world.runs()
-        for key, outcomes in told.items():
+            await _send(
+                harness, number, step, outcomes_by_key, random.Random(seed)
+            )
+        runs = harness.runs()
+        for key, outcomes in outcomes_by_key.items():
             assert runs[key] <= 1
             if outcomes[-1] == 'not-run':
                 assert runs[key] == 0
@@ -79,14 +81,14 @@
             if 'unknown' in outcomes:
                 assert 'not-run' not in outcomes[outcomes.index('unknown') :]
 
-    play(story)
+    run_in_harness(scenario)
 
 
-async def _send(world, number, step, told, source):
-    which, behaviour, method, *sending = step
-    at, sends, is_together = sending
-    world.targets[which].behaviour = behaviour
-    key = f'{await world.ticket()}.{number}'
+async def _send(harness, number, step, outcomes_by_key, source):
+    target_index, behaviour, method, *sending = step
+    first_daemon, sends, is_together = sending
+    harness.targets[target_index].behaviour = behaviour
+    key = f'{await harness.ticket()}.{number}'
     path = {'POST': '/books/postings', 'GET': f'/books/books/{number}'}.get(
         method,
         f'/books/postings/{number}',
@@ -97,8 +99,8 @@
         **({} if method == 'GET' else {'Idempotency-Key': key}),
     }
 
-    async def once(daemon):
-        answer, content = await world.send(
+    async def send_to(daemon):
+        answer, content = await harness.send(
             method,
             path,
             at=daemon,
@@ -110,12 +112,12 @@
             assert content.decode() == expected
         return outcome
 
-    daemons = [(at + source.randrange(2)) % 2 for _ in range(sends)]
+    daemons = [(first_daemon + source.randrange(2)) % 2 for _ in range(sends)]
     if is_together:
-        outcomes = await asyncio.gather(*map(once, daemons))
-        # The order among sends at the same time says nothing.
+        outcomes = await asyncio.gather(*map(send_to, daemons))
+        # Concurrent sends have no defined order.
         outcomes = sorted(outcomes, key='not-run completed unknown'.index)
     else:
-        outcomes = [await once(daemon) for daemon in daemons]
+        outcomes = [await send_to(daemon) for daemon in daemons]
     if method != 'GET':
-        told[key].extend(outcomes)
+        outcomes_by_key[key].extend(outcomes)
