--- a/libraries/gateway/src/sardinepier/gateway/delivery.py
+++ b/libraries/gateway/src/sardinepier/gateway/delivery.py
@@ -14,7 +14,7 @@
 _COMPLETED: Final = outcomes.Outcome.COMPLETED.value
 _NOT_KEPT: Final = errors.AnswerNotKeptError(
     'The request ran, but its answer was too large to keep',
-    'Read the outcome from the service instead of sending the request again',
+    'Read the result from the service instead of sending the request again',
 )
 
 
--- a/libraries/gateway/src/sardinepier/gateway/errors.py
+++ b/libraries/gateway/src/sardinepier/gateway/errors.py
@@ -15,7 +15,7 @@
 
 
 class ProvedNotRunError(GatewayError):
-    """The request did not run; ``retry_after_s`` says when to retry, if ever."""
+    """The request did not run; ``retry_after_s`` says when to retry."""
 
     def __init__(
         self,
--- a/libraries/gateway/src/sardinepier/gateway/keyed.py
+++ b/libraries/gateway/src/sardinepier/gateway/keyed.py
@@ -179,7 +179,8 @@
         return delivery.recorded_response(settlement)
     if isinstance(settlement, answers.UnknownFate):
         raise errors.RecordedUnknownError(
-            f'An earlier send of this key failed: {settlement.problem}',
+            'An earlier send of this key ended with an unknown outcome: '
+            f'{settlement.problem}',
             'Check by other means whether the request ran',
         )
     raise refused.ReleasedError(
--- a/libraries/gateway/src/sardinepier/gateway/pipeline.py
+++ b/libraries/gateway/src/sardinepier/gateway/pipeline.py
@@ -64,7 +64,7 @@
             except asyncio.CancelledError:
                 self._metrics.count(service, 'caller-gone')
                 raise
-            except Exception as error:  # noqa: BLE001 - becomes a problem response
+            except Exception as error:  # noqa: BLE001 - answered as a problem
                 response = self._problem_response(http_request, service, error)
             if self._context.activity.is_draining:
                 response.force_close()
--- a/libraries/gateway/src/sardinepier/gateway/protocol.py
+++ b/libraries/gateway/src/sardinepier/gateway/protocol.py
@@ -42,7 +42,7 @@
     """Accepts connections from callers and limits the size of requests."""
 
     def __init__(self, handler: Any) -> None:
-        """Call ``handler`` for each request; cancel it if the caller hangs up."""
+        """Call ``handler`` for each request; a hang-up cancels the call."""
         super().__init__(handler, handler_cancellation=True)
 
     def __call__(self) -> CallerConnection:
--- a/libraries/gateway/src/sardinepier/gateway/service_runtime.py
+++ b/libraries/gateway/src/sardinepier/gateway/service_runtime.py
@@ -251,7 +251,7 @@
 
     def _apply_targets(self) -> None:
         settings = self.snapshot.settings
-        # ``set_targets`` resets the weights of the slots.
+        # ``slots.set_targets`` loses the weights of targets that it adds again.
         self._weights.clear()
         max_slots = settings.connections_per_target
         self.health.set_targets(
--- a/libraries/gateway/src/sardinepier/gateway/stated_targets.py
+++ b/libraries/gateway/src/sardinepier/gateway/stated_targets.py
@@ -101,7 +101,7 @@
         return self._accepts_from_s(target_id, self._clock.monotonic_s())
 
     def retry_after_s(self, targets: Collection[ids.TargetId]) -> float:
-        """Return in how many seconds a target accepts a request of any daemon."""
+        """Return in how many seconds a target accepts any request."""
         now_s = self._clock.monotonic_s()
         return target_statements.retry_after_s(
             (
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -41,19 +41,19 @@
     waiting: Iterable['TargetStatements'],
     now_s: float,
 ) -> wait_queue.CapacityForecast:
-    """Return when the targets, none of which accepts now, accept requests."""
-    limit_wait_s = math.inf
-    backoff_wait_s = math.inf
+    """Forecast when targets that accept no requests now accept them again."""
+    limited_wait_s = math.inf
+    unlimited_wait_s = math.inf
     per_s = 0.0
     for stated in waiting:
         wait_s = stated.accepts_from_s(now_s) - now_s
         if stated.newest.limit_per_s is None:
-            backoff_wait_s = min(backoff_wait_s, wait_s)
+            unlimited_wait_s = min(unlimited_wait_s, wait_s)
         else:
-            limit_wait_s = min(limit_wait_s, wait_s)
+            limited_wait_s = min(limited_wait_s, wait_s)
             per_s += stated.own_per_s
     return wait_queue.CapacityForecast(
-        limit_wait_s, 1 / per_s if per_s else 0.0, backoff_wait_s
+        limited_wait_s, 1 / per_s if per_s else 0.0, unlimited_wait_s
     )
 
 
