--- a/libraries/gateway/src/sardinepier/gateway/problem_table.py
+++ b/libraries/gateway/src/sardinepier/gateway/problem_table.py
@@ -44,19 +44,19 @@
         _Status.NOT_FOUND,
         _NOT_RUN,
         'unknown-service',
-        'Unknown service',
+        'There is no such service',
     ),
     refusals.UnknownRouteError: _Kind(
         _Status.NOT_FOUND,
         _NOT_RUN,
         'unknown-route',
-        'Unknown route',
+        'There is no such route',
     ),
     refusals.MethodNotAllowedError: _Kind(
         _Status.METHOD_NOT_ALLOWED,
         _NOT_RUN,
         'method-not-allowed',
-        'The route does not support this method',
+        'The route has other methods',
     ),
     refusals.HeaderTooLargeError: _Kind(
         _Status.REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -74,7 +74,7 @@
         _Status.REQUEST_TIMEOUT,
         _NOT_RUN,
         'body-incomplete',
-        'The body is incomplete',
+        'The body did not arrive whole',
     ),
     refusals.KeyRequiredError: _Kind(
         _Status.PRECONDITION_REQUIRED,
@@ -113,7 +113,7 @@
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'not-configured',
-        'The daemon has no settings yet',
+        'No settings are in force yet',
     ),
     refusals.PausedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
@@ -125,13 +125,13 @@
         _Status.GATEWAY_TIMEOUT,
         _NOT_RUN,
         'deadline-passed',
-        'The deadline passed before the request was sent',
+        'The time ran out before the request was sent',
     ),
     refusals.OverloadedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'overloaded',
-        'The daemon is overloaded',
+        'The daemon has too much in hand',
     ),
     refusals.ReleasedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
@@ -143,19 +143,19 @@
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'no-target',
-        'No target can accept the request',
+        'No target can take the request',
     ),
     once_errors.LedgerFullError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'records-full',
-        'No more requests can be recorded',
+        'No further request can be recorded',
     ),
     once_errors.QuarantinedError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'quarantined',
-        'The request is quarantined',
+        'The request is held back',
     ),
     routing_errors.QueueFullError: _Kind(
         _Status.SERVICE_UNAVAILABLE,
@@ -185,7 +185,7 @@
         _Status.SERVICE_UNAVAILABLE,
         _NOT_RUN,
         'shed',
-        'The targets are overloaded',
+        'The targets have too much work',
     ),
 }
 
@@ -194,7 +194,7 @@
         _Status.GONE,
         _UNKNOWN,
         'ticket-expired',
-        'The ticket has expired',
+        'The ticket has run out',
     ),
     once_errors.ForeignHomeError: _Kind(
         _Status.MISDIRECTED_REQUEST,
@@ -218,7 +218,7 @@
         _Status.BAD_GATEWAY,
         _UNKNOWN,
         'recorded-unknown',
-        'The outcome of an earlier send is unknown',
+        'The request ended unanswered before',
     ),
     errors.ConnectionLostError: _Kind(
         _Status.BAD_GATEWAY,
@@ -230,7 +230,7 @@
         _Status.BAD_GATEWAY,
         _UNKNOWN,
         'bad-answer',
-        'The answer of the target is not valid',
+        'The answer of the target is not whole',
     ),
     errors.AnswerOverdueError: _Kind(
         _Status.GATEWAY_TIMEOUT,
@@ -251,7 +251,7 @@
         _Status.CONFLICT,
         _COMPLETED,
         'answer-not-kept',
-        'The request ran, but its answer was not kept',
+        'The request ran, its answer was not kept',
     ),
 }
 
