--- a/libraries/membership/src/sardinepier/membership/__init__.py
+++ b/libraries/membership/src/sardinepier/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which daemons are alive, leaving or dead, and which group serves a service."""
+"""Fleet membership: liveness of daemons, and the group that serves a service."""
--- a/libraries/membership/src/sardinepier/membership/capacity.py
+++ b/libraries/membership/src/sardinepier/membership/capacity.py
@@ -1,26 +1,26 @@
-"""What an instance can do, as it knows of itself.
+"""The capacity that an instance announces about itself.
 
-Instances of a fleet may differ by a factor of five in their processors and of
-twenty in their links. Each tells its own figures, so that the others can
-choose it for what it can bear.
+Instances of a fleet may differ by a factor of five in processor capacity and
+by a factor of twenty in link capacity. Each instance announces its own
+figures, so that other daemons can choose instances by their capacity.
 """
 
 from typing import Annotated, Final
 
 import msgspec
 
-_MOST: Final = 2_000_000_000
-"""Two million cores, or two terabits a second."""
+_MAX_FIGURE: Final = 2_000_000_000
+"""The upper bound: two million cores, or two terabits per second."""
 
-_Figure = Annotated[int, msgspec.Meta(ge=1, le=_MOST)]
+_Figure = Annotated[int, msgspec.Meta(ge=1, le=_MAX_FIGURE)]
 
 
 class Capacity(msgspec.Struct, frozen=True, array_like=True):
-    """The processor in thousandths of a core, and the link in kilobits a second."""
+    """Processor capacity in thousandths of a core, link capacity in kbit/s."""
 
     processor_millis: _Figure = 1000
     link_kbit_per_s: _Figure = 1_000_000
 
 
 DEFAULT: Final = Capacity()
-"""Of an instance that says nothing: a whole core, and a link of a gigabit."""
+"""Assumed for an instance that announces no capacity: one core, 1 Gbit/s."""
--- a/libraries/membership/src/sardinepier/membership/events.py
+++ b/libraries/membership/src/sardinepier/membership/events.py
@@ -1,4 +1,4 @@
-"""What membership reports to the time line when a member changes."""
+"""Events that membership reports to the timeline when a member changes."""
 
 import msgspec
 
@@ -6,24 +6,24 @@
 
 
 class MemberEvent(msgspec.Struct, frozen=True, tag=True):
-    """Base of the events; ``instance_id`` names the member concerned."""
+    """Base class of the events; ``instance_id`` identifies the member."""
 
     instance_id: ids.InstanceId
     incarnation: int
 
 
 class MemberJoined(MemberEvent, frozen=True):
-    """A member was heard of for the first time, or again once forgotten."""
+    """A member became known, for the first time or after it was forgotten."""
 
     zone: ids.ZoneName
 
 
 class MemberSuspected(MemberEvent, frozen=True):
-    """A member did not answer, neither directly nor through others."""
+    """A member answered neither direct nor indirect probes."""
 
 
 class MemberRefuted(MemberEvent, frozen=True):
-    """A suspected or dead member proved with a new incarnation to live."""
+    """A suspected or dead member proved to be alive with a new incarnation."""
 
 
 class MemberLeft(MemberEvent, frozen=True):
@@ -31,10 +31,10 @@
 
 
 class MemberDied(MemberEvent, frozen=True):
-    """A member was suspected until the deadline and is taken for dead."""
+    """A member did not refute its suspicion in time and is considered dead."""
 
 
 class MemberReplaced(MemberEvent, frozen=True):
-    """Another instance answers at the member's address; it is dead."""
+    """A member is dead: ``successor`` answers at its address."""
 
     successor: ids.InstanceId
--- a/libraries/membership/src/sardinepier/membership/internal/catch_up.py
+++ b/libraries/membership/src/sardinepier/membership/internal/catch_up.py
@@ -1,7 +1,8 @@
-"""When exchanges of tables follow each other without waiting for a tick.
+"""Rate limit for table exchanges that do not wait for the next tick.
 
-To wait would take a daemon of a large fleet ten seconds to know it, a part of the
-table each second, while it takes itself for the only one of its zone.
+With one exchange per second, each of a part of the table, a daemon of a large
+fleet would need ten seconds to know all members. Until then it would consider
+itself the only daemon of its zone.
 """
 
 from typing import Final
@@ -13,26 +14,26 @@
 
 
 class CatchUp:
-    """Bounds the exchanges that follow each other at once."""
+    """Limits the rate of table exchanges that start between ticks."""
 
     def __init__(
         self,
-        bounds: current_options.CurrentOptions,
+        active_options: current_options.CurrentOptions,
         time_source: clock.Clock,
     ) -> None:
-        """Start before the first exchange."""
-        self._bounds = bounds
-        self._allowance = budget.Allowance(_BURST_S, time_source)
-        self._has_begun = False
-
-    def may_begin(self) -> bool:
-        """Tell whether to ask the first that answers, at once."""
-        if self._has_begun:
+        """Start with no exchange done."""
+        self._options = active_options
+        self._bucket = budget.LeakyBucket(_BURST_S, time_source)
+        self._has_started = False
+
+    def may_start(self) -> bool:
+        """Return whether to start the first exchange now, without a tick."""
+        if self._has_started:
             return False
-        self._has_begun = self.may_go_on()
-        return self._has_begun
+        self._has_started = self.may_continue()
+        return self._has_started
 
-    def may_go_on(self) -> bool:
-        """Tell whether to ask another one, since there was something new."""
-        per_s = self._bounds.current.rounds_per_s
-        return self._allowance.take(1, per_s) > 0
+    def may_continue(self) -> bool:
+        """Return whether another exchange may follow one with new entries."""
+        per_s = self._options.current.rounds_per_s
+        return self._bucket.take(1, per_s) > 0
--- a/libraries/membership/src/sardinepier/membership/internal/changes.py
+++ b/libraries/membership/src/sardinepier/membership/internal/changes.py
@@ -1,4 +1,4 @@
-"""Which events follow from a change of a record."""
+"""Derives events from the change of a record."""
 
 from sardinepier.core import ids
 from sardinepier.membership import events, kinds
@@ -6,10 +6,10 @@
 
 
 def is_reportable(change: table.Change) -> bool:
-    """Tell whether more than the estimate of the start changed."""
+    """Return whether anything but the estimated start time changed."""
     before = change.before
     return before is None or (
-        record.standing(before) != record.standing(change.after)
+        record.status_of(before) != record.status_of(change.after)
     )
 
 
@@ -17,15 +17,18 @@
     change: table.Change,
     successor: ids.InstanceId | None,
 ) -> list[events.MemberEvent]:
-    """Return what to report; ``successor`` answers in a dead one's place."""
-    found = [
+    """Return the events to report.
+
+    ``successor`` is the instance that replaced a dead member, if there is one.
+    """
+    possible_events = [
         _joined(change),
         _refuted(change),
         _suspected(change),
         _left(change),
         _died(change, successor),
     ]
-    return [event for event in found if event is not None]
+    return [event for event in possible_events if event is not None]
 
 
 def _joined(change: table.Change) -> events.MemberEvent | None:
@@ -48,16 +51,16 @@
 
 def _suspected(change: table.Change) -> events.MemberEvent | None:
     before, after = change.before, change.after
-    already = before is not None and before.liveness is after.liveness
-    if already or after.liveness is not kinds.Liveness.SUSPECT:
+    unchanged = before is not None and before.liveness is after.liveness
+    if unchanged or after.liveness is not kinds.Liveness.SUSPECT:
         return None
     return events.MemberSuspected(after.instance_id, after.incarnation)
 
 
 def _left(change: table.Change) -> events.MemberEvent | None:
     before, after = change.before, change.after
-    already = before is not None and before.leaving
-    if already or not after.leaving:
+    unchanged = before is not None and before.leaving
+    if unchanged or not after.leaving:
         return None
     return events.MemberLeft(after.instance_id, after.incarnation)
 
@@ -67,8 +70,8 @@
     successor: ids.InstanceId | None,
 ) -> events.MemberEvent | None:
     before, after = change.before, change.after
-    already = before is not None and before.is_dead
-    if already or not after.is_dead:
+    unchanged = before is not None and before.is_dead
+    if unchanged or not after.is_dead:
         return None
     if successor is None:
         return events.MemberDied(after.instance_id, after.incarnation)
--- a/libraries/membership/src/sardinepier/membership/internal/contacts.py
+++ b/libraries/membership/src/sardinepier/membership/internal/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses to try although no living member is known there."""
+"""Addresses to probe although no living member is known there."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -7,11 +7,11 @@
 
 
 class Contacts:
-    """Seeds and the addresses of lost members, tried one by one.
+    """Seed addresses and the addresses of unreachable members.
 
-    The lost stay for as long as there is room, so that two sides of a
-    partition find each other again however long it lasted. The oldest lost
-    address goes first when there is none.
+    Addresses of unreachable members have no time limit, so that the two sides
+    of a partition find each other again however long it lasted. When the
+    number exceeds ``max_contacts``, the oldest address is dropped.
     """
 
     def __init__(
@@ -20,19 +20,19 @@
         random_source: random.Random,
         max_contacts: int,
     ) -> None:
-        """Start with no address; never try ``own``."""
+        """Start with no address; ``own`` is never used as a seed."""
         self._own = own
         self._random = random_source
         self._max_contacts = max_contacts
         self._seeds: dict[messages.PeerAddress, None] = {}
-        self._lost: dict[messages.PeerAddress, None] = {}
+        self._unreachable: dict[messages.PeerAddress, None] = {}
 
     def __bool__(self) -> bool:
-        """Tell whether any address is known."""
-        return bool(self._seeds or self._lost)
+        """Return whether any address is known."""
+        return bool(self._seeds or self._unreachable)
 
     def seed(self, addresses: Iterable[messages.PeerAddress]) -> None:
-        """Replace the seeds; more than the bound are sampled."""
+        """Replace the seeds; keep a random sample if there are too many."""
         usable = sorted(
             address
             for address in set(addresses)
@@ -42,16 +42,16 @@
             usable = self._random.sample(usable, self._max_contacts)
         self._seeds = dict.fromkeys(usable)
 
-    def remember(self, address: messages.PeerAddress) -> None:
-        """Try the address of one taken for dead, or met but not known."""
-        self._lost.pop(address, None)
-        self._lost[address] = None
-        if len(self._lost) > self._max_contacts:
-            self._lost.pop(next(iter(self._lost)))
+    def add_unreachable(self, address: messages.PeerAddress) -> None:
+        """Add the address of a dead member, or of a sender that is unknown."""
+        self._unreachable.pop(address, None)
+        self._unreachable[address] = None
+        if len(self._unreachable) > self._max_contacts:
+            self._unreachable.pop(next(iter(self._unreachable)))
 
     def mark_reachable(self, address: messages.PeerAddress) -> None:
-        """Stop to try a lost address: a member lives there."""
-        self._lost.pop(address, None)
+        """Remove an unreachable address: a living member was found there."""
+        self._unreachable.pop(address, None)
 
     def choose(
         self,
@@ -61,7 +61,7 @@
         """Return up to ``count`` random addresses without a living member."""
         usable = [
             address
-            for address in (*self._seeds, *self._lost)
+            for address in (*self._seeds, *self._unreachable)
             if living_at(address) is None
         ]
         return self._random.sample(usable, min(count, len(usable)))
--- a/libraries/membership/src/sardinepier/membership/internal/current_options.py
+++ b/libraries/membership/src/sardinepier/membership/internal/current_options.py
@@ -1,48 +1,52 @@
-"""The options in force, which may change at any moment."""
+"""The current options, which may change at any time."""
 
 from typing import Final
 
 from sardinepier.core import clock
 from sardinepier.membership import options
 
-# Longer than the configuration takes to reach every daemon.
-SPREAD_S: Final = 10.0
+# Upper bound on the time that a configuration takes to reach every daemon.
+PROPAGATION_S: Final = 10.0
 
 
 class CurrentOptions:
-    """Shared by all parts, which read :attr:`current` whenever they need it.
+    """Holds the options for all components of one membership.
 
-    A part that kept a figure of its own would stay with the old one.
+    Components read :attr:`current` at each use and do not copy values from it,
+    because a copy would miss later changes.
     """
 
     def __init__(
         self,
-        bounds: options.MembershipOptions,
+        membership_options: options.MembershipOptions,
         time_source: clock.Clock,
     ) -> None:
-        """Start with ``bounds``."""
-        self.current = bounds
+        """Start with ``membership_options`` and no change in progress."""
+        self.current = membership_options
         self._clock = time_source
-        self._former_timeout_s = bounds.suspicion_timeout_s
-        self._former_until_s = time_source.monotonic_s()
+        self._previous_timeout_s = membership_options.suspicion_timeout_s
+        self._previous_until_s = time_source.monotonic_s()
 
     @property
     def suspicion_timeout_s(self) -> float:
-        """How long one that is suspected now has to refute.
+        """How long a member that is suspected now may refute.
 
-        A shorter time holds only once everybody should know of it: until
-        then others still probe and pass news on at the former rate, and a
-        refutation takes as long as it did.
+        A shorter timeout takes effect only when every daemon should know it.
+        Until then other daemons still probe and gossip at the previous rate,
+        so a refutation may need the previous timeout.
         """
         timeout_s = self.current.suspicion_timeout_s
-        if self._clock.monotonic_s() < self._former_until_s:
-            return max(timeout_s, self._former_timeout_s)
+        if self._clock.monotonic_s() < self._previous_until_s:
+            return max(timeout_s, self._previous_timeout_s)
         return timeout_s
 
-    def change(self, bounds: options.MembershipOptions) -> None:
-        """Put ``bounds`` in force."""
-        shorter = bounds.suspicion_timeout_s < self.current.suspicion_timeout_s
+    def change(self, membership_options: options.MembershipOptions) -> None:
+        """Replace the current options by ``membership_options``."""
+        shorter = (
+            membership_options.suspicion_timeout_s
+            < self.current.suspicion_timeout_s
+        )
         if shorter:
-            self._former_timeout_s = self.suspicion_timeout_s
-            self._former_until_s = self._clock.monotonic_s() + SPREAD_S
-        self.current = bounds
+            self._previous_timeout_s = self.suspicion_timeout_s
+            self._previous_until_s = self._clock.monotonic_s() + PROPAGATION_S
+        self.current = membership_options
--- a/libraries/membership/src/sardinepier/membership/internal/gossip.py
+++ b/libraries/membership/src/sardinepier/membership/internal/gossip.py
@@ -1,4 +1,4 @@
-"""What goes out on heartbeats: news first told, and what to refute."""
+"""Selects the member updates that heartbeats carry."""
 
 import random
 from collections.abc import Iterable
@@ -16,87 +16,97 @@
 
 
 class Gossip:
-    """Turns records of the table into updates for messages."""
+    """Converts records of the table to updates for messages."""
 
     def __init__(
         self,
         records: table.Table,
-        bounds: current_options.CurrentOptions,
+        active_options: current_options.CurrentOptions,
         time_source: clock.Clock,
     ) -> None:
-        """Start with this daemon itself as the only news."""
+        """Start with this daemon's own record as the only rumor."""
         self._table = records
         self._clock = time_source
-        self._bounds = bounds
-        self.budget = budget.Budget(bounds, time_source)
-        self.rumors = rumors.Rumors(bounds)
-        self.introduce()
+        self._options = active_options
+        self.budget = budget.Budget(active_options, time_source)
+        self.rumors = rumors.Rumors(active_options)
+        self.announce_self()
 
     def next_updates(self) -> tuple[kinds.MemberUpdate, ...]:
-        """Return updates for one message, and count them as sent."""
-        wanted = min(self._bounds.current.updates_per_message, len(self.rumors))
+        """Return the rumors for one message, and count them as sent."""
+        wanted = min(
+            self._options.current.updates_per_message, len(self.rumors)
+        )
         if not wanted:
             return ()
         allowed = self.budget.take_updates(wanted)
-        taken = self.rumors.next_names(allowed, self._table.live_count)
-        found = (self._table.get(instance_id) for instance_id in taken)
-        return self.updates(held for held in found if held)
+        selected = self.rumors.next_names(allowed, self._table.live_count)
+        found = (self._table.get(instance_id) for instance_id in selected)
+        return self.updates(
+            member_record for member_record in found if member_record
+        )
 
     def updates(
         self,
         records: Iterable[record.Record],
     ) -> tuple[kinds.MemberUpdate, ...]:
-        """Return records as they travel now."""
+        """Return the records as updates, with ages as of now."""
         now_s = self._clock.monotonic_s()
-        return tuple(record.to_update(held, now_s) for held in records)
+        return tuple(
+            record.to_update(member_record, now_s) for member_record in records
+        )
 
     def own_update(self) -> tuple[kinds.MemberUpdate, ...]:
-        """Return what makes this daemon known to one that never met it."""
+        """Return an update with this daemon's own record."""
         return self.updates((self._table.own,))
 
-    def greeting(
+    def first_contact_updates(
         self,
         random_source: random.Random,
     ) -> tuple[kinds.MemberUpdate, ...]:
-        """Return what one that knows only an address should know first.
+        """Return the updates for a daemon that knows only an address.
 
-        When all start at once each knows the same few addresses, which can't
-        hand the whole table to everybody: with a few others named, the next
-        questions go elsewhere.
+        When the whole fleet starts at once, every daemon knows the same few
+        seed addresses, and these cannot send the whole table to everyone.
+        With some other members named, the next requests go to those.
         """
         peers = self._table.peers()
-        count = min(self._bounds.current.named_to_strangers, len(peers))
+        count = min(self._options.current.named_to_strangers, len(peers))
         named = random_source.sample(peers, count)
         return self.updates((self._table.own, *named))
 
-    def introduction(
+    def contact_probe_updates(
         self,
         address: messages.PeerAddress,
     ) -> tuple[kinds.MemberUpdate, ...]:
-        """Return what a daemon at ``address``, whoever it is, should know.
+        """Return the updates for a probe of an unknown daemon at ``address``.
 
-        One that seems cut off itself claims no deaths: whoever lives would
-        have to refute them, and its answer tells as much.
+        They include claims of death about members at that address, unless
+        this daemon itself seems cut off: living members would have to refute
+        such claims, while their answers already prove that they are alive.
         """
         if self._table.seems_cut_off:
             return self.own_update()
-        dead_there = self.updates(
-            held
-            for held in self._table.dead
-            if held.identity.peer_address == address
+        dead_at_address = self.updates(
+            member_record
+            for member_record in self._table.dead
+            if member_record.identity.peer_address == address
         )
-        return (*self.own_update(), *dead_there)
+        return (*self.own_update(), *dead_at_address)
 
     def claims_about(
         self,
         instance_id: ids.InstanceId,
     ) -> tuple[kinds.MemberUpdate, ...]:
-        """Return what an instance may want to refute, if there is such."""
-        held = self._table.get(instance_id)
-        if held is None or held.liveness is kinds.Liveness.ALIVE:
+        """Return the claim that an instance may need to refute, if any."""
+        member_record = self._table.get(instance_id)
+        if (
+            member_record is None
+            or member_record.liveness is kinds.Liveness.ALIVE
+        ):
             return ()
-        return self.updates((held,))
+        return self.updates((member_record,))
 
-    def introduce(self) -> None:
-        """Make this daemon news again, before all other."""
+    def announce_self(self) -> None:
+        """Queue this daemon's own record as the first rumor to send."""
         self.rumors.add_first(self._table.own.instance_id)
--- a/libraries/membership/src/sardinepier/membership/internal/group_cache.py
+++ b/libraries/membership/src/sardinepier/membership/internal/group_cache.py
@@ -1,9 +1,9 @@
-"""Groups kept up to date by what changed, not computed anew.
+"""Service groups that are updated incrementally when the view changes.
 
-The groups of all services are asked for on the path of requests, and in a
-large fleet some member changes every few seconds. Scoring all members for all
-services after each change would take a daemon's whole share of a core, so a
-change is applied to a group by one score.
+Groups are looked up while requests are processed, and in a large fleet some
+member changes every few seconds. Scoring all members for all services after
+each change would use up a daemon's whole share of a core. An incremental
+update computes one score per member that joined.
 """
 
 import dataclasses
@@ -14,55 +14,57 @@
 from sardinepier.core import ids, rendezvous
 from sardinepier.membership import members, view
 
-_MAX_GROUPS: Final = 2048
-_MAX_LOG: Final = 64
+_MAX_RANKINGS: Final = 2048
+_MAX_RECENT_CHANGES: Final = 64
 
-_Ranked = tuple[int, ids.InstanceId]
+_ScoredInstance = tuple[int, ids.InstanceId]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Step:
-    """The instances that one change took from a zone and brought to it."""
+class _ServingChange:
+    """The instances that one change removed from and added to a zone."""
 
-    gone: frozenset[ids.InstanceId]
-    come: frozenset[ids.InstanceId]
+    removed: frozenset[ids.InstanceId]
+    added: frozenset[ids.InstanceId]
 
 
 @dataclasses.dataclass(slots=True)
 class _Zone:
-    """The serving members of a zone and its last changes."""
+    """The serving members of a zone and its most recent changes."""
 
     serving: dict[ids.InstanceId, members.Member]
-    log: list[_Step] = dataclasses.field(default_factory=list)
-    changes: int = 0
+    recent_changes: list[_ServingChange] = dataclasses.field(
+        default_factory=list
+    )
+    change_count: int = 0
 
     def set_serving(
         self,
         serving: dict[ids.InstanceId, members.Member],
     ) -> None:
-        """Take over the members and note what changed."""
-        gone = frozenset(self.serving.keys() - serving.keys())
-        come = frozenset(serving.keys() - self.serving.keys())
+        """Replace the serving members and record the change."""
+        removed = frozenset(self.serving.keys() - serving.keys())
+        added = frozenset(serving.keys() - self.serving.keys())
         self.serving = serving
-        if gone or come:
-            self.log.append(_Step(gone, come))
-            self.log = self.log[-_MAX_LOG:]
-            self.changes += 1
+        if removed or added:
+            self.recent_changes.append(_ServingChange(removed, added))
+            self.recent_changes = self.recent_changes[-_MAX_RECENT_CHANGES:]
+            self.change_count += 1
 
 
 @dataclasses.dataclass(slots=True)
 class _Ranking:
-    """The best of one zone for one service, after some changes of it."""
+    """The best members of a zone for a service, as of ``change_count``."""
 
-    best: list[_Ranked]
-    changes: int
+    best: list[_ScoredInstance]
+    change_count: int
 
 
 class GroupCache:
-    """The groups of one view."""
+    """Caches the groups of one view."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with no groups."""
         self._version: int | None = None
         self._zones: dict[ids.ZoneName, _Zone] = {}
         self._rankings: dict[tuple[str, int], dict[ids.ZoneName, _Ranking]] = {}
@@ -70,45 +72,47 @@
 
     def group(
         self,
-        seen: view.View,
+        fleet_view: view.View,
         service: ids.ServiceName,
         per_zone: int,
     ) -> tuple[members.Member, ...]:
-        """Return the group, zone by zone in the order of their names."""
-        if seen.version != self._version:
-            self._take_over(seen)
+        """Return the group, ordered by zone name and then by score."""
+        if fleet_view.version != self._version:
+            self._apply_view(fleet_view)
         key = (service, per_zone)
         group = self._groups.get(key)
         if group is None:
-            group = self._build(service, per_zone)
+            group = self._build_group(service, per_zone)
             self._groups[key] = group
         return group
 
-    def _take_over(self, seen: view.View) -> None:
-        self._version = seen.version
+    def _apply_view(self, fleet_view: view.View) -> None:
+        self._version = fleet_view.version
         self._groups.clear()
         grouped: dict[ids.ZoneName, dict[ids.InstanceId, members.Member]] = {
             zone: {} for zone in self._zones
         }
-        for member in seen.serving():
+        for member in fleet_view.serving():
             zone_members = grouped.setdefault(member.zone, {})
             zone_members[member.instance_id] = member
         for name, serving in grouped.items():
             self._zones.setdefault(name, _Zone({})).set_serving(serving)
 
-    def _build(
+    def _build_group(
         self,
         service: ids.ServiceName,
         per_zone: int,
     ) -> tuple[members.Member, ...]:
         key = (service, per_zone)
-        if len(self._rankings) >= _MAX_GROUPS and key not in self._rankings:
+        if len(self._rankings) >= _MAX_RANKINGS and key not in self._rankings:
             self._rankings.clear()
         rankings = self._rankings.setdefault(key, {})
         chosen: list[members.Member] = []
         for name in sorted(self._zones):
             zone = self._zones[name]
-            ranking = _updated(rankings.get(name), zone, service, per_zone)
+            ranking = _update_ranking(
+                rankings.get(name), zone, service, per_zone
+            )
             rankings[name] = ranking
             chosen.extend(
                 zone.serving[instance_id] for _, instance_id in ranking.best
@@ -116,47 +120,47 @@
         return tuple(chosen)
 
 
-def _updated(
+def _update_ranking(
     ranking: _Ranking | None,
     zone: _Zone,
     service: ids.ServiceName,
     per_zone: int,
 ) -> _Ranking:
     if ranking is None:
-        return _from_all(zone, service, per_zone)
-    behind = zone.changes - ranking.changes
-    if not behind:
+        return _rank_all(zone, service, per_zone)
+    missed_count = zone.change_count - ranking.change_count
+    if not missed_count:
         return ranking
-    if behind > len(zone.log):
-        return _from_all(zone, service, per_zone)
-    held = {instance_id for _, instance_id in ranking.best}
-    steps = zone.log[-behind:]
-    if any(held & step.gone for step in steps):
-        return _from_all(zone, service, per_zone)
-    come = {
+    if missed_count > len(zone.recent_changes):
+        return _rank_all(zone, service, per_zone)
+    ranked_ids = {instance_id for _, instance_id in ranking.best}
+    missed = zone.recent_changes[-missed_count:]
+    if any(ranked_ids & change.removed for change in missed):
+        return _rank_all(zone, service, per_zone)
+    added = {
         instance_id
-        for step in steps
-        for instance_id in step.come
-        if instance_id in zone.serving and instance_id not in held
+        for change in missed
+        for instance_id in change.added
+        if instance_id in zone.serving and instance_id not in ranked_ids
     }
-    best = ranking.best + _ranked(zone, service, come)
-    return _Ranking(heapq.nlargest(per_zone, best), zone.changes)
+    best = ranking.best + _score_members(zone, service, added)
+    return _Ranking(heapq.nlargest(per_zone, best), zone.change_count)
 
 
-def _from_all(
+def _rank_all(
     zone: _Zone,
     service: ids.ServiceName,
     per_zone: int,
 ) -> _Ranking:
-    ranked = _ranked(zone, service, zone.serving)
-    return _Ranking(heapq.nlargest(per_zone, ranked), zone.changes)
+    ranked = _score_members(zone, service, zone.serving)
+    return _Ranking(heapq.nlargest(per_zone, ranked), zone.change_count)
 
 
-def _ranked(
+def _score_members(
     zone: _Zone,
     service: ids.ServiceName,
     names: Iterable[ids.InstanceId],
-) -> list[_Ranked]:
+) -> list[_ScoredInstance]:
     return [
         (
             rendezvous.score(service, zone.serving[instance_id].daemon_id),
--- a/libraries/membership/src/sardinepier/membership/internal/indirect.py
+++ b/libraries/membership/src/sardinepier/membership/internal/indirect.py
@@ -1,4 +1,4 @@
-"""Which peers are asked to probe one that does not answer."""
+"""Selection of the peers that probe a silent member on request."""
 
 import random
 from typing import Final
@@ -7,7 +7,7 @@
 from sardinepier.membership import kinds
 from sardinepier.membership.internal import record, table
 
-_SAMPLE: Final = 16
+_SAMPLE_SIZE: Final = 16
 
 
 def choose(
@@ -18,19 +18,19 @@
 ) -> list[record.Record]:
     """Return up to ``count`` random peers, from different zones if possible.
 
-    One of each other zone comes first: a link that is cut for this daemon's
-    zone is then told from a member that nobody reaches.
+    One peer of each other zone comes first. Their answers distinguish a cut
+    link of this daemon's zone from a member that no daemon can reach.
     """
     peers = [
-        held
-        for held in records.peers()
-        if held.instance_id != target and held.liveness is kinds.Liveness.ALIVE
+        peer
+        for peer in records.peers()
+        if peer.instance_id != target and peer.liveness is kinds.Liveness.ALIVE
     ]
-    used = {records.own.identity.zone}
-    first: list[record.Record] = []
-    later: list[record.Record] = []
-    for held in random_source.sample(peers, min(_SAMPLE, len(peers))):
-        zone = held.identity.zone
-        (later if zone in used else first).append(held)
-        used.add(zone)
-    return (first + later)[:count]
+    used_zones = {records.own.identity.zone}
+    preferred: list[record.Record] = []
+    remaining: list[record.Record] = []
+    for peer in random_source.sample(peers, min(_SAMPLE_SIZE, len(peers))):
+        zone = peer.identity.zone
+        (remaining if zone in used_zones else preferred).append(peer)
+        used_zones.add(zone)
+    return (preferred + remaining)[:count]
--- a/libraries/membership/src/sardinepier/membership/internal/knowledge.py
+++ b/libraries/membership/src/sardinepier/membership/internal/knowledge.py
@@ -1,4 +1,4 @@
-"""What this daemon believes about the fleet, and why it changes its mind."""
+"""The member table of this daemon, and the rules for applying claims."""
 
 import dataclasses
 from collections.abc import Callable, Iterable
@@ -17,36 +17,38 @@
 
 
 class Knowledge:
-    """The table, the news about it, and the rules for believing claims."""
+    """The table, the gossip about it, and the rules for applying claims."""
 
     def __init__(
         self,
         own: record.Record,
-        bounds: options.MembershipOptions,
+        membership_options: options.MembershipOptions,
         addresses: contacts.Contacts,
         time_source: clock.Clock,
         on_event: Callable[[events.MemberEvent], None],
     ) -> None:
-        """Know only this daemon itself, which is the first news."""
-        self.bounds = current_options.CurrentOptions(bounds, time_source)
-        self.table = table.Table(own, self.bounds)
-        self.gossip = gossip.Gossip(self.table, self.bounds, time_source)
+        """Start with this daemon as the only member and the first rumor."""
+        self.options = current_options.CurrentOptions(
+            membership_options, time_source
+        )
+        self.table = table.Table(own, self.options)
+        self.gossip = gossip.Gossip(self.table, self.options, time_source)
         self.contacts = addresses
         self._own_id = own.instance_id
         self._clock = time_source
         self._on_event = on_event
 
     def record_contact(self, sender: messages.Sender) -> bool:
-        """Tell whether what ``sender`` claims about others is believed.
+        """Return whether claims of ``sender`` about other members are trusted.
 
-        One that is dead here was cut off until now, and so what it holds of
-        others is old. If at least half of the fleet is dead here when one
-        returns, be it that it was forgotten meanwhile, then it is this
-        daemon that was cut off: it forgets its claims of death, so that they
-        don't spread among those who never lost each other.
+        A sender that is dead or unknown here may have been cut off until now,
+        and then its claims are outdated. If at least half of the fleet is
+        dead here when such a sender appears, this daemon itself was probably
+        cut off. It then drops its claims of death, so that they do not spread among
+        daemons that never lost contact with each other.
         """
-        held = self.table.get(sender.instance_id)
-        if held is not None and not held.is_dead:
+        existing = self.table.get(sender.instance_id)
+        if existing is not None and not existing.is_dead:
             return True
         if self.table.seems_cut_off:
             for dead in self.table.dead:
@@ -54,67 +56,73 @@
             self.table.dead.clear()
         return False
 
-    def learn(
+    def apply_updates(
         self,
         updates: Iterable[kinds.MemberUpdate],
         *,
-        believed: bool,
+        trusted: bool,
         spread: bool = True,
     ) -> bool:
-        """Take over updates and tell whether any was new.
+        """Apply updates and return whether any changed the table.
 
-        What was learnt from a whole table is not spread: it is no news.
+        Updates that are not ``trusted`` are applied only if they claim that a
+        member is alive or concern this daemon. Entries of a table exchange
+        are applied with ``spread=False``, since other daemons know them.
         """
-        learnt = False
+        is_changed = False
         for update in updates:
-            claimed = update.liveness is not kinds.Liveness.ALIVE
+            is_accusation = update.liveness is not kinds.Liveness.ALIVE
             own = update.instance_id == self._own_id
-            if own or believed or not claimed:
-                learnt = self._learn_one(update, spread=spread) or learnt
-        return learnt
+            if own or trusted or not is_accusation:
+                is_changed = (
+                    self._apply_update(update, spread=spread) or is_changed
+                )
+        return is_changed
 
     def suspect(self, instance_id: ids.InstanceId) -> None:
-        """Take a member that does not answer for suspect."""
-        self._claim(instance_id, kinds.Liveness.SUSPECT)
+        """Mark a member that does not answer as suspected."""
+        self._set_liveness(instance_id, kinds.Liveness.SUSPECT)
 
     def mark_replaced(
         self,
         instance_id: ids.InstanceId,
         successor: ids.InstanceId,
     ) -> None:
-        """Take a member for dead, as ``successor`` answers in its place.
+        """Mark a member as dead because ``successor`` has its address.
 
-        A probe that named the one was answered by the other at the same
-        address, so the named one had started before and is gone.
+        Both instances used the same address, and ``successor`` started later,
+        so the process of the earlier instance has ended.
         """
-        self._claim(instance_id, kinds.Liveness.DEAD, successor)
+        self._set_liveness(instance_id, kinds.Liveness.DEAD, successor)
 
     def expire(self) -> None:
-        """Act on the deadlines of suspects and of the remembered dead."""
+        """Apply the deadlines of suspects and of dead records."""
         now_s = self._clock.monotonic_s()
-        for suspect in table.overdue(self.table, now_s):
-            self._claim(suspect.instance_id, kinds.Liveness.DEAD)
+        for suspect in table.overdue_suspects(self.table, now_s):
+            self._set_liveness(suspect.instance_id, kinds.Liveness.DEAD)
         self.table.dead.expire(now_s)
 
     def announce_leaving(self) -> None:
-        """Mark this daemon as leaving; it stays so."""
+        """Mark this daemon as leaving, permanently."""
         own = self.table.own
         if not own.leaving:
             self._set_own(own.incarnation, leaving=True)
             self._on_event(events.MemberLeft(self._own_id, own.incarnation))
 
-    def _learn_one(self, update: kinds.MemberUpdate, *, spread: bool) -> bool:
+    def _apply_update(
+        self, update: kinds.MemberUpdate, *, spread: bool
+    ) -> bool:
         if not record.is_plausible(update):
             return False
         if update.instance_id == self._own_id:
-            self._hear_of_self(update)
+            self._refute(update)
             return False
         claim = record.from_update(update, self._clock.monotonic_s())
         if update.peer_address == self.table.own.identity.peer_address:
-            return self._hear_of_predecessor(claim)
+            return self._apply_predecessor(claim)
         return self._merge(claim, spread=spread)
 
-    def _hear_of_self(self, update: kinds.MemberUpdate) -> None:
+    def _refute(self, update: kinds.MemberUpdate) -> None:
         own = self.table.own
         refutable = update.incarnation < kinds.MAX_INCARNATION
         if update.liveness is kinds.Liveness.ALIVE or not refutable:
@@ -125,8 +133,8 @@
                 events.MemberRefuted(self._own_id, update.incarnation + 1),
             )
 
-    def _hear_of_predecessor(self, claim: record.Record) -> bool:
-        # This process holds the address, so whoever had it is gone.
+    def _apply_predecessor(self, claim: record.Record) -> bool:
+        # This process owns the address, so its previous owner has ended.
         known = self.table.get(claim.instance_id)
         newer = known is None or known.incarnation < claim.incarnation
         if claim.is_dead or not newer:
@@ -143,52 +151,52 @@
             leaving=leaving,
         )
         self.table.put(own, self._clock.monotonic_s())
-        self.gossip.introduce()
+        self.gossip.announce_self()
 
     def _merge(self, claim: record.Record, *, spread: bool) -> bool:
         prior = self.table.live_at(claim.identity.peer_address)
         change = self.table.apply(claim, self._clock.monotonic_s())
         if change is None:
-            self._count_repeat(claim)
+            self._record_duplicate(claim)
             return False
-        self._changed(change, spread=spread)
+        self._publish_change(change, spread=spread)
         if prior and change.before is None:
-            self._resolve_address(prior, change.after)
+            self._resolve_address_conflict(prior, change.after)
         return True
 
-    def _count_repeat(self, claim: record.Record) -> None:
-        held = self.table.get(claim.instance_id)
-        if held and record.standing(held) == record.standing(claim):
+    def _record_duplicate(self, claim: record.Record) -> None:
+        existing = self.table.get(claim.instance_id)
+        if existing and record.status_of(existing) == record.status_of(claim):
             self.gossip.rumors.record_duplicate(claim.instance_id)
 
-    def _resolve_address(
+    def _resolve_address_conflict(
         self,
         prior: record.Record,
         joined: record.Record,
     ) -> None:
         older, younger = sorted(
             (prior, joined),
-            key=lambda held: held.started_at_s,
+            key=lambda candidate: candidate.started_at_s,
         )
         self.mark_replaced(older.instance_id, younger.instance_id)
 
-    def _claim(
+    def _set_liveness(
         self,
         instance_id: ids.InstanceId,
         liveness: kinds.Liveness,
         successor: ids.InstanceId | None = None,
     ) -> None:
-        held = self.table.get(instance_id)
-        if held is None or instance_id == self._own_id:
+        existing = self.table.get(instance_id)
+        if existing is None or instance_id == self._own_id:
             return
         change = self.table.apply(
-            held.with_liveness(liveness),
+            existing.with_liveness(liveness),
             self._clock.monotonic_s(),
         )
         if change:
-            self._changed(change, successor=successor)
+            self._publish_change(change, successor=successor)
 
-    def _changed(
+    def _publish_change(
         self,
         change: table.Change,
         *,
@@ -199,7 +207,7 @@
             return
         after = change.after
         if after.is_dead:
-            self.contacts.remember(after.identity.peer_address)
+            self.contacts.add_unreachable(after.identity.peer_address)
         else:
             self.contacts.mark_reachable(after.identity.peer_address)
         if spread or after.is_dead:
--- a/libraries/membership/src/sardinepier/membership/internal/local_health.py
+++ b/libraries/membership/src/sardinepier/membership/internal/local_health.py
@@ -1,4 +1,4 @@
-"""How far this daemon doubts itself rather than its peers."""
+"""How likely this daemon itself is the cause of missed heartbeats."""
 
 from typing import Final
 
@@ -6,25 +6,25 @@
 
 
 class LocalHealth:
-    """A small number that grows while most peers seem to be away.
+    """The number of extra misses to tolerate while this daemon is degraded.
 
-    When most peers stop answering at once, the likeliest cause is here: a
-    paused process, a full queue, a cut link of this machine. The number is
-    how many more heartbeats a peer may miss before it is suspected. It is
-    bounded, since half of the fleet may truly be away.
+    When most peers stop answering at once, the cause is probably local: a
+    paused process, a full queue, or a cut link of this machine.
+    ``extra_misses`` is how many more heartbeats a peer may miss before it is
+    suspected. It is bounded, since half of the fleet may actually have failed.
     """
 
     def __init__(self) -> None:
-        """Start without doubt."""
-        self.level = 0
+        """Start as healthy."""
+        self.extra_misses = 0
 
-    def paused(self) -> None:
-        """Doubt as much as possible: this process has just woken."""
-        self.level = MAX_DEGRADATION
+    def mark_paused(self) -> None:
+        """Set the maximum: this process has just resumed after a pause."""
+        self.extra_misses = MAX_DEGRADATION
 
-    def observe(self, answered: int, missed: int) -> None:
-        """Weigh the heartbeats of one interval."""
+    def record_interval(self, answered: int, missed: int) -> None:
+        """Update ``extra_misses`` from the heartbeats of one interval."""
         if missed > answered:
-            self.level = min(self.level + 1, MAX_DEGRADATION)
+            self.extra_misses = min(self.extra_misses + 1, MAX_DEGRADATION)
         elif answered:
-            self.level = max(self.level - 1, 0)
+            self.extra_misses = max(self.extra_misses - 1, 0)
--- a/libraries/membership/src/sardinepier/membership/internal/member_cache.py
+++ b/libraries/membership/src/sardinepier/membership/internal/member_cache.py
@@ -1,4 +1,4 @@
-"""The members as the view shows them, built once for each version."""
+"""The members as the view shows them, computed once per table version."""
 
 from sardinepier.membership import members
 from sardinepier.membership.internal import table
@@ -7,22 +7,22 @@
 
 
 class MemberCache:
-    """Caches what :class:`View` promises over a table."""
+    """Caches the member lists that a ``View`` returns."""
 
     def __init__(self, records: table.Table) -> None:
-        """Show ``records``."""
+        """Cache the members of ``records``."""
         self._table = records
         self._version = -1
         self._living: _Members = ()
         self._serving: _Members = ()
 
     def living(self) -> _Members:
-        """Return all members but the dead ones, by name."""
+        """Return all members except dead ones, sorted by instance id."""
         self._refresh()
         return self._living
 
     def serving(self) -> _Members:
-        """Return the members in state ALIVE, by name."""
+        """Return the members in state ALIVE, sorted by instance id."""
         self._refresh()
         return self._serving
 
--- a/libraries/membership/src/sardinepier/membership/internal/pending.py
+++ b/libraries/membership/src/sardinepier/membership/internal/pending.py
@@ -1,4 +1,4 @@
-"""Probes that wait for their acks, by sequence number."""
+"""Probes that await their acks, by sequence number."""
 
 import dataclasses
 import itertools
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Requester:
-    """The peer for which a probe was sent, and its own number for it."""
+    """The peer that requested a probe, and its sequence number for it."""
 
     address: messages.PeerAddress
     sequence: int
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingProbe:
-    """One probe under way. ``target`` is empty when only an address was."""
+    """One probe in flight; ``target`` is empty if only an address is known."""
 
     target: ids.InstanceId
     address: messages.PeerAddress
@@ -27,16 +27,16 @@
 
 
 class PendingProbes:
-    """All probes under way; the oldest comes first."""
+    """All probes in flight, oldest first."""
 
     def __init__(self, max_pending: int) -> None:
-        """Await at most ``max_pending`` acks."""
+        """Keep at most ``max_pending`` probes; the oldest is dropped first."""
         self._max_pending = max_pending
         self._probes: dict[int, PendingProbe] = {}
         self._sequence = itertools.count(1)
 
     def open(self, probe: PendingProbe) -> int:
-        """Return the sequence number of a new probe."""
+        """Add a probe and return its sequence number."""
         if len(self._probes) >= self._max_pending:
             self._probes.pop(next(iter(self._probes)))
         sequence = next(self._sequence)
@@ -44,20 +44,20 @@
         return sequence
 
     def find(self, sequence: int) -> PendingProbe | None:
-        """Return the probe of that number while its ack is awaited."""
+        """Return the probe with this number, or None if it is not pending."""
         return self._probes.get(sequence)
 
     def close(self, sequence: int) -> PendingProbe | None:
-        """Return the probe of that number and await it no more."""
+        """Remove the probe with this number and return it, if it is pending."""
         return self._probes.pop(sequence, None)
 
     def expire(self, now_s: float) -> None:
-        """Forget the probes whose deadline has passed."""
-        # A changed interval leaves later deadlines before earlier ones.
+        """Remove the probes whose deadline has passed."""
+        # Deadlines may be out of order after the interval has changed.
         for sequence, probe in tuple(self._probes.items()):
             if probe.deadline_s <= now_s:
                 self._probes.pop(sequence)
 
     def clear(self) -> None:
-        """Forget all probes."""
+        """Remove all probes."""
         self._probes.clear()
--- a/libraries/membership/src/sardinepier/membership/internal/record.py
+++ b/libraries/membership/src/sardinepier/membership/internal/record.py
@@ -1,8 +1,8 @@
-"""One entry of the table, and the merge that makes order irrelevant.
+"""The record of one member, and the merge of two records.
 
-The merge is a maximum in a lattice: commutative, associative, idempotent.
-Whatever messages are lost, repeated or late, two daemons that have seen the
-same claims hold the same entry.
+The merge is the join of a lattice: commutative, associative and idempotent.
+Whatever messages are lost, duplicated or late, two daemons that have received
+the same claims have the same record.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """What never changes about an instance."""
+    """The immutable attributes of an instance."""
 
     instance_id: ids.InstanceId
     zone: ids.ZoneName
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """A member as one daemon holds it."""
+    """The state of a member as known to one daemon."""
 
     identity: Identity
     incarnation: int
@@ -41,27 +41,28 @@
 
     @property
     def instance_id(self) -> ids.InstanceId:
-        """The name of the instance."""
+        """The id of the instance."""
         return self.identity.instance_id
 
     @property
     def is_dead(self) -> bool:
-        """Whether the claim in force is that of death."""
+        """Whether the member is considered dead."""
         return self.liveness is kinds.Liveness.DEAD
 
     def with_liveness(self, liveness: kinds.Liveness) -> 'Record':
-        """Return the same record under another claim."""
+        """Return a copy of the record with another liveness."""
         return dataclasses.replace(self, liveness=liveness)
 
 
 def merge(left: Record, right: Record) -> Record:
-    """Return what follows from two records of the same instance.
-
-    The higher incarnation wins, since only the member itself raises it. At
-    the same one the worse claim wins, and the earlier start: every estimate
-    is late by its transit, so the earliest is nearest to the truth. A higher
-    incarnation brings its own estimate, so that a member whose clock stood
-    still with its machine can correct what others hold. Leaving is sticky.
+    """Merge two records of the same instance.
+
+    The higher incarnation wins, since only the member itself increments it.
+    At equal incarnations the worse liveness wins, and the earlier start time:
+    every estimate is late by its transit time, so the earliest is the most
+    accurate. A higher incarnation brings its own estimate of the start, so
+    that a member whose clock stopped with its machine can correct the
+    estimate of other daemons. Once set, ``leaving`` stays set.
     """
     leaving = left.leaving or right.leaving
     if left.incarnation == right.incarnation:
@@ -75,13 +76,13 @@
     return dataclasses.replace(newer, leaving=leaving)
 
 
-def standing(held: Record) -> tuple[int, kinds.Liveness, bool]:
-    """Return what is news when it changes: all but the estimate."""
-    return held.incarnation, held.liveness, held.leaving
+def status_of(record: Record) -> tuple[int, kinds.Liveness, bool]:
+    """Return the fields whose change is gossiped: all but the start time."""
+    return record.incarnation, record.liveness, record.leaving
 
 
 def from_member(member: members.Member) -> Record:
-    """Return the record of this daemon itself, as it starts."""
+    """Return the initial record of this daemon itself."""
     identity = Identity(
         instance_id=member.instance_id,
         zone=member.zone,
@@ -119,7 +120,7 @@
 
 
 def to_update(record: Record, now_s: float) -> kinds.MemberUpdate:
-    """Return the record as it travels, its age rounded down."""
+    """Return the record as an update, with the age rounded down to ms."""
     identity = record.identity
     age_ms = int((now_s - record.started_at_s) * _MS_PER_S)
     return kinds.MemberUpdate(
@@ -138,10 +139,10 @@
 
 
 def from_update(update: kinds.MemberUpdate, now_s: float) -> Record:
-    """Return an update that arrives now as a record on the local clock.
+    """Convert an update that arrives now to a record on the local clock.
 
-    The transit is not subtracted, as nobody knows it: the start seems late,
-    tickets seem older than they are, and that is the safe direction.
+    The transit time is unknown and therefore not subtracted. The start seems
+    later than it was and tickets seem older than they are, which is safe.
     """
     identity = Identity(
         instance_id=update.instance_id,
@@ -162,7 +163,7 @@
 
 
 def is_plausible(update: kinds.MemberUpdate) -> bool:
-    """Tell whether an update names an instance that could be reached."""
+    """Return whether an update has a valid instance id and peer address."""
     named = '~' in update.instance_id[1:]
     return named and update.peer_address.is_valid()
 
--- a/libraries/membership/src/sardinepier/membership/internal/rings.py
+++ b/libraries/membership/src/sardinepier/membership/internal/rings.py
@@ -1,11 +1,11 @@
-"""Which peers this daemon monitors.
+"""Selection of the peers that this daemon monitors.
 
-Each member has a point on each of a few rings, from a hash of its name, and
-is monitored on each ring by the one before it. So every member has a fixed
-number of monitors wherever it runs, without agreement, and one that joins or
-dies moves one edge on each ring only. Rendezvous hashing would give the same
-counts only after scoring all pairs, and consistent hashing by zone leaves
-some members without any monitor.
+Each member has a point on each of a few hash rings, computed from its instance
+id, and is monitored on each ring by its predecessor. Every member therefore has
+a fixed number of monitors without any coordination, and a member that joins or
+dies changes only one edge on each ring. Rendezvous hashing would give the same
+counts only after scoring all pairs, and consistent hashing by zone would leave
+some members without a monitor.
 """
 
 import functools
@@ -26,21 +26,23 @@
 ) -> tuple[ids.InstanceId, ...]:
     """Return the next member after ``own`` on each ring.
 
-    A member that is next on two rings makes room for the one after it, so
-    that small fleets are monitored as densely as large ones. On the first
-    ``zone_rings`` rings only members of the own zone stand, if there are any
-    left.
+    A member that is already chosen is skipped on later rings, so that members
+    of small fleets have as many monitors as those of large ones. The first
+    ``zone_rings`` rings contain only members of the daemon's own zone, unless
+    all of these are chosen already.
     """
     chosen: dict[ids.InstanceId, None] = {}
-    others = tuple(entry for entry in entries if entry is not own)
+    candidates = tuple(entry for entry in entries if entry is not own)
     for ring, start in enumerate(own.ring_points):
-        free = [
-            entry for entry in others if entry.record.instance_id not in chosen
+        remaining = [
+            entry
+            for entry in candidates
+            if entry.record.instance_id not in chosen
         ]
         if ring < zone_rings:
-            free = _of_zone(own, free) or free
+            remaining = _in_same_zone(own, remaining) or remaining
         nearest = min(
-            free,
+            remaining,
             key=functools.partial(_distance, ring, start),
             default=None,
         )
@@ -49,26 +51,26 @@
     return tuple(chosen)
 
 
-class Choice:
-    """The monitored peers, chosen anew only when something changed."""
+class MonitoredPeers:
+    """The monitored peers, recomputed only when the table or options change."""
 
     def __init__(self, records: table.Table) -> None:
-        """Choose from ``records``."""
+        """Select peers from ``records``."""
         self._table = records
-        self._chosen_for = (-1, 0, 0)
-        self._chosen: tuple[ids.InstanceId, ...] = ()
+        self._cache_key = (-1, 0, 0)
+        self._cached_ids: tuple[ids.InstanceId, ...] = ()
 
     def current(self, zone_rings: int = 0) -> tuple[ids.InstanceId, ...]:
         """Return the peers to monitor now."""
         own = self._table.entry(self._table.own.instance_id)
-        choosing_for = (self._table.version, len(own.ring_points), zone_rings)
-        if choosing_for != self._chosen_for:
-            self._chosen = monitored(own, self._table.entries(), zone_rings)
-            self._chosen_for = choosing_for
-        return self._chosen
+        cache_key = (self._table.version, len(own.ring_points), zone_rings)
+        if cache_key != self._cache_key:
+            self._cached_ids = monitored(own, self._table.entries(), zone_rings)
+            self._cache_key = cache_key
+        return self._cached_ids
 
 
-def _of_zone(
+def _in_same_zone(
     own: table.Entry,
     entries: Iterable[table.Entry],
 ) -> list[table.Entry]:
--- a/libraries/membership/src/sardinepier/membership/internal/suspicions.py
+++ b/libraries/membership/src/sardinepier/membership/internal/suspicions.py
@@ -1,4 +1,4 @@
-"""Deadlines of suspects where time or the options jump."""
+"""Adjusts the deadlines of suspects after a pause or an options change."""
 
 from sardinepier.core import clock
 from sardinepier.membership import options
@@ -6,8 +6,8 @@
 
 
 def extend(known: knowledge.Knowledge, time_source: clock.Clock) -> None:
-    """Give all suspects their whole time again, after a pause here."""
-    deadline_s = time_source.monotonic_s() + known.bounds.suspicion_timeout_s
+    """Restart the timeout of all suspects after a pause of this process."""
+    deadline_s = time_source.monotonic_s() + known.options.suspicion_timeout_s
     for entry in known.table.entries():
         if entry.deadline_s is not None:
             entry.deadline_s = deadline_s
@@ -15,23 +15,24 @@
 
 def configure(
     known: knowledge.Knowledge,
-    bounds: options.MembershipOptions,
+    membership_options: options.MembershipOptions,
     time_source: clock.Clock,
 ) -> None:
-    """Put other options in force for the table and its deadlines.
+    """Replace the options and adjust the table and its deadlines.
 
-    Who is suspected keeps the time that it was given, or gets more. Only a
-    deadline beyond all that holds from now on is brought forward.
+    A suspect keeps its deadline, or gets a later one if the timeout grew. A
+    deadline becomes earlier only if it lies beyond the new timeout plus the
+    time that the options need to reach all daemons.
     """
-    former_s = known.bounds.suspicion_timeout_s
-    known.bounds.change(bounds)
-    gained_s = max(known.bounds.suspicion_timeout_s - former_s, 0)
+    former_s = known.options.suspicion_timeout_s
+    known.options.change(membership_options)
+    gained_s = max(known.options.suspicion_timeout_s - former_s, 0)
     latest_s = (
         time_source.monotonic_s()
-        + bounds.suspicion_timeout_s
-        + current_options.SPREAD_S
+        + membership_options.suspicion_timeout_s
+        + current_options.PROPAGATION_S
     )
     for entry in known.table.entries():
-        table.change_rings(entry, bounds.monitored_peers)
+        table.set_ring_count(entry, membership_options.monitored_peers)
         if entry.deadline_s is not None:
             entry.deadline_s = min(entry.deadline_s + gained_s, latest_s)
--- a/libraries/membership/src/sardinepier/membership/internal/sync.py
+++ b/libraries/membership/src/sardinepier/membership/internal/sync.py
@@ -1,4 +1,4 @@
-"""The exchange of tables, which mends whatever messages were lost."""
+"""The exchange of member tables, which repairs the effects of lost messages."""
 
 import itertools
 import random
@@ -15,18 +15,19 @@
 )
 from sardinepier.wire import messages, network
 
-_MISMATCHES: Final = 2
-_MAX_MISMATCHED: Final = 64
-_UNANSWERED_ROUNDS: Final = 3
+_MISMATCHES_BEFORE_OFFER: Final = 2
+_MAX_MISMATCHED_PEERS: Final = 64
+_MAX_UNANSWERED_OFFERS: Final = 3
 
 
 class Sync:
-    """Offers digests to one peer now and then, or in turn while they differ.
+    """Offers digests to a peer periodically, and each tick while they differ.
 
-    A table is never sent whole: the peer answers with the entries of a few
-    buckets that differ, and gets back what it lacked of the same buckets. The
-    dead are not exchanged as facts. Where one side holds a living member for
-    dead it says so as a doubt, and the other side asks that member.
+    The whole table is never sent: the peer answers with the entries of some
+    buckets that differ, and receives the entries that it lacks in the same
+    buckets. Deaths are not exchanged as facts. If a member is dead in one
+    table and alive in the other, the former side sends a death claim and the
+    latter side probes the member.
     """
 
     def __init__(
@@ -35,67 +36,71 @@
         peer_network: network.PeerNetwork,
         time_source: clock.Clock,
         random_source: random.Random,
-        on_doubt: Callable[[kinds.MemberUpdate], None],
+        on_death_claim: Callable[[kinds.MemberUpdate], None],
     ) -> None:
-        """Hand doubts about living members to ``on_doubt``."""
+        """Pass death claims about living members to ``on_death_claim``."""
         self._known = known
         self._network = peer_network
         self._random = random_source
-        self._on_doubt = on_doubt
-        self._rounds_left = _UNANSWERED_ROUNDS
-        self._catch_up = catch_up.CatchUp(known.bounds, time_source)
-        self._wanted: messages.PeerAddress | None = None
+        self._on_death_claim = on_death_claim
+        self._offers_left = _MAX_UNANSWERED_OFFERS
+        self._catch_up = catch_up.CatchUp(known.options, time_source)
+        self._next_peer: messages.PeerAddress | None = None
         self._mismatches: dict[messages.PeerAddress, int] = {}
-        self._pace = jittered_interval.JitteredInterval(
-            lambda: known.bounds.current.sync_interval_s,
+        self._interval = jittered_interval.JitteredInterval(
+            lambda: known.options.current.sync_interval_s,
             time_source,
             random_source,
         )
 
     def tick(self) -> None:
-        """Offer the digests if a difference is known or the time has come."""
-        due = self._pace.is_due()
-        if self._rounds_left <= 0 and not due:
+        """Offer the digests if a difference is known or the interval is over."""
+        due = self._interval.is_due()
+        if self._offers_left <= 0 and not due:
             return
-        peer = self._wanted or self._any_peer()
+        peer = self._next_peer or self._random_peer()
         if peer is None:
             return
         if due:
-            self._pace.renew()
-        self._rounds_left -= 1
-        self._wanted = None
+            self._interval.schedule_next()
+        self._offers_left -= 1
+        self._next_peer = None
         self._offer(peer)
 
-    def observe(self, peer: messages.PeerAddress, digest: int) -> None:
-        """Compare the digest on an ack; a lasting difference starts a round.
+    def compare_digest(self, peer: messages.PeerAddress, digest: int) -> None:
+        """Compare the digest of an ack; repeated mismatches lead to an offer.
 
-        One difference alone is common: news is on its way. Whoever has just
-        started asks the first that answers, at once.
+        A single mismatch is common, because updates are in transit. A daemon
+        that has just started sends an offer to the first peer that answers.
         """
-        if self._catch_up.may_begin():
+        if self._catch_up.may_start():
             self._offer(peer)
         if digest == self._known.table.digests.total():
             self._mismatches.pop(peer, None)
             return
         count = self._mismatches.pop(peer, 0) + 1
-        if count < _MISMATCHES:
+        if count < _MISMATCHES_BEFORE_OFFER:
             self._mismatches[peer] = count
-            if len(self._mismatches) > _MAX_MISMATCHED:
+            if len(self._mismatches) > _MAX_MISMATCHED_PEERS:
                 self._mismatches.pop(next(iter(self._mismatches)))
         else:
-            self._want(peer)
+            self._schedule_offers(peer)
 
     def on_offer(
         self,
         sender: messages.Sender,
         offer: kinds.SyncOffer,
     ) -> None:
-        """Answer with entries that differ, within the bound of a second."""
-        if self._known.gossip.budget.entries_left() <= 0:
+        """Answer with entries that differ, within the rate limit."""
+        if self._known.gossip.budget.available_entries() <= 0:
             return
         differing = self._known.table.digests.differing(offer.digests)
         chosen = self._choose_buckets(differing)
-        entries = [held for bucket in chosen.values() for held in bucket]
+        entries = [
+            member_record
+            for bucket in chosen.values()
+            for member_record in bucket
+        ]
         self._known.gossip.budget.spend_entries(len(entries))
         self._network.send(
             sender.address,
@@ -110,33 +115,33 @@
         sender: messages.Sender,
         entries: kinds.SyncEntries,
     ) -> None:
-        """Take over entries and return what the sender lacks."""
-        self._rounds_left = 0
+        """Apply entries and send back those that the sender lacks."""
+        self._offers_left = 0
         if not entries.buckets:
             return
-        doubts = self._doubts(entries.updates)
-        learnt = self._learn(sender, entries.updates)
-        lacking = self._lacking(entries)
-        self._send_patch(sender, lacking, doubts)
-        if learnt:
-            self._want(sender.address)
-            if self._catch_up.may_go_on():
-                self._offer(self._any_peer())
+        death_claims = self._death_claims(entries.updates)
+        is_changed = self._apply_updates(sender, entries.updates)
+        missing = self._missing_updates(entries)
+        self._send_patch(sender, missing, death_claims)
+        if is_changed:
+            self._schedule_offers(sender.address)
+            if self._catch_up.may_continue():
+                self._offer(self._random_peer())
 
     def on_patch(
         self,
         sender: messages.Sender,
         patch: kinds.SyncPatch,
     ) -> None:
-        """Take over what this side lacked, and look into doubts."""
-        doubts = self._doubts(patch.updates)
-        self._learn(sender, patch.updates)
-        self._send_patch(sender, (), doubts)
-        for claim in patch.doubts:
+        """Apply entries that this side lacked, and check death claims."""
+        death_claims = self._death_claims(patch.updates)
+        self._apply_updates(sender, patch.updates)
+        self._send_patch(sender, (), death_claims)
+        for claim in patch.death_claims:
             if claim.instance_id == self._known.table.own.instance_id:
-                self._known.learn((claim,), believed=True)
+                self._known.apply_updates((claim,), trusted=True)
             else:
-                self._on_doubt(claim)
+                self._on_death_claim(claim)
 
     def _offer(self, peer: messages.PeerAddress | None) -> None:
         if peer is not None:
@@ -145,11 +150,11 @@
                 kinds.SyncOffer(self._known.table.digests.encode()),
             )
 
-    def _want(self, peer: messages.PeerAddress) -> None:
-        self._wanted = peer
-        self._rounds_left = _UNANSWERED_ROUNDS
+    def _schedule_offers(self, peer: messages.PeerAddress) -> None:
+        self._next_peer = peer
+        self._offers_left = _MAX_UNANSWERED_OFFERS
 
-    def _any_peer(self) -> messages.PeerAddress | None:
+    def _random_peer(self) -> messages.PeerAddress | None:
         peers = self._known.table.peers()
         if not peers:
             return None
@@ -159,17 +164,17 @@
         self,
         differing: list[int],
     ) -> dict[int, list[record.Record]]:
-        # In random order, so that many offers at once get different parts.
+        # Random order, so that simultaneous offers get different buckets.
         self._random.shuffle(differing)
         chosen: dict[int, list[record.Record]] = {}
-        left = self._known.gossip.budget.entries_left()
+        remaining = self._known.gossip.budget.available_entries()
         grouped = self._in_buckets(differing)
         for bucket in differing:
             entries = grouped[bucket]
-            if chosen and len(entries) > left:
+            if chosen and len(entries) > remaining:
                 break
             chosen[bucket] = entries
-            left -= len(entries)
+            remaining -= len(entries)
         return chosen
 
     def _in_buckets(
@@ -185,55 +190,55 @@
                 group.append(entry.record)
         return grouped
 
-    def _learn(
+    def _apply_updates(
         self,
         sender: messages.Sender,
         updates: Iterable[kinds.MemberUpdate],
     ) -> bool:
-        believed = self._known.record_contact(sender)
-        return self._known.learn(updates, believed=believed, spread=False)
+        trusted = self._known.record_contact(sender)
+        return self._known.apply_updates(updates, trusted=trusted, spread=False)
 
-    def _lacking(
+    def _missing_updates(
         self,
         entries: kinds.SyncEntries,
     ) -> tuple[kinds.MemberUpdate, ...]:
-        theirs = {
+        peer_status = {
             update.instance_id: (update.incarnation, update.leaving)
             for update in entries.updates
         }
-        lacking = (
-            held
+        missing = (
+            member_record
             for group in self._in_buckets(entries.buckets).values()
-            for held in group
-            if theirs.get(held.instance_id, (-1, False))
-            < (held.incarnation, held.leaving)
+            for member_record in group
+            if peer_status.get(member_record.instance_id, (-1, False))
+            < (member_record.incarnation, member_record.leaving)
         )
-        allowed = self._known.gossip.budget.entries_left()
-        updates = self._known.gossip.updates(itertools.islice(lacking, allowed))
+        allowed = self._known.gossip.budget.available_entries()
+        updates = self._known.gossip.updates(itertools.islice(missing, allowed))
         self._known.gossip.budget.spend_entries(len(updates))
         return updates
 
-    def _doubts(
+    def _death_claims(
         self,
         updates: Iterable[kinds.MemberUpdate],
     ) -> tuple[kinds.MemberUpdate, ...]:
-        held_dead = (
-            held
+        dead_here = (
+            member_record
             for update in updates
-            if (held := self._known.table.get(update.instance_id))
-            and held.is_dead
-            and held.incarnation >= update.incarnation
+            if (member_record := self._known.table.get(update.instance_id))
+            and member_record.is_dead
+            and member_record.incarnation >= update.incarnation
         )
-        return self._known.gossip.updates(held_dead)
+        return self._known.gossip.updates(dead_here)
 
     def _send_patch(
         self,
         sender: messages.Sender,
         updates: tuple[kinds.MemberUpdate, ...],
-        doubts: tuple[kinds.MemberUpdate, ...],
+        death_claims: tuple[kinds.MemberUpdate, ...],
     ) -> None:
-        if updates or doubts:
+        if updates or death_claims:
             self._network.send(
                 sender.address,
-                kinds.SyncPatch(updates=updates, doubts=doubts),
+                kinds.SyncPatch(updates=updates, death_claims=death_claims),
             )
--- a/libraries/membership/src/sardinepier/membership/internal/table.py
+++ b/libraries/membership/src/sardinepier/membership/internal/table.py
@@ -1,4 +1,4 @@
-"""All records of one daemon, with their deadlines and digests."""
+"""The member table of one daemon, with deadlines and digests."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -14,17 +14,17 @@
 )
 from sardinepier.wire import messages
 
-# Each repeat of known news tells the start anew, a little better or worse.
-# Taking over every small gain would change the view with each message.
-_START_GAIN_S: Final = 0.05
+# Every update carries a slightly different estimate of the start time.
+# Applying each small difference would change the view with every message.
+_MIN_START_CHANGE_S: Final = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """A living record with what is kept beside it.
+    """A living record with its indexes and its deadline.
 
-    ``deadline_s`` is until when a suspect may refute. ``cached_member`` is the
-    record as the view shows it, once anybody asked.
+    ``deadline_s`` is the time until which a suspect may refute.
+    ``cached_member`` is the record as the view shows it, computed on demand.
     """
 
     record: record.Record
@@ -42,28 +42,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What a claim made of a record."""
+    """A record before and after a claim was applied."""
 
     before: record.Record | None
     after: record.Record
 
 
 class Table:
-    """The records of one daemon; its own record is among them."""
+    """The records of one daemon, including its own."""
 
     def __init__(
         self,
         own: record.Record,
-        bounds: current_options.CurrentOptions,
+        active_options: current_options.CurrentOptions,
     ) -> None:
-        """Start with the daemon's own record alone."""
+        """Start with only the daemon's own record."""
         self.version = 0
         self.digests = digests.Digests()
         self.dead = dead_records.DeadRecords(
-            bounds.current.dead_keep_s,
-            bounds.current.max_dead,
+            active_options.current.dead_keep_s,
+            active_options.current.max_dead,
         )
-        self._bounds = bounds
+        self._options = active_options
         self._own_id = own.instance_id
         self._entries: dict[ids.InstanceId, Entry] = {}
         self._by_address: dict[messages.PeerAddress, ids.InstanceId] = {}
@@ -76,37 +76,37 @@
 
     @property
     def seems_cut_off(self) -> bool:
-        """Tell whether at least half of the fleet seems dead from here.
+        """Whether at least half of the fleet seems dead from here.
 
-        Then it is more likely this daemon that the others lost.
+        Then it is more likely that this daemon is cut off from the fleet.
         """
         return len(self.dead) >= self.live_count
 
     @property
     def live_count(self) -> int:
-        """How many records are not dead, this daemon's included."""
+        """The number of living records, including this daemon's."""
         return len(self._entries)
 
     def get(self, instance_id: ids.InstanceId) -> record.Record | None:
-        """Return the record of that name in any state."""
+        """Return the record of an instance in any state, or None."""
         entry = self._entries.get(instance_id)
         return entry.record if entry else self.dead.get(instance_id)
 
     def entry(self, instance_id: ids.InstanceId) -> Entry:
-        """Return the entry of an instance that is known and not dead."""
+        """Return the entry of an instance, which must be known and not dead."""
         return self._entries[instance_id]
 
     def live_at(self, address: messages.PeerAddress) -> record.Record | None:
-        """Return the living record at ``address``, if there is one."""
+        """Return the living record at ``address``, or None."""
         instance_id = self._by_address.get(address)
         return self.get(instance_id) if instance_id else None
 
     def entries(self) -> Iterator[Entry]:
-        """Return all living entries."""
+        """Iterate over all living entries."""
         return iter(self._entries.values())
 
     def peers(self) -> list[record.Record]:
-        """Return all living records without this daemon's."""
+        """Return all living records except this daemon's."""
         return [
             entry.record
             for instance_id, entry in self._entries.items()
@@ -114,28 +114,28 @@
         ]
 
     def apply(self, claim: record.Record, now_s: float) -> Change | None:
-        """Merge ``claim`` and return the change, or None without one.
+        """Merge ``claim`` and return the change, or None if there is none.
 
-        News of the death of an unknown instance is dropped: storing it would
-        let the dead travel in circles for ever.
+        A claim of death about an unknown instance is dropped. If it were
+        stored, daemons would pass claims about dead members on forever.
         """
         before = self.get(claim.instance_id)
         if before is None:
             if (
                 claim.is_dead
-                or self.live_count >= self._bounds.current.max_members
+                or self.live_count >= self._options.current.max_members
             ):
                 return None
             self.put(claim, now_s)
             return Change(None, claim)
         after = record.merge(before, claim)
-        if _is_same(before, after):
+        if _is_unchanged(before, after):
             return None
         self.put(after, now_s)
         return Change(before, after)
 
     def put(self, after: record.Record, now_s: float) -> None:
-        """Store a record in place of the one that is held."""
+        """Store a record, replacing that of the same instance."""
         prior = self._entries.pop(after.instance_id, None)
         if prior is not None:
             self._remove_indexes(prior)
@@ -154,12 +154,12 @@
     ) -> None:
         entry = prior or _new_entry(
             after,
-            self._bounds.current.monitored_peers,
+            self._options.current.monitored_peers,
         )
         if entry.record.liveness is not after.liveness or prior is None:
             entry.deadline_s = None
             if after.liveness is kinds.Liveness.SUSPECT:
-                entry.deadline_s = now_s + self._bounds.suspicion_timeout_s
+                entry.deadline_s = now_s + self._options.suspicion_timeout_s
         entry.record = after
         entry.cached_member = None
         self._entries[after.instance_id] = entry
@@ -173,8 +173,8 @@
             self._by_address.pop(address)
 
 
-def overdue(table: Table, now_s: float) -> list[record.Record]:
-    """Return the suspects whose time to refute has run out."""
+def overdue_suspects(table: Table, now_s: float) -> list[record.Record]:
+    """Return the suspects whose deadline to refute has passed."""
     return [
         entry.record
         for entry in table.entries()
@@ -182,26 +182,28 @@
     ]
 
 
-def change_rings(entry: Entry, rings: int) -> None:
-    """Give an entry a point on each of ``rings`` rings."""
-    kept = entry.ring_points[:rings]
-    added = _points(entry.record.instance_id, range(len(kept), rings))
-    entry.ring_points = kept + added
+def set_ring_count(entry: Entry, rings: int) -> None:
+    """Set the points of an entry for ``rings`` rings."""
+    kept_points = entry.ring_points[:rings]
+    added_points = _ring_points(
+        entry.record.instance_id, range(len(kept_points), rings)
+    )
+    entry.ring_points = kept_points + added_points
 
 
 def _new_entry(after: record.Record, rings: int) -> Entry:
-    points = _points(after.instance_id, range(rings))
+    points = _ring_points(after.instance_id, range(rings))
     return Entry(after, digests.bucket_of(after.instance_id), points)
 
 
-def _points(instance_id: ids.InstanceId, rings: range) -> tuple[int, ...]:
+def _ring_points(instance_id: ids.InstanceId, rings: range) -> tuple[int, ...]:
     return tuple(
         rendezvous.score(f'ring-{ring}', instance_id) for ring in rings
     )
 
 
-def _is_same(before: record.Record, after: record.Record) -> bool:
-    gain_s = abs(before.started_at_s - after.started_at_s)
-    return gain_s < _START_GAIN_S and record.standing(
+def _is_unchanged(before: record.Record, after: record.Record) -> bool:
+    start_change_s = abs(before.started_at_s - after.started_at_s)
+    return start_change_s < _MIN_START_CHANGE_S and record.status_of(
         before,
-    ) == record.standing(after)
+    ) == record.status_of(after)
--- a/libraries/membership/src/sardinepier/membership/kinds.py
+++ b/libraries/membership/src/sardinepier/membership/kinds.py
@@ -1,4 +1,4 @@
-"""The messages of membership; the daemon registers :data:`KINDS`."""
+"""Membership messages; the daemon registers :data:`KINDS`."""
 
 import enum
 from typing import Annotated, Final
@@ -19,7 +19,7 @@
 
 
 class Liveness(enum.IntEnum):
-    """A claim about a member; the greater one wins at equal incarnation."""
+    """A claim about a member; at equal incarnations the greater one wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,10 +27,11 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What one daemon holds about a member, as it travels.
+    """The record of a member, as daemons send it to each other.
 
-    ``age_ms`` is how long the member had been running when this was sent.
-    An age, because clocks of two processes share no origin.
+    ``age_ms`` is how long the member had been running when the update was
+    sent. The update carries an age rather than a time because the monotonic
+    clocks of two processes have different origins.
     """
 
     instance_id: ids.InstanceId
@@ -61,9 +62,9 @@
 
 
 class Probe(messages.Message, frozen=True):
-    """A heartbeat that asks for an :class:`Ack`.
+    """A heartbeat that requests an :class:`Ack`.
 
-    ``target`` is the instance meant, or empty when only its address is known.
+    ``target`` is the probed instance, or empty when only its address is known.
     """
 
     sequence: int
@@ -75,19 +76,19 @@
 class Ack(messages.Message, frozen=True):
     """The answer to a probe.
 
-    ``digest`` sums up the table of the answering daemon. ``stranger`` tells
-    the prober that the answering daemon does not know it.
+    ``digest`` is the digest of the answering daemon's member table.
+    ``sender_unknown`` is true if that table does not contain the prober.
     """
 
     sequence: int
     mark: marks.ConfigurationMark
     digest: int
-    stranger: bool = False
+    sender_unknown: bool = False
     updates: _Updates = ()
 
 
 class IndirectProbe(messages.Message, frozen=True):
-    """Asks the receiver to probe ``target`` on the sender's behalf."""
+    """Requests that the receiver probe ``target`` on the sender's behalf."""
 
     sequence: int
     target: ids.InstanceId
@@ -95,22 +96,22 @@
 
 
 class IndirectAck(messages.Message, frozen=True):
-    """Tells that ``answered_by`` answered at the address asked about."""
+    """Reports that ``answered_by`` answered at the requested address."""
 
     sequence: int
     answered_by: ids.InstanceId
 
 
 class SyncOffer(messages.Message, frozen=True):
-    """Digests of the sender's table, one for each bucket of members."""
+    """Digests of the sender's member table, one per bucket of members."""
 
     digests: _Digests
 
 
 class SyncEntries(messages.Message, frozen=True):
-    """All living entries of the buckets that differed and fit.
+    """All living entries of those differing buckets that fit the budget.
 
-    Without buckets it says that the two tables are alike.
+    An empty ``buckets`` states that the two tables are equal.
     """
 
     buckets: _Buckets
@@ -118,14 +119,14 @@
 
 
 class SyncPatch(messages.Message, frozen=True):
-    """What the other side lacked, and what its entries are doubted for.
+    """Entries that the receiver lacked, and claims against its entries.
 
-    ``doubts`` are claims of death about members that the receiver holds for
-    alive. It does not take them over; it asks those members.
+    ``death_claims`` are about members that are alive in the receiver's table.
+    The receiver does not apply these claims; it probes the members instead.
     """
 
     updates: _Updates
-    doubts: _Updates
+    death_claims: _Updates
 
 
 _Kinds = tuple[type[messages.Message], ...]
--- a/libraries/membership/src/sardinepier/membership/members.py
+++ b/libraries/membership/src/sardinepier/membership/members.py
@@ -1,4 +1,4 @@
-"""What one daemon knows about another."""
+"""The description of a fleet member in one daemon's view."""
 
 import dataclasses
 import enum
@@ -12,26 +12,26 @@
 
 
 class MemberState(enum.Enum):
-    """How a member stands in the view of one daemon."""
+    """The state of a member in the view of one daemon."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
-    """It did not answer; it is dead at a deadline unless it refutes."""
+    """Did not answer; becomes DEAD at a deadline unless it refutes."""
 
     LEAVING = 'leaving'
-    """It announced its exit. This never changes back for an instance."""
+    """Announced its exit; an instance never returns from this to ALIVE."""
 
     DEAD = 'dead'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """One instance of a daemon, as the view of this daemon holds it.
+    """One instance of a daemon, as seen by this daemon.
 
     ``started_at_s`` estimates, on this process's monotonic clock, when the
-    member started. It is late by the time that news took to get here, and
-    never early. ``incarnation`` grows when the member refutes what others
-    claim about it. ``capacity`` is what it can do.
+    member started. The estimate is late by the transit time of the updates
+    and never early. The member increments ``incarnation`` to refute claims
+    about itself. ``capacity`` is what the instance announces it can process.
     """
 
     instance_id: ids.InstanceId
@@ -48,10 +48,10 @@
 
 
 def daemon_of(instance_id: ids.InstanceId) -> ids.DaemonId:
-    """Return the configured name within an instance's name.
+    """Return the configured daemon name that an instance id begins with.
 
     For example ``daemon_of('entry-3~00c0ffee00c0ffee')`` is ``'entry-3'``.
-    Raises ``InvalidArgumentError`` when there is none.
+    Raises ``InvalidArgumentError`` if the id contains no daemon name.
     """
     name = instance_id.rpartition(_SEPARATOR)[0]
     if not name:
--- a/libraries/membership/src/sardinepier/membership/options.py
+++ b/libraries/membership/src/sardinepier/membership/options.py
@@ -1,4 +1,4 @@
-"""Every interval and bound of membership, with its default."""
+"""Intervals and limits of membership, with their defaults."""
 
 import dataclasses
 from typing import Final
@@ -15,18 +15,19 @@
 DEFAULT_SYNC_INTERVAL_S: Final = 10.0
 DEFAULT_SYNC_ENTRIES_PER_S: Final = 80
 DEFAULT_UPDATES_PER_S: Final = 80
-DEFAULT_GREETINGS_PER_S: Final = 32
+DEFAULT_FIRST_CONTACT_ACKS_PER_S: Final = 32
 DEFAULT_NAMED_TO_STRANGERS: Final = 0
 DEFAULT_ROUNDS_PER_S: Final = 0
-DEFAULT_LOST_RETRY_S: Final = 5.0
+DEFAULT_CONTACT_RETRY_S: Final = 5.0
 DEFAULT_DEAD_KEEP_S: Final = 600.0
 DEFAULT_MAX_MEMBERS: Final = 4096
 DEFAULT_MAX_DEAD: Final = 1024
 DEFAULT_MAX_CONTACTS: Final = 2048
 
-_FAST_ENTRIES_PER_S: Final = 300
-"""As many as keep the three that all know the addresses of within 29 kB/s over
-the first five seconds: an entry has some hundred bytes."""
+_FAST_START_ENTRIES_PER_S: Final = 300
+"""Entry rate during a fast start. At about one hundred bytes per entry it keeps
+the three seed daemons, which all others contact, within 29 kB/s over the first
+five seconds."""
 
 _MAY_BE_ZERO: Final = frozenset(
     ('zone_peers', 'named_to_strangers', 'rounds_per_s'),
@@ -35,23 +36,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipOptions:
-    """How often membership works, and how much at most.
+    """Intervals and limits of one daemon's membership.
 
-    ``heartbeat_interval_s`` lies between two heartbeats to each of
-    ``monitored_peers`` peers, of which ``zone_peers`` are taken from the own
-    zone while there are any: bytes between zones are dear, and the others
-    still tell of a zone that is cut off. A suspected member has
-    ``suspicion_timeout_s`` to refute. A gap of ``pause_gap_s`` between two
-    ticks means that this process was paused. ``indirect_peers`` are asked to
-    probe in turn when a peer does not answer. ``updates_per_message`` bounds
-    the news on one heartbeat and ``updates_per_s`` that on all of one
-    second, ``sync_entries_per_s`` the table entries given to others
-    within one, and ``greetings_per_s`` the answers to daemons that know only an
-    address; such an answer names ``named_to_strangers`` others beside the sender.
-    ``rounds_per_s`` exchanges of tables may follow each other at once while they
-    bring something new; with 0 there is one an interval. One lost or seed
-    address is tried each ``lost_retry_s``. The dead are remembered for
-    ``dead_keep_s``, so that old news does not bring them back.
+    - ``heartbeat_interval_s``: time between two heartbeats to the same peer.
+    - ``monitored_peers``: number of peers that receive heartbeats.
+    - ``zone_peers``: how many of them are in the daemon's own zone, if it has
+      other members. Traffic between zones is expensive; the remaining peers
+      still detect that a zone is cut off.
+    - ``suspicion_timeout_s``: how long a suspected member may refute.
+    - ``pause_gap_s``: a longer gap between two ticks means that this process
+      was paused.
+    - ``indirect_peers``: how many peers are requested to probe a peer that
+      did not answer.
+    - ``updates_per_message``, ``updates_per_s``: limits on the gossip of one
+      heartbeat and of one second.
+    - ``sync_interval_s``: time between two table exchanges with equal tables.
+    - ``sync_entries_per_s``: limit on table entries sent in table exchanges.
+    - ``first_contact_acks_per_s``: limit on answers to daemons that know only
+      this daemon's address.
+    - ``named_to_strangers``: how many other members such an answer contains.
+    - ``rounds_per_s``: how many table exchanges may follow each other at once
+      while they bring new entries; with 0 there is one per interval.
+    - ``contact_retry_s``: time between probes of seed addresses and addresses
+      of unreachable members.
+    - ``dead_keep_s``: how long dead members are remembered, so that outdated
+      updates do not revive them.
+    - ``max_members``, ``max_dead``, ``max_contacts``: limits on stored living
+      members, dead members, and addresses of either sort.
     """
 
     heartbeat_interval_s: float = DEFAULT_HEARTBEAT_INTERVAL_S
@@ -64,17 +75,17 @@
     updates_per_s: int = DEFAULT_UPDATES_PER_S
     sync_interval_s: float = DEFAULT_SYNC_INTERVAL_S
     sync_entries_per_s: int = DEFAULT_SYNC_ENTRIES_PER_S
-    greetings_per_s: int = DEFAULT_GREETINGS_PER_S
+    first_contact_acks_per_s: int = DEFAULT_FIRST_CONTACT_ACKS_PER_S
     named_to_strangers: int = DEFAULT_NAMED_TO_STRANGERS
     rounds_per_s: int = DEFAULT_ROUNDS_PER_S
-    lost_retry_s: float = DEFAULT_LOST_RETRY_S
+    contact_retry_s: float = DEFAULT_CONTACT_RETRY_S
     dead_keep_s: float = DEFAULT_DEAD_KEEP_S
     max_members: int = DEFAULT_MAX_MEMBERS
     max_dead: int = DEFAULT_MAX_DEAD
     max_contacts: int = DEFAULT_MAX_CONTACTS
 
     def __post_init__(self) -> None:
-        """Raise ``InvalidArgumentError`` for what cannot work."""
+        """Raise ``InvalidArgumentError`` for values that cannot work."""
         for field in dataclasses.fields(self):
             if field.name not in _MAY_BE_ZERO:
                 _check_positive(field.name, getattr(self, field.name))
@@ -95,12 +106,12 @@
 
 
 FAST_START: Final = MembershipOptions(
-    sync_entries_per_s=_FAST_ENTRIES_PER_S,
-    greetings_per_s=2 * DEFAULT_GREETINGS_PER_S,
+    sync_entries_per_s=_FAST_START_ENTRIES_PER_S,
+    first_contact_acks_per_s=2 * DEFAULT_FIRST_CONTACT_ACKS_PER_S,
     named_to_strangers=4,
     rounds_per_s=8,
 )
-"""For fleets of some hundred daemons that may all start at once, each with three
-addresses, while requests come. Half of 293 know half of the others after 0.75 s
-instead of 6 s, in virtual time. It takes 50 kB/s of each daemon within the first
-second, and no more than the defaults once all are known."""
+"""For fleets of several hundred daemons that may start at the same time, each with
+three seed addresses, while requests arrive. In simulated time, half of 293 daemons
+know half of the others after 0.75 s instead of 6 s. Each daemon sends 50 kB/s
+within the first second, and no more than with the defaults once all are known."""
--- a/libraries/membership/src/sardinepier/membership/view.py
+++ b/libraries/membership/src/sardinepier/membership/view.py
@@ -1,4 +1,4 @@
-"""What other libraries may ask about the fleet."""
+"""The interface through which other libraries see the fleet."""
 
 from typing import Protocol
 
@@ -7,13 +7,14 @@
 
 
 class View(Protocol):
-    """This daemon's picture of the fleet; it lags and may be wrong.
+    """This daemon's view of the fleet, which lags and may be wrong.
 
-    It may decide which daemon is asked, never whether a request may run.
+    It may be used to select a daemon for a request, but never to decide
+    whether the request may run.
     """
 
     def members(self) -> tuple[model.Member, ...]:
-        """Return all members but the dead ones, this daemon included."""
+        """Return all members except dead ones, this daemon included."""
         ...
 
     def serving(self) -> tuple[model.Member, ...]:
@@ -21,7 +22,7 @@
         ...
 
     def find(self, instance_id: ids.InstanceId) -> model.Member | None:
-        """Return the member of that name in any state, if it is known."""
+        """Return the member with this id in any state, or None if unknown."""
         ...
 
     @property
@@ -31,5 +32,5 @@
 
     @property
     def version(self) -> int:
-        """A number that grows with every change of the view."""
+        """A number that increases with every change of the view."""
         ...
--- a/libraries/membership/tests/conftest.py
+++ b/libraries/membership/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small fleet over the memory network, driven without wall time."""
+"""A simulated fleet over the memory network, with a manual clock."""
 
 import collections
 import random
@@ -19,23 +19,23 @@
 
 
 class Fleet:
-    """Daemons that tick one after the other, each once an interval."""
+    """Daemons that tick one after another, each once per interval."""
 
-    def __init__(self, size, zones=3, seed=1, **bounds):
+    def __init__(self, size, zones=3, seed=1, **overrides):
         self.clock = clock.ManualClock(start_s=1000)
         self.random = random.Random(seed)
         self.hub = memory_network.MemoryHub(
             kinds.KINDS, self.clock, self.random
         )
         self.zones = zones
-        self.options = options.MembershipOptions(**bounds)
+        self.options = options.MembershipOptions(**overrides)
         self.running = {}
         self.intervals_s = {}
         self.due_s = {}
         self.networks = {}
         self.paused = set()
         self.events = collections.defaultdict(list)
-        self.heard_marks = collections.Counter()
+        self.received_marks = collections.Counter()
         for index in range(size):
             self.start(index)
 
@@ -67,7 +67,9 @@
             random.Random(self.random.getrandbits(64)),
             self.options,
             lambda: marks.ConfigurationMark(index, 2**64 - 1),
-            lambda who, mark: self.heard_marks.update([mark.newest_revision]),
+            lambda sender, mark: self.received_marks.update(
+                [mark.newest_revision]
+            ),
             self.events[instance_id].append,
         )
         started.seed(self.address(seed) for seed in seeds)
@@ -97,11 +99,11 @@
                         self.address(source), self.address(destination)
                     )
 
-    def part(self, left, right):
+    def partition(self, left, right):
         self.cut(left, right)
         self.cut(right, left)
 
-    def tick(self, count=1, watch=None):
+    def tick(self, count=1, check=None):
         interval_s = self.options.heartbeat_interval_s
         for _ in range(count):
             for index in tuple(self.running):
@@ -109,16 +111,16 @@
                 if index not in self.paused:
                     self.running[index].tick()
                 self.hub.deliver()
-            if watch:
-                watch()
+            if check:
+                check()
 
-    def configure(self, index, **bounds):
-        figures = options.MembershipOptions(**bounds)
-        self.running[index].configure(figures)
-        self.intervals_s[index] = figures.heartbeat_interval_s
+    def configure(self, index, **overrides):
+        new_options = options.MembershipOptions(**overrides)
+        self.running[index].configure(new_options)
+        self.intervals_s[index] = new_options.heartbeat_interval_s
 
     def run_for(self, seconds):
-        """Let each daemon tick at its own interval, as configured."""
+        """Run the fleet, with each daemon ticking at its configured interval."""
         end_s = self.clock.monotonic_s() + seconds
         while True:
             due_s, index = min(self._due(index) for index in self.running)
@@ -146,35 +148,37 @@
         return {member.instance_id for member in self.running[index].serving()}
 
     def agree(self, indexes=None):
-        """Whether each of ``indexes`` sees exactly those as serving."""
+        """Return whether each of ``indexes`` sees exactly those as serving."""
         chosen = self.running if indexes is None else indexes
         names = self.names(chosen)
         return all(self.sees(index) == names for index in chosen)
 
     def reported(self, index, *kinds_of_event):
-        """Names that one daemon reported in such events."""
+        """Return the ids that one daemon reported in events of these kinds."""
         return {
             event.instance_id
             for event in self.events[self.running[index].own.instance_id]
             if isinstance(event, kinds_of_event)
         }
 
-    def ended(self, *kinds_of_end):
-        """Names that any running daemon reported in such events."""
-        ended = [self.reported(index, *kinds_of_end) for index in self.running]
-        return set().union(*ended)
+    def reported_by_any(self, *kinds_of_event):
+        """Return the ids that any running daemon reported in such events."""
+        reported_by_each = [
+            self.reported(index, *kinds_of_event) for index in self.running
+        ]
+        return set().union(*reported_by_each)
 
     def died(self):
-        return self.ended(events.MemberDied, events.MemberReplaced)
+        return self.reported_by_any(events.MemberDied, events.MemberReplaced)
 
     def sent(self):
-        """Messages and bytes sent by each running daemon so far."""
+        """Return the messages and bytes sent so far by each running daemon."""
         counts = [network.counters() for network in self.networks.values()]
         return [(count.messages_sent, count.bytes_sent) for count in counts]
 
     def _interval_s(self, index):
-        usual_s = schedule.interval_s(self.running[index]._known)
-        return self.intervals_s.get(index, usual_s)
+        default_s = schedule.interval_s(self.running[index]._known)
+        return self.intervals_s.get(index, default_s)
 
     def _due(self, index):
         now_s = self.clock.monotonic_s()
--- a/libraries/membership/tests/cover/test_membership_configure.py
+++ b/libraries/membership/tests/cover/test_membership_configure.py
@@ -1,4 +1,4 @@
-"""Other options come into force in a running fleet and harm nobody."""
+"""Changing the options of a running fleet causes no false suspicions."""
 
 import asyncio
 
@@ -25,12 +25,12 @@
 }
 
 
-def _accused(fleet):
-    return fleet.ended(events.MemberSuspected, events.MemberDied)
+def _suspected_or_dead(fleet):
+    return fleet.reported_by_any(events.MemberSuspected, events.MemberDied)
 
 
 def _suspect(fleet, index):
-    """Crash a daemon and let the rest come to suspect it."""
+    """Crash a daemon and run the fleet until it is suspected."""
     name = fleet.crash(index).own.instance_id
     observer = fleet.running[0]
     while observer.find(name).state is members.MemberState.ALIVE:
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    'figures',
+    'overrides',
     [
         _QUICK,
         _SLOW,
@@ -48,40 +48,42 @@
         {'monitored_peers': 16},
     ],
 )
-def test_daemons_with_different_figures_accuse_nobody(settled_fleet, figures):
+def test_daemons_with_different_options_suspect_no_member(
+    settled_fleet, overrides
+):
     fleet = settled_fleet(_SIZE)
     for index in _HALF:
-        fleet.configure(index, **figures)
+        fleet.configure(index, **overrides)
         fleet.run_for(0.7)
     fleet.run_for(25)
     for index in _HALF:
         fleet.configure(index)
     fleet.run_for(30)
-    assert not _accused(fleet)
+    assert not _suspected_or_dead(fleet)
     assert fleet.agree()
 
 
 @pytest.mark.parametrize('peers', [2, 4, 7])
-def test_as_many_peers_are_monitored_as_configured(settled_fleet, peers):
+def test_number_of_monitored_peers_follows_the_option(settled_fleet, peers):
     fleet = settled_fleet(_SIZE)
     for index in fleet.running:
         fleet.configure(index, monitored_peers=peers)
     before = sum(count for count, _ in fleet.sent())
     fleet.tick(20)
     sent = (sum(count for count, _ in fleet.sent()) - before) / 20 / _SIZE
-    # A probe and an ack for each, and now and then an exchange of tables.
+    # A probe and an ack per monitored peer, and occasional table exchanges.
     assert 2 * peers <= sent < 2 * peers + 1
 
 
 @pytest.mark.parametrize(
     ('timeout_s', 'alive_for_s', 'dead_after_s'),
     [
-        (0.6, 3, 6),  # one already suspected keeps its time
-        (20, 15, 25),  # and gets more where there is more
+        (0.6, 3, 6),  # an existing suspicion keeps its deadline
+        (20, 15, 25),  # a longer timeout extends it
         (3600, 30, None),
     ],
 )
-def test_a_suspect_gets_the_longer_of_both_times(
+def test_a_suspect_gets_the_longer_of_old_and_new_timeout(
     settled_fleet, timeout_s, alive_for_s, dead_after_s
 ):
     fleet = settled_fleet(_SIZE)
@@ -90,7 +92,7 @@
         fleet.configure(index, suspicion_timeout_s=timeout_s)
     fleet.run_for(alive_for_s)
     assert observer.find(name).state is members.MemberState.SUSPECT
-    if dead_after_s is None:  # a slip, taken back: it must not last for long
+    if dead_after_s is None:  # a mistaken value that is reverted must not last
         for index in fleet.running:
             fleet.configure(index)
         dead_after_s = alive_for_s + 17
@@ -98,7 +100,7 @@
     assert observer.find(name).state is members.MemberState.DEAD
 
 
-def test_a_shorter_time_holds_once_all_should_know_of_it(settled_fleet):
+def test_a_shorter_timeout_takes_effect_after_propagation(settled_fleet):
     fleet = settled_fleet(_SIZE)
     for index in fleet.running:
         fleet.configure(index, suspicion_timeout_s=1.5)
@@ -108,7 +110,7 @@
     assert observer.find(name).state is members.MemberState.DEAD
 
 
-def test_a_pause_is_noticed_although_options_come_before_the_tick(
+def test_a_pause_is_detected_if_options_change_before_the_tick(
     settled_fleet,
 ):
     fleet = settled_fleet(_SIZE)
@@ -118,11 +120,11 @@
     fleet.resume(7)
     fleet.configure(7, **_FLEET_FILE)
     fleet.run_for(20)
-    assert _accused(fleet) <= {name}
+    assert _suspected_or_dead(fleet) <= {name}
     assert fleet.agree()
 
 
-async def test_run_follows_a_shorter_interval_at_once(new_fleet):
+async def test_run_applies_a_shorter_interval_at_once(new_fleet):
     fleet = new_fleet(2, heartbeat_interval_s=3600, pause_gap_s=7200)
     task = asyncio.create_task(fleet.running[0].run())
     await asyncio.sleep(0)
--- a/libraries/membership/tests/cover/test_membership_groups.py
+++ b/libraries/membership/tests/cover/test_membership_groups.py
@@ -1,4 +1,4 @@
-"""Groups kept up to date by changes equal groups computed anew."""
+"""Incrementally updated groups equal groups computed from scratch."""
 
 import dataclasses
 
@@ -30,23 +30,23 @@
 
 @dataclasses.dataclass(eq=False)
 class _View:
-    seen: tuple[members.Member, ...] = ()
+    shown: tuple[members.Member, ...] = ()
     version: int = 0
 
     def serving(self):
-        return self.seen
+        return self.shown
 
     def show(self, indexes):
-        self.seen = tuple(_member(index) for index in sorted(indexes))
+        self.shown = tuple(_member(index) for index in sorted(indexes))
         self.version += 1
 
 
-def _computed_anew(view, service, per_zone):
+def _recompute_group(view, service, per_zone):
     group = []
-    for zone in sorted({member.zone for member in view.seen}):
+    for zone in sorted({member.zone for member in view.shown}):
         named = {
             member.daemon_id: member
-            for member in view.seen
+            for member in view.shown
             if member.zone == zone
         }
         best = rendezvous.top_candidates(service, named, per_zone)
@@ -65,16 +65,16 @@
     ),
     st.integers(1, 3),
 )
-def test_groups_follow_every_change_of_the_view(steps, per_zone):
+def test_cached_groups_equal_recomputed_groups(steps, per_zone):
     view = _View()
-    for shown, asked in steps:
+    for shown, services in steps:
         view.show(shown)
-        for service in asked:
-            expected = _computed_anew(view, service, per_zone)
+        for service in services:
+            expected = _recompute_group(view, service, per_zone)
             assert groups.service_group(view, service, per_zone) == expected
 
 
-def test_one_that_goes_moves_only_its_own_place():
+def test_a_removed_member_changes_only_its_own_place():
     view = _View()
     view.show(range(30))
     before = groups.service_group(view, _SERVICES[0], 2)
@@ -84,7 +84,7 @@
     assert len(after) == 6
 
 
-def test_watchers_are_of_the_zone_and_as_many_as_asked():
+def test_watchers_are_in_the_zone_and_as_many_as_requested():
     view = _View()
     view.show(range(30))
     for zone in ('zone-0', 'zone-1', 'zone-2'):
--- a/libraries/membership/tests/cover/test_membership_mechanisms.py
+++ b/libraries/membership/tests/cover/test_membership_mechanisms.py
@@ -1,4 +1,4 @@
-"""For each safeguard, the case in which the fleet goes wrong without it."""
+"""For each safeguard of membership, a case that fails without it."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def _claim(fleet, index, liveness):
-    """The claim about a daemon that any other would send."""
+    """Return the claim about a daemon that any peer would send."""
     member = fleet.running[index].own
     return kinds.MemberUpdate(
         instance_id=member.instance_id,
@@ -31,9 +31,9 @@
     )
 
 
-def _tell(fleet, teller, index, *claims):
+def _send_updates(fleet, sender, index, *claims):
     target = fleet.running[index].own.instance_id
-    fleet.networks[teller].send(
+    fleet.networks[sender].send(
         fleet.address(index), kinds.Probe(1, target, _MARK, claims)
     )
     fleet.hub.deliver()
@@ -44,25 +44,29 @@
 
 
 def _isolate(fleet, index):
-    others = [other for other in fleet.running if other != index]
-    fleet.part([index], others)
+    other_indexes = [
+        peer_index for peer_index in fleet.running if peer_index != index
+    ]
+    fleet.partition([index], other_indexes)
 
 
-def test_lost_addresses_join_sides_that_have_forgotten_each_other(fleet):
+def test_unreachable_addresses_rejoin_sides_that_forgot_each_other(fleet):
     for daemon in fleet.running.values():
         daemon.seed(())
-    left, right = range(6), range(6, 12)
-    fleet.part(left, right)
-    fleet.tick(120)  # far beyond the time for which the dead are remembered
-    stranger = fleet.running[0].own.instance_id
-    assert fleet.running[11].find(stranger) is None
+    left_side, right_side = range(6), range(6, 12)
+    fleet.partition(left_side, right_side)
+    fleet.tick(120)  # far longer than dead_keep_s
+    forgotten = fleet.running[0].own.instance_id
+    assert fleet.running[11].find(forgotten) is None
     fleet.hub.heal_all()
     fleet.ticks_until(fleet.agree, limit=60)
 
 
-def test_a_doubt_asks_the_member_and_hides_it_from_nobody(fleet):
-    doubt = _claim(fleet, 3, kinds.Liveness.DEAD)
-    fleet.networks[1].send(fleet.address(2), kinds.SyncPatch((), (doubt,)))
+def test_a_death_claim_probes_the_member_and_hides_it_nowhere(fleet):
+    death_claim = _claim(fleet, 3, kinds.Liveness.DEAD)
+    fleet.networks[1].send(
+        fleet.address(2), kinds.SyncPatch((), (death_claim,))
+    )
     fleet.hub.deliver()
     assert _state(fleet, 2, about=3) is members.MemberState.ALIVE
     for _ in range(3):
@@ -71,22 +75,22 @@
     assert fleet.running[3].own.incarnation == 1
 
 
-def test_one_cut_off_until_now_is_not_believed_about_others(fleet):
+def test_claims_of_a_daemon_cut_off_until_now_are_not_trusted(fleet):
     _isolate(fleet, 5)
     fleet.tick(30)
     assert _state(fleet, 0, about=5) is members.MemberState.DEAD
     fleet.hub.heal_all()
-    _tell(fleet, 5, 0, _claim(fleet, 3, kinds.Liveness.DEAD))
+    _send_updates(fleet, 5, 0, _claim(fleet, 3, kinds.Liveness.DEAD))
     assert _state(fleet, 0, about=3) is members.MemberState.ALIVE
 
 
-def test_one_cut_off_forgets_its_claims_when_it_is_back(fleet):
+def test_a_daemon_cut_off_drops_its_claims_when_it_returns(fleet):
     _isolate(fleet, 5)
     fleet.tick(60)
     assert len(fleet.running[5].members()) == 1
     fleet.hub.heal_all()
     fleet.ticks_until(fleet.agree, limit=40)
-    # Nobody but the one that was cut off had anything to refute.
+    # Only the daemon that was cut off may have had a claim to refute.
     refuted = {
         index
         for index, daemon in fleet.running.items()
@@ -96,8 +100,11 @@
 
 
 @pytest.mark.parametrize('seed', range(2, 26))
-def test_one_that_is_back_makes_nobody_refute_a_death(settled_fleet, seed):
-    """Guards against claims that the one cut off sends before any answer."""
+def test_a_returning_daemon_forces_no_refutations(settled_fleet, seed):
+    """Guards against claims that an isolated daemon sends before any answer.
+
+    Its peers would have to refute such claims with a new incarnation.
+    """
     fleet = settled_fleet(12, seed=seed, dead_keep_s=40)
     _isolate(fleet, 5)
     fleet.tick(60)
@@ -108,10 +115,10 @@
         assert index == 5 or not daemon.own.incarnation
 
 
-def test_a_suspect_is_not_dead_because_its_observer_slept(fleet):
+def test_a_pause_of_the_observer_does_not_kill_a_suspect(fleet):
     _isolate(fleet, 7)
     fleet.hub.heal(fleet.address(1), fleet.address(7))
-    _tell(fleet, 1, 7, _claim(fleet, 4, kinds.Liveness.SUSPECT))
+    _send_updates(fleet, 1, 7, _claim(fleet, 4, kinds.Liveness.SUSPECT))
     assert _state(fleet, 7, about=4) is members.MemberState.SUSPECT
     _isolate(fleet, 7)
     fleet.pause(7)
@@ -123,9 +130,11 @@
     assert not fleet.reported(7, events.MemberDied)
 
 
-def test_an_observer_that_hears_nobody_for_a_moment_accuses_nobody(fleet):
-    others = [other for other in fleet.running if other != 7]
-    fleet.cut(others, [7])
+def test_an_observer_briefly_without_answers_suspects_no_member(fleet):
+    other_indexes = [
+        peer_index for peer_index in fleet.running if peer_index != 7
+    ]
+    fleet.cut(other_indexes, [7])
     fleet.tick(4)
     fleet.hub.heal_all()
     fleet.tick(20)
@@ -133,37 +142,37 @@
     assert fleet.agree()
 
 
-def test_an_answer_by_another_instance_proves_the_old_one_dead(fleet):
+def test_an_answer_by_another_instance_marks_the_old_one_dead(fleet):
     old = fleet.crash(3).own.instance_id
     address = fleet.address(3)
-    impostor = fleet.hub.network(
+    successor = fleet.hub.network(
         messages.Sender(ids.InstanceId('entry-3~ffff'), address)
     )
-    impostor.subscribe(
+    successor.subscribe(
         kinds.Probe,
-        lambda who, probe: impostor.send(
-            who.address, kinds.Ack(probe.sequence, _MARK, 0)
+        lambda sender, probe: successor.send(
+            sender.address, kinds.Ack(probe.sequence, _MARK, 0)
         ),
     )
     fleet.tick(2)
-    assert fleet.ended(events.MemberReplaced) == {old}
-    assert not fleet.ended(events.MemberSuspected)
+    assert fleet.reported_by_any(events.MemberReplaced) == {old}
+    assert not fleet.reported_by_any(events.MemberSuspected)
 
 
-def test_asking_again_makes_nobody_look_silent(fleet):
-    asking = fleet.running[7]
+def test_refresh_before_a_tick_counts_no_missed_heartbeat(fleet):
+    refreshing = fleet.running[7]
     for _ in range(10):
         fleet.clock.advance(1)
         for daemon in fleet.running.values():
-            if daemon is asking:
-                # Asked just before the tick: the answers come after it.
+            if daemon is refreshing:
+                # The answers to this refresh arrive after the tick.
                 daemon.refresh()
             daemon.tick()
             fleet.hub.deliver()
-    assert not fleet.ended(events.MemberSuspected)
+    assert not fleet.reported_by_any(events.MemberSuspected)
 
 
-def test_asking_again_and_again_is_bounded(fleet):
+def test_refresh_is_rate_limited(fleet):
     before = fleet.networks[7].counters().messages_sent
     for _ in range(100):
         fleet.running[7].refresh()
--- a/libraries/membership/tests/cover/test_membership_rings.py
+++ b/libraries/membership/tests/cover/test_membership_rings.py
@@ -1,4 +1,4 @@
-"""Every member has its monitors, and a change moves few of them."""
+"""Every member has enough monitors, and a change affects few of them."""
 
 import collections
 
@@ -19,8 +19,8 @@
         points = tuple(
             rendezvous.score(f'ring-{ring}', name) for ring in range(_RINGS)
         )
-        held = type('Held', (), {'instance_id': name})
-        entries.append(table.Entry(held, 0, points))
+        member_record = type('RecordStub', (), {'instance_id': name})
+        entries.append(table.Entry(member_record, 0, points))
     return entries
 
 
@@ -33,20 +33,20 @@
 
 
 @pytest.mark.parametrize('size', [1, 2, 3, 5, 48, 300])
-def test_each_monitors_and_is_monitored_by_about_as_many(size):
+def test_members_have_about_as_many_monitors_as_monitored_peers(size):
     edges = _edges(_entries(size))
     expected = min(_RINGS, size - 1)
     assert len(edges) == size * expected
     monitors = collections.Counter(monitored for _, monitored in edges)
     if size > 1:
         assert len(monitors) == size
-        # Fewer only where two rings put the same member before it.
+        # Fewer only if a member has the same predecessor on two rings.
         assert min(monitors.values()) >= min(expected, 2)
         assert max(monitors.values()) <= _RINGS + 2
 
 
 @given(st.integers(0, 47))
-def test_one_death_moves_as_many_edges_as_there_are_rings(index):
+def test_a_death_changes_few_edges_per_ring(index):
     entries = _entries(48)
     dead = entries[index].record.instance_id
     before = {edge for edge in _edges(entries) if dead not in edge}
--- a/libraries/membership/tests/cover/test_membership_rules.py
+++ b/libraries/membership/tests/cover/test_membership_rules.py
@@ -1,4 +1,4 @@
-"""Single rules of membership, each with the case that it is for."""
+"""The rules of membership, each with a case that requires it."""
 
 import pytest
 
@@ -25,8 +25,8 @@
     return kinds.MemberUpdate(**{**fields, **changes})
 
 
-def _tell(fleet, index, *updates, teller=1):
-    fleet.networks[teller].send(
+def _send_updates(fleet, index, *updates, sender=1):
+    fleet.networks[sender].send(
         fleet.address(index),
         kinds.Probe(1, fleet.running[index].own.instance_id, _MARK, updates),
     )
@@ -39,26 +39,26 @@
     fleet.start(3)
     fleet.tick(3)
     assert fleet.agree()
-    # Well before any suspicion could have run out.
-    assert fleet.ended(events.MemberReplaced) == {old}
-    assert not fleet.ended(events.MemberDied)
+    # Well before any suspicion could have timed out.
+    assert fleet.reported_by_any(events.MemberReplaced) == {old}
+    assert not fleet.reported_by_any(events.MemberDied)
     stale = _update(old, fleet.address(3).ip)
-    _tell(fleet, 0, stale)
+    _send_updates(fleet, 0, stale)
     fleet.tick(10)
     assert fleet.agree()
 
 
-def test_an_old_instance_heard_of_late_does_not_displace_the_new(settled_fleet):
+def test_a_late_update_of_an_old_instance_replaces_no_new_one(settled_fleet):
     fleet = settled_fleet(6)
     address = fleet.address(3).ip
-    _tell(fleet, 0, _update('entry-3~0ld', address, age_ms=10**8))
+    _send_updates(fleet, 0, _update('entry-3~0ld', address, age_ms=10**8))
     fleet.tick(5)
     assert fleet.agree()
     assert not fleet.running[0].find(fleet.running[3].own.instance_id) is None
 
 
 @pytest.mark.parametrize(
-    'bad',
+    'implausible',
     [
         _update('no-separator'),
         _update('~'),
@@ -67,27 +67,27 @@
         _update(liveness=kinds.Liveness.DEAD),
     ],
 )
-def test_implausible_updates_change_nothing(settled_fleet, bad):
+def test_implausible_updates_change_nothing(settled_fleet, implausible):
     fleet = settled_fleet(3)
     version = fleet.running[0].version
-    _tell(fleet, 0, bad)
+    _send_updates(fleet, 0, implausible)
     assert fleet.running[0].version == version
 
 
-def test_a_member_that_never_answers_is_dropped_again(settled_fleet):
+def test_a_member_that_never_answers_is_removed(settled_fleet):
     fleet = settled_fleet(5)
-    _tell(fleet, 0, _update())
+    _send_updates(fleet, 0, _update())
     assert fleet.running[0].find(ids.InstanceId('stray-1~01'))
     fleet.tick(30)
     assert fleet.agree()
 
 
-def test_others_cannot_make_a_daemon_leave_or_wear_out_its_incarnation(
+def test_updates_cannot_make_a_daemon_leave_or_exhaust_incarnations(
     settled_fleet,
 ):
     fleet = settled_fleet(3)
     own = fleet.running[0].own
-    _tell(
+    _send_updates(
         fleet,
         0,
         _update(own.instance_id, own.peer_address.ip, leaving=True),
@@ -102,7 +102,7 @@
     assert fleet.running[0].own.incarnation == 0
 
 
-def test_alone_without_addresses_is_confirmed_and_cut_off_is_not(new_fleet):
+def test_a_lone_daemon_is_confirmed_and_a_cut_off_daemon_is_not(new_fleet):
     fleet = new_fleet(0)
     alone = fleet.start(0, seeds=())
     assert alone.confirm_since(fleet.clock.monotonic_s())
@@ -110,14 +110,14 @@
     assert not fleet.running[1].confirm_since(fleet.clock.monotonic_s())
     fleet.tick(5)
     assert fleet.running[1].confirm_since(fleet.clock.monotonic_s() - 2)
-    fleet.part([0], [1])
+    fleet.partition([0], [1])
     moment_s = fleet.clock.monotonic_s()
     fleet.tick(60)
     assert fleet.running[1].members() == (fleet.running[1].own,)
     assert not fleet.running[1].confirm_since(moment_s)
 
 
-def test_the_platforms_list_seeds_but_never_overrules(settled_fleet):
+def test_seed_addresses_never_override_the_view(settled_fleet):
     fleet = settled_fleet(6)
     dead = fleet.crash(4).own.instance_id
     fleet.running[5].announce_leaving()
@@ -131,15 +131,15 @@
         assert leaving.state is members.MemberState.LEAVING
 
 
-def test_marks_ride_on_every_heartbeat(settled_fleet):
+def test_every_heartbeat_carries_a_mark(settled_fleet):
     fleet = settled_fleet(4)
-    fleet.heard_marks.clear()
+    fleet.received_marks.clear()
     fleet.tick(1)
-    # Each of 4 hears a probe and an ack from each of the 3 others.
-    assert fleet.heard_marks == {index: 6 for index in range(4)}
+    # Each of 4 daemons receives a probe and an ack from each of 3 peers.
+    assert fleet.received_marks == {index: 6 for index in range(4)}
 
 
-def test_starts_are_late_by_no_more_than_the_news_took(settled_fleet):
+def test_start_estimates_are_late_by_at_most_the_transit_time(settled_fleet):
     fleet = settled_fleet(24, dead_keep_s=60)
     for daemon in fleet.running.values():
         for member in daemon.members():
@@ -147,27 +147,30 @@
             assert -0.001 <= late_s <= 5.0
 
 
-def test_tables_stay_within_their_bounds(settled_fleet):
+def test_tables_stay_within_their_limits(settled_fleet):
     fleet = settled_fleet(3, max_members=20, max_dead=8)
-    strays = [
+    unknown_members = [
         _update(f'stray-{index}~01', f'10.9.9.{index}') for index in range(40)
     ]
-    _tell(fleet, 0, *strays)
+    _send_updates(fleet, 0, *unknown_members)
     assert len(fleet.running[0].members()) == 20
     fleet.tick(60)
     assert fleet.agree()
-    known = [fleet.running[0].find(stray.instance_id) for stray in strays]
+    known = [
+        fleet.running[0].find(unknown_member.instance_id)
+        for unknown_member in unknown_members
+    ]
     assert len([member for member in known if member]) <= 8
 
 
 @pytest.mark.parametrize(
-    'wrong',
+    'overrides',
     [
         {'heartbeat_interval_s': 0},
         {'monitored_peers': -1},
         {'pause_gap_s': 1.0},
     ],
 )
-def test_options_that_cannot_work_are_refused(wrong):
+def test_invalid_options_are_rejected(overrides):
     with pytest.raises(errors.InvalidArgumentError):
-        options.MembershipOptions(**wrong)
+        options.MembershipOptions(**overrides)
--- a/libraries/membership/tests/nocover/test_membership_cost.py
+++ b/libraries/membership/tests/nocover/test_membership_cost.py
@@ -1,8 +1,9 @@
-"""What membership costs a daemon, and that the fleet's size is no part of it.
+"""The cost of membership per daemon, which must not depend on the fleet size.
 
 ``MEMBERSHIP_COST_SIZES=12,48,150,400 pytest -k membership_cost`` prints
-one row a size. Bytes are those that the codec made. Processor time is that of
-the whole process, memory network included, divided by the daemons.
+one row per size. Bytes are counted as encoded by the codec. Processor time is
+that of the whole process, memory network included, divided by the number of
+daemons.
 """
 
 import os
@@ -18,13 +19,13 @@
     int(size)
     for size in os.environ.get('MEMBERSHIP_COST_SIZES', '12,48,150').split(',')
 ]
-_REST_TICKS = 30
+_IDLE_TICKS = 30
 _MESSAGES_PER_S = 10
 _BYTES_PER_S = 6000
 _PEAK_BYTES_PER_S = 29_000
 
 
-def _spent(fleet):
+def _total_cost(fleet):
     sent = fleet.sent()
     return (
         sum(messages for messages, _ in sent),
@@ -33,24 +34,24 @@
     )
 
 
-def _rest(fleet):
-    before = _spent(fleet)
-    fleet.tick(_REST_TICKS)
-    shared = len(fleet.running) * _REST_TICKS
+def _idle_cost(fleet):
+    before = _total_cost(fleet)
+    fleet.tick(_IDLE_TICKS)
+    shared = len(fleet.running) * _IDLE_TICKS
     return [
         (later - earlier) / shared
-        for earlier, later in zip(before, _spent(fleet), strict=True)
+        for earlier, later in zip(before, _total_cost(fleet), strict=True)
     ]
 
 
 class _Peaks:
-    """The most that one daemon sent in one second, and that all shared."""
+    """Peak bytes sent in one tick, by a single daemon and in the mean."""
 
     def __init__(self, fleet):
         self._fleet = fleet
         self._before = {}
-        self.of_one = 0
-        self.of_mean = 0
+        self.max_of_daemon = 0
+        self.max_of_mean = 0
         self.check()
 
     def check(self):
@@ -61,12 +62,15 @@
             for network, (_, size) in self._before.items()
             if network in now
         ]
-        self.of_one = max(self.of_one, *spent, 0)
-        self.of_mean = max(self.of_mean, statistics.fmean(spent or [0]))
+        self.max_of_daemon = max(self.max_of_daemon, *spent, 0)
+        self.max_of_mean = max(self.max_of_mean, statistics.fmean(spent or [0]))
         self._before = now
 
     def __str__(self):
-        return f'peak of one {self.of_one} B/s, of the mean {self.of_mean:.0f}'
+        return (
+            f'peak of one {self.max_of_daemon} B/s,'
+            f' of the mean {self.max_of_mean:.0f}'
+        )
 
 
 def _until_agreed(fleet, peaks, limit=60):
@@ -78,7 +82,7 @@
 
 
 def _replace_a_third(fleet, peaks):
-    """Restart 30% within 60 ticks, and return the ticks to agreement."""
+    """Restart 30% within 60 ticks; return the further ticks to agreement."""
     replaced = [index for index in fleet.running if index % 10 < 3]
     for second in range(60):
         for index in replaced[second::60]:
@@ -102,14 +106,16 @@
     start = _Peaks(fleet)
     start_s = _until_agreed(fleet, start)
     fleet.tick(40)
-    messages_per_s, bytes_per_s, cpu_s = _rest(fleet)
+    messages_per_s, bytes_per_s, cpu_s = _idle_cost(fleet)
 
     dead = fleet.crash(size // 2).own.instance_id
-    gone = {
+    not_serving = {
         members.MemberState.SUSPECT,
         members.MemberState.DEAD,
     }
-    unserved = fleet.ticks_until(_everywhere(fleet, dead, gone), limit=40)
+    unserved = fleet.ticks_until(
+        _everywhere(fleet, dead, not_serving), limit=40
+    )
     died = unserved + fleet.ticks_until(
         _everywhere(fleet, dead, {members.MemberState.DEAD}), limit=40
     )
@@ -123,7 +129,7 @@
         _everywhere(fleet, joiner.own.instance_id, {members.MemberState.ALIVE}),
         limit=40,
     )
-    whole = joined + fleet.ticks_until(
+    complete = joined + fleet.ticks_until(
         lambda: len(joiner.members()) == size, limit=40
     )
     fleet.crash(size // 3)
@@ -136,13 +142,13 @@
         f' {bytes_per_s:.0f} B/s {cpu_s * 1000:.2f} ms/s;'
         f' start {start_s} s, {start};'
         f' death unserved {unserved} s dead {died} s; leaving {left} s;'
-        f' joined {joined} s, its whole view {whole} s;'
+        f' joined {joined} s, its whole view {complete} s;'
         f' 30% replaced in 60 s: agreed {churned_s} s later, {churn}\n'
     )
     with capsys.disabled():
         sys.stdout.write(row)
     assert messages_per_s <= _MESSAGES_PER_S
     assert bytes_per_s <= _BYTES_PER_S
-    assert max(start.of_one, churn.of_one) <= _PEAK_BYTES_PER_S
+    assert max(start.max_of_daemon, churn.max_of_daemon) <= _PEAK_BYTES_PER_S
     assert died <= 20
     assert max(left, joined) <= 8
--- a/libraries/membership/tests/nocover/test_membership_over_sockets.py
+++ b/libraries/membership/tests/nocover/test_membership_over_sockets.py
@@ -1,4 +1,4 @@
-"""Membership over the real network: four daemons in one process."""
+"""Membership over ZeroMQ sockets: four daemons in one process."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
     heartbeat_interval_s=0.05,
     suspicion_timeout_s=0.3,
     pause_gap_s=5.0,
-    lost_retry_s=0.1,
+    contact_retry_s=0.1,
 )
 
 
@@ -53,7 +53,7 @@
             random.Random(name),
             _OPTIONS,
             lambda: marks.ConfigurationMark(1, 2),
-            lambda who, mark: None,
+            lambda sender, mark: None,
             self.events.append,
         )
         self._tasks = [
--- a/libraries/membership/tests/nocover/test_membership_stateful.py
+++ b/libraries/membership/tests/nocover/test_membership_stateful.py
@@ -1,4 +1,4 @@
-"""Whatever happens to a fleet, its views converge once it is let be."""
+"""After any sequence of faults, the views of a fleet converge."""
 
 from hypothesis import HealthCheck, settings, stateful
 from hypothesis import strategies as st
@@ -8,7 +8,7 @@
 _SIZE = 7
 _INDEXES = st.integers(0, _SIZE - 1)
 _SETTLING_S = 120
-_FIGURES = st.fixed_dictionaries(
+_OVERRIDES = st.fixed_dictionaries(
     {
         'heartbeat_interval_s': st.sampled_from([0.5, 1.0, 2.0]),
         'monitored_peers': st.integers(1, 9),
@@ -24,19 +24,19 @@
         super().__init__()
         self.fleet = self.new_fleet(_SIZE, dead_keep_s=40)
         self.left = set()
-        self.gone = set()
+        self.crashed = set()
         self.fleet.tick(10)
 
     @stateful.rule(index=_INDEXES)
     def crash(self, index):
         if index in self.fleet.running and len(self.fleet.running) > 2:
-            self.gone.add(self.fleet.crash(index).own.instance_id)
+            self.crashed.add(self.fleet.crash(index).own.instance_id)
             self.left.discard(index)
 
     @stateful.rule(index=_INDEXES)
     def restart(self, index):
         if index in self.fleet.running:
-            self.gone.add(self.fleet.crash(index).own.instance_id)
+            self.crashed.add(self.fleet.crash(index).own.instance_id)
             self.left.discard(index)
         self.fleet.start(index, seeds=range(_SIZE))
 
@@ -63,17 +63,17 @@
     def resume(self, index):
         self.fleet.resume(index)
 
-    @stateful.rule(index=_INDEXES, figures=_FIGURES)
-    def configure(self, index, figures):
+    @stateful.rule(index=_INDEXES, overrides=_OVERRIDES)
+    def configure(self, index, overrides):
         if index in self.fleet.running:
-            self.fleet.configure(index, **figures)
+            self.fleet.configure(index, **overrides)
 
     @stateful.rule(seconds=st.sampled_from([1, 5, 20, 60]))
     def pass_time(self, seconds):
         self.fleet.run_for(seconds)
 
     @stateful.invariant()
-    def nobody_calls_itself_dead_or_shows_the_dead(self):
+    def views_contain_their_daemon_and_no_dead_member(self):
         for daemon in self.fleet.running.values():
             assert daemon.own in daemon.members()
             states = {member.state for member in daemon.members()}
@@ -83,12 +83,12 @@
         self.fleet.hub.heal_all()
         for index in range(_SIZE):
             self.fleet.resume(index)
-        # The figures stay as different as they are.
+        # The daemons keep their different options.
         self.fleet.run_for(_SETTLING_S)
         staying = self.fleet.running.keys() - self.left
         expected = self.fleet.names(staying)
         living = self.fleet.names()
-        assert not living & self.gone
+        assert not living & self.crashed
         for settled, daemon in self.fleet.running.items():
             shown = {member.instance_id for member in daemon.members()}
             assert shown == living
