--- a/libraries/membership/src/sardinepier/membership/internal/knowledge.py
+++ b/libraries/membership/src/sardinepier/membership/internal/knowledge.py
@@ -44,8 +44,8 @@
         A sender that is dead or unknown here may have been cut off until now,
         and then its claims are outdated. If at least half of the fleet is
         dead here when such a sender appears, this daemon itself was probably
-        cut off. It then drops its claims of death, so that they do not spread among
-        daemons that never lost contact with each other.
+        cut off. It then drops its claims of death, so that they do not spread
+        among daemons that never lost contact with each other.
         """
         existing = self.table.get(sender.instance_id)
         if existing is not None and not existing.is_dead:
