--- a/libraries/configuration/src/sardinepier/configuration/__init__.py
+++ b/libraries/configuration/src/sardinepier/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps the newest accepted revision of every file in force on every daemon."""
+"""Distributes the published configuration files to every daemon."""
--- a/libraries/configuration/src/sardinepier/configuration/files.py
+++ b/libraries/configuration/src/sardinepier/configuration/files.py
@@ -1,4 +1,4 @@
-"""What is known of one published file."""
+"""The versions of one published file that a daemon knows."""
 
 import dataclasses
 import enum
@@ -9,20 +9,20 @@
 from sardinepier.settings import model
 
 NO_REVISION: Final = ids.Revision(0)
-"""Stands for "no revision": the platform's own begin at 1."""
+"""Means "no revision"; the platform numbers revisions from 1."""
 
 
 class OfferResult(enum.Enum):
-    """What became of a version that was offered."""
+    """The outcome of offering a version to the store."""
 
     ACCEPTED = 'accepted'
-    """It is in force now."""
+    """The version is in force now."""
 
     STALE = 'stale'
-    """A version at least as new is known already."""
+    """A version that is at least as new is already known."""
 
     INVALID = 'invalid'
-    """It has mistakes; what was in force stays in force."""
+    """The version has problems; the previous one stays in force."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RejectedFile:
-    """A newest revision that cannot be in force, with all its mistakes."""
+    """A newest revision that cannot come into force, with its problems."""
 
     name: ids.FileName
     version: FileVersion
@@ -44,10 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownFile:
-    """The version in force and a newer, rejected one, if there are such.
+    """The version in force and a newer rejected version, each if any.
 
-    Two of these merge by taking the larger revision of each half, so that
-    daemons agree in whatever order they heard of the versions.
+    Each of the two only moves to higher revisions, so daemons converge
+    whatever the order in which they receive the versions.
     """
 
     in_force: FileVersion | None = None
@@ -68,7 +68,7 @@
 
     @property
     def is_deleted(self) -> bool:
-        """Tell whether the version in force is a deletion."""
+        """Return whether the version in force is a deletion."""
         return self.in_force is not None and self.in_force.text is None
 
     def find(self, revision: ids.Revision) -> FileVersion | None:
--- a/libraries/configuration/src/sardinepier/configuration/internal/__init__.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the configuration library; not part of its interface."""
+"""Internal modules of the configuration library; not a public API."""
--- a/libraries/configuration/src/sardinepier/configuration/internal/backoff.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/backoff.py
@@ -1,19 +1,21 @@
-"""Waits that grow while something keeps failing, and differ everywhere."""
+"""Exponential backoff with jitter."""
 
 import random
 from typing import Final
 
-_LEAST_SHARE: Final = 0.5
-_MOST_SHARE: Final = 1.5
+_MIN_JITTER_FACTOR: Final = 0.5
+_MAX_JITTER_FACTOR: Final = 1.5
 
 
 def jitter(wait_s: float, random_source: random.Random) -> float:
-    """Return between half and one and a half times ``wait_s``."""
-    return wait_s * random_source.uniform(_LEAST_SHARE, _MOST_SHARE)
+    """Return a random wait between 0.5 and 1.5 times ``wait_s``."""
+    return wait_s * random_source.uniform(
+        _MIN_JITTER_FACTOR, _MAX_JITTER_FACTOR
+    )
 
 
 class Backoff:
-    """Doubles a wait from failure to failure up to a bound."""
+    """Doubles the wait after each failure, up to a maximum."""
 
     def __init__(
         self,
@@ -21,18 +23,18 @@
         max_s: float,
         random_source: random.Random,
     ) -> None:
-        """Begin with ``min_s`` and never go beyond ``max_s``."""
+        """Start at ``min_s``; ``max_s`` bounds the wait before jitter."""
         self._min_s = min_s
         self._max_s = max_s
         self._random = random_source
-        self._next_s = min_s
+        self._wait_s = min_s
 
-    def failed(self) -> float:
-        """Return for how long to wait now, with jitter."""
-        wait_s = jitter(self._next_s, self._random)
-        self._next_s = min(self._max_s, self._next_s * 2)
+    def next_wait_s(self) -> float:
+        """Return the wait after a failure, with jitter, and double the next."""
+        wait_s = jitter(self._wait_s, self._random)
+        self._wait_s = min(self._max_s, self._wait_s * 2)
         return wait_s
 
-    def succeeded(self) -> None:
-        """Begin again with the least wait."""
-        self._next_s = self._min_s
+    def reset(self) -> None:
+        """Restart at the minimum wait after a success."""
+        self._wait_s = self._min_s
--- a/libraries/configuration/src/sardinepier/configuration/internal/change_push.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/change_push.py
@@ -1,7 +1,7 @@
-"""Tells a few random peers of each change at once.
+"""Announces each change to a few random peers at once.
 
-Each of them does the same when it has taken the change, so that the number
-of daemons which know it multiplies with every round.
+Each peer does the same once it has applied the change, so the number of
+daemons that know it grows exponentially.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 from sardinepier.core import ids
 from sardinepier.wire import network
 
-_MOST_NAMED: Final = 16
+_MAX_LISTED_FILES: Final = 16
 
 
 class ChangePush:
-    """Collects changed files for a moment and sends one message of them."""
+    """Batches changed files for a short delay and announces them at once."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         choice: peer_choice.PeerChoice,
         limits: options.DistributorOptions,
     ) -> None:
-        """Stay silent until ``begin``."""
+        """Send nothing until ``start``."""
         self._store = file_store
         self._peers = peers
         self._choice = choice
@@ -33,33 +33,33 @@
         self._changed: dict[ids.FileName, None] = {}
         self._has_changed = asyncio.Event()
 
-    def begin(self) -> None:
-        """Push changes from now on.
+    def start(self) -> None:
+        """Push the changes from now on.
 
-        What a starting daemon learned before is old to all others.
+        The files that a starting daemon fetched before are known to its peers.
         """
-        self._store.on_new_version(self._note_change)
+        self._store.on_new_version(self._record_change)
 
     async def push_changes(self) -> None:
-        """Send news of each change, until cancelled."""
+        """Announce each change, until cancelled."""
         while True:
             await self._has_changed.wait()
             await asyncio.sleep(self._limits.change_delay_s)
             self._has_changed.clear()
             self._send()
 
-    def _note_change(self, name: ids.FileName) -> None:
+    def _record_change(self, name: ids.FileName) -> None:
         self._changed[name] = None
         self._has_changed.set()
 
     def _send(self) -> None:
-        """Name the files if they are few; else the peer asks for the table."""
+        """List the files if they are few; else peers request the table."""
         names = tuple(self._changed)
         self._changed.clear()
-        named = names if len(names) <= _MOST_NAMED else ()
-        news = messages.ConfigurationNews(
+        listed = names if len(names) <= _MAX_LISTED_FILES else ()
+        announcement = messages.ConfigurationNews(
             self._store.mark(),
-            peer_answers.entries(self._store, named),
+            peer_answers.known_revisions(self._store, listed),
         )
         for peer in self._choice.pick(self._limits.fanout):
-            self._peers.send(peer, news)
+            self._peers.send(peer, announcement)
--- a/libraries/configuration/src/sardinepier/configuration/internal/confirmations.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/confirmations.py
@@ -1,4 +1,4 @@
-"""Whether this daemon's files were compared with another's since a moment."""
+"""When a comparison last found no newer files elsewhere."""
 
 from typing import Final
 
@@ -8,26 +8,26 @@
 
 
 class Confirmations:
-    """Remembers when the last comparison that brought nothing new began.
+    """Records the start of the latest comparison that found nothing newer.
 
-    What counts is when the question was sent, not when an answer came. After
-    a pause the network hands over what it received long before, and such a
-    message says nothing about now.
+    The time of the request counts, not that of the answer: after a pause of
+    the process the network delivers messages that arrived long before, which
+    say nothing about the present.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        """Begin with no comparison."""
+        """Start without a comparison."""
         self._clock = clock
-        self._asked_s = _NEVER_S
+        self._confirmed_s = _NEVER_S
 
     def now_s(self) -> float:
-        """Return the reading to pass to ``confirm`` with the answer."""
+        """Return the time of a request, to pass to ``confirm`` later."""
         return self._clock.monotonic_s()
 
-    def confirm(self, asked_s: float) -> None:
-        """Note that what was asked at ``asked_s`` found nothing newer."""
-        self._asked_s = max(self._asked_s, asked_s)
+    def confirm(self, requested_s: float) -> None:
+        """Record that the request sent at ``requested_s`` found nothing newer."""
+        self._confirmed_s = max(self._confirmed_s, requested_s)
 
-    def is_since(self, moment_s: float) -> bool:
-        """Tell whether a comparison began after ``moment_s``."""
-        return self._asked_s > moment_s
+    def is_confirmed_since(self, moment_s: float) -> bool:
+        """Return whether such a comparison started after ``moment_s``."""
+        return self._confirmed_s > moment_s
--- a/libraries/configuration/src/sardinepier/configuration/internal/file_names.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/file_names.py
@@ -1,4 +1,4 @@
-"""The names that published files may have."""
+"""The valid names of published files."""
 
 import re
 from typing import Final
@@ -7,17 +7,17 @@
 
 FLEET: Final = ids.FileName('fleet')
 _SERVICE_PREFIX: Final = 'service/'
-_LONGEST: Final = 200
+_MAX_LENGTH: Final = 200
 _SERVICE: Final = re.compile(r'service/[^\s/\x00-\x1f]+')
 
 
-def is_known(name: str) -> bool:
-    """Tell whether a file of this name is one of ours."""
+def is_valid(name: str) -> bool:
+    """Return whether this is the name of a fleet or service file."""
     if name == FLEET:
         return True
-    return len(name) <= _LONGEST and _SERVICE.fullmatch(name) is not None
+    return len(name) <= _MAX_LENGTH and _SERVICE.fullmatch(name) is not None
 
 
 def service_of(name: ids.FileName) -> ids.ServiceName:
-    """Return the service which the file ``name`` describes."""
+    """Return the service that the file ``name`` describes."""
     return ids.ServiceName(name.removeprefix(_SERVICE_PREFIX))
--- a/libraries/configuration/src/sardinepier/configuration/internal/file_parsing.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/file_parsing.py
@@ -1,4 +1,4 @@
-"""From the text of a file to its settings, or to a list of mistakes."""
+"""Parses the text of a file into settings or a list of problems."""
 
 import dataclasses
 
@@ -10,16 +10,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParsedFile:
-    """What a text holds: its settings, or all its mistakes."""
+    """The settings of a text, or all its problems."""
 
     parsed: model.FleetSettings | model.ServiceSettings | None = None
     problems: tuple[errors.Problem, ...] = ()
 
 
 def parse(name: ids.FileName, text: str) -> ParsedFile:
-    """Return the settings in ``text``, or its mistakes.
+    """Return the settings in ``text``, or its problems.
 
-    It touches nothing but its arguments, so any thread may run it.
+    Thread-safe: it has no state and uses only its arguments.
     """
     try:
         return ParsedFile(parsed=_parse_settings(name, text))
@@ -27,8 +27,8 @@
         return ParsedFile(problems=invalid.problems)
 
 
-def deleted_fleet() -> errors.Problem:
-    """Return the mistake of deleting the file on which all others rest."""
+def fleet_deleted_problem() -> errors.Problem:
+    """Return the problem of a deleted fleet file, which services depend on."""
     return errors.Problem(
         source=file_names.FLEET,
         section=None,
@@ -43,14 +43,14 @@
     text: str,
 ) -> model.FleetSettings | model.ServiceSettings:
     if len(text.encode()) > interface.FILE_LIMIT_BYTES:
-        raise _too_large(name)
+        raise _too_large_error(name)
     if name == file_names.FLEET:
         return parsing.parse_fleet(text, name)
     return parsing.parse_service(text, name)
 
 
-def _too_large(name: ids.FileName) -> errors.InvalidSettingsError:
-    # Such a text would not fit into a message between daemons either.
+def _too_large_error(name: ids.FileName) -> errors.InvalidSettingsError:
+    # A larger text would also exceed the size of a peer message.
     problem = errors.Problem(
         source=name,
         section=None,
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_answers.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_answers.py
@@ -1,4 +1,4 @@
-"""Answers what peers ask about files."""
+"""Answers the requests of peers for revisions and files."""
 
 from collections.abc import Iterable
 
@@ -9,14 +9,14 @@
 
 
 class PeerAnswers:
-    """Serves tables of revisions and versions of files from a store."""
+    """Serves revision tables and file versions from a store."""
 
     def __init__(
         self,
         file_store: store.Store,
         peers: network.PeerNetwork,
     ) -> None:
-        """Subscribe to both kinds of questions."""
+        """Subscribe to both kinds of requests."""
         self._store = file_store
         self._peers = peers
         peers.subscribe(messages.RevisionTableRequest, self._on_table_request)
@@ -32,7 +32,7 @@
         answer = messages.RevisionTable(
             request.nonce,
             mark,
-            entries(self._store, names),
+            known_revisions(self._store, names),
         )
         self._peers.send(sender.address, answer)
 
@@ -52,15 +52,15 @@
         self._peers.send(sender.address, answer)
 
 
-def entries(
+def known_revisions(
     file_store: store.Store,
     names: Iterable[ids.FileName],
 ) -> tuple[messages.KnownRevision, ...]:
-    """Return what ``file_store`` knows of ``names``, without the texts."""
-    return tuple(_entry(file_store, name) for name in names)
+    """Return the revisions of ``names`` in ``file_store``, without texts."""
+    return tuple(_known_revision(file_store, name) for name in names)
 
 
-def _entry(
+def _known_revision(
     file_store: store.Store,
     name: ids.FileName,
 ) -> messages.KnownRevision:
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_choice.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_choice.py
@@ -1,4 +1,4 @@
-"""Picks peers at random among those that are alive."""
+"""Picks random peers among the serving members."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 
 class PeerChoice:
-    """A random few of the other daemons."""
+    """Picks a few random other daemons."""
 
     def __init__(
         self,
@@ -19,11 +19,11 @@
         self._random = random_source
 
     def pick(self, count: int) -> tuple[messages.PeerAddress, ...]:
-        """Return ``count`` different peers, or all when they are fewer."""
-        own = self._view.own.instance_id
-        others = tuple(
+        """Return ``count`` distinct peers, or all if there are fewer."""
+        own_id = self._view.own.instance_id
+        peers = tuple(
             member.peer_address
             for member in self._view.serving()
-            if member.instance_id != own
+            if member.instance_id != own_id
         )
-        return tuple(self._random.sample(others, min(count, len(others))))
+        return tuple(self._random.sample(peers, min(count, len(peers))))
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_components.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_components.py
@@ -1,4 +1,4 @@
-"""All that a daemon does with its peers about files, put together."""
+"""Wires the components that exchange files with peers."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class PeerComponents:
-    """The parts that answer peers, tell them, and learn from them."""
+    """The components that answer, notify and query peers."""
 
     def __init__(
         self,
@@ -27,10 +27,10 @@
         clock: clocks.Clock,
         random_source: random.Random,
         limits: options.DistributorOptions,
-        file_intake: store_writer.StoreWriter,
-        confirmed: confirmations.Confirmations,
+        file_writer: store_writer.StoreWriter,
+        file_confirmations: confirmations.Confirmations,
     ) -> None:
-        """Subscribe to all kinds of messages; nothing is sent yet."""
+        """Subscribe to all message kinds; nothing is sent yet."""
         self.choice = peer_choice.PeerChoice(current_view, random_source)
         self.answers = peer_answers.PeerAnswers(file_store, peers)
         self.change_push = change_push.ChangePush(
@@ -46,6 +46,6 @@
             clock,
             random_source,
             limits,
-            file_intake,
-            confirmed,
+            file_writer,
+            file_confirmations,
         )
--- a/libraries/configuration/src/sardinepier/configuration/internal/peer_exchange.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/peer_exchange.py
@@ -1,4 +1,4 @@
-"""Learns from peers of the files that they have newer."""
+"""Fetches newer file versions from peers."""
 
 import asyncio
 import dataclasses
@@ -20,19 +20,19 @@
 from sardinepier.wire import network
 
 _NONCE_BITS: Final = 48
-_SHORTEST_S: Final = 0.01
-_MOST_ARRIVED: Final = 16
-_ASKED_AT_ONCE: Final = 3
+_MIN_SLEEP_S: Final = 0.01
+_MAX_QUEUED_FILES: Final = 16
+_QUERIED_PEERS: Final = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Arrival:
+class _ReceivedFile:
     source: ids.InstanceId
     answer: messages.FileAnswer
 
 
 class PeerExchange:
-    """Compares with peers and fetches from them what is missing here."""
+    """Compares marks with peers and fetches the versions missing here."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         clock: clocks.Clock,
         random_source: random.Random,
         limits: options.DistributorOptions,
-        file_intake: store_writer.StoreWriter,
-        confirmed: confirmations.Confirmations,
+        file_writer: store_writer.StoreWriter,
+        file_confirmations: confirmations.Confirmations,
     ) -> None:
-        """Subscribe to news and answers; nothing is sent yet."""
+        """Subscribe to announcements and answers; nothing is sent yet."""
         self.last_peer_message_s = clock.monotonic_s()
         self._store = file_store
         self._peers = peers
@@ -53,167 +53,173 @@
         self._clock = clock
         self._random = random_source
         self._limits = limits
-        self._intake = file_intake
-        self._confirmed = confirmed
+        self._writer = file_writer
+        self._confirmations = file_confirmations
         self._pulls = pulls.Pulls(peers.send, file_store, clock, limits)
-        self._table = peer_table.PeerTable(clock)
-        self._asked: dict[int, float] = {}
-        self._has_asked = asyncio.Event()
-        self._arrived: asyncio.Queue[_Arrival] = asyncio.Queue(_MOST_ARRIVED)
-        peers.subscribe(messages.ConfigurationNews, self._on_news)
+        self._peer_comparisons = peer_table.PeerTable(clock)
+        self._table_requests: dict[int, float] = {}
+        self._has_requests = asyncio.Event()
+        self._received: asyncio.Queue[_ReceivedFile] = asyncio.Queue(
+            _MAX_QUEUED_FILES,
+        )
+        peers.subscribe(messages.ConfigurationNews, self._on_announcement)
         peers.subscribe(messages.RevisionTable, self._on_table)
         peers.subscribe(messages.FileAnswer, self._on_file)
 
     @property
     def is_fetching(self) -> bool:
-        """Tell whether files are awaited from peers."""
+        """Return whether files are being fetched from peers."""
         return not self._pulls.is_idle
 
     async def expire(self) -> None:
-        """Give up on questions without an answer, until cancelled.
+        """Drop requests without an answer in time, until cancelled.
 
-        Sleeps without a timer while no question is open.
+        Sets no timer while no request is in flight.
         """
         while True:
-            await self._has_asked.wait()
+            await self._has_requests.wait()
             due_s = self._next_due_s()
             if due_s is None:
-                self._has_asked.clear()
+                self._has_requests.clear()
                 continue
-            # All questions wait equally long, so a later one is due later.
+            # All requests have the same timeout, so later ones expire later.
             wait_s = due_s - self._clock.monotonic_s()
-            await asyncio.sleep(max(_SHORTEST_S, wait_s))
-            self._forget_overdue()
+            await asyncio.sleep(max(_MIN_SLEEP_S, wait_s))
+            self._drop_expired()
             self._pulls.expire()
 
     async def offer_files(self) -> None:
-        """Read and offer the files that arrive, until cancelled."""
+        """Parse and offer the files received, until cancelled."""
         while True:
-            arrival = await self._arrived.get()
-            answer = arrival.answer
+            received = await self._received.get()
+            answer = received.answer
             version = files.FileVersion(answer.revision, answer.text)
-            await self._intake.offer(answer.name, version, arrival.source)
-            self._pulls.arrived(answer.name, answer.revision)
-            self._has_asked.set()
+            await self._writer.offer(answer.name, version, received.source)
+            self._pulls.record_offered(answer.name, answer.revision)
+            self._has_requests.set()
 
     def receive_mark(
         self,
         sender: wire_messages.Sender,
         mark: marks.ConfigurationMark,
     ) -> None:
-        """Compare a peer's mark with ours and act on a difference."""
+        """Compare a peer's mark with the own mark and act on a difference."""
         self.last_peer_message_s = self._clock.monotonic_s()
         if not self._pulls.is_idle:
-            # What is on its way may be all that differs.
+            # The files being fetched may be the whole difference.
             return
-        ours = self._store.mark()
-        match self._table.next_action(sender.address, mark, ours):
+        own_mark = self._store.mark()
+        match self._peer_comparisons.next_action(
+            sender.address, mark, own_mark
+        ):
             case peer_table.PeerAction.SEND_MARK:
-                self._tell(sender.address)
+                self._send_mark(sender.address)
             case peer_table.PeerAction.REQUEST_TABLE:
-                self._ask(sender.address)
+                self._request_table(sender.address)
             case peer_table.PeerAction.NOTHING:
                 return
 
     def query_peers(self) -> bool:
-        """Ask a few random peers; return whether there are any."""
-        chosen = self._choice.pick(_ASKED_AT_ONCE)
-        for peer in chosen:
-            self._ask(peer)
-        return bool(chosen)
-
-    def _tell(self, peer: wire_messages.PeerAddress) -> None:
-        news = messages.ConfigurationNews(self._store.mark(), ())
-        self._peers.send(peer, news)
-
-    def _ask(self, peer: wire_messages.PeerAddress) -> None:
-        if len(self._asked) >= self._limits.tables_in_flight:
+        """Request the tables of a few random peers; return whether any exist."""
+        peers = self._choice.pick(_QUERIED_PEERS)
+        for peer in peers:
+            self._request_table(peer)
+        return bool(peers)
+
+    def _send_mark(self, peer: wire_messages.PeerAddress) -> None:
+        announcement = messages.ConfigurationNews(self._store.mark(), ())
+        self._peers.send(peer, announcement)
+
+    def _request_table(self, peer: wire_messages.PeerAddress) -> None:
+        if len(self._table_requests) >= self._limits.tables_in_flight:
             return
         nonce = self._random.getrandbits(_NONCE_BITS)
-        self._asked[nonce] = self._confirmed.now_s()
-        self._has_asked.set()
+        self._table_requests[nonce] = self._confirmations.now_s()
+        self._has_requests.set()
         mark = self._store.mark()
         self._peers.send(peer, messages.RevisionTableRequest(nonce, mark))
 
     def _next_due_s(self) -> float | None:
-        """Return when the next open question is overdue, if there is one."""
+        """Return when the next request in flight expires, or ``None``."""
         due_s = [
-            asked_s + self._limits.answer_timeout_s
-            for asked_s in self._asked.values()
+            requested_s + self._limits.answer_timeout_s
+            for requested_s in self._table_requests.values()
         ]
-        return min([*due_s, *self._pulls.due_s()], default=None)
+        return min([*due_s, *self._pulls.deadlines_s()], default=None)
 
-    def _forget_overdue(self) -> None:
-        oldest_s = self._clock.monotonic_s() - self._limits.answer_timeout_s
-        for nonce, asked_s in tuple(self._asked.items()):
-            if asked_s <= oldest_s:
-                self._asked.pop(nonce)
+    def _drop_expired(self) -> None:
+        expired_s = self._clock.monotonic_s() - self._limits.answer_timeout_s
+        for nonce, requested_s in tuple(self._table_requests.items()):
+            if requested_s <= expired_s:
+                self._table_requests.pop(nonce)
 
-    def _on_news(
+    def _on_announcement(
         self,
         sender: wire_messages.Sender,
-        news: messages.ConfigurationNews,
+        announcement: messages.ConfigurationNews,
     ) -> None:
-        if news.changed:
+        if announcement.changed:
             self.last_peer_message_s = self._clock.monotonic_s()
-            self._want(sender, news.changed)
+            self._fetch_newer(sender, announcement.changed)
         else:
-            self.receive_mark(sender, news.mark)
+            self.receive_mark(sender, announcement.mark)
 
     def _on_table(
         self,
         sender: wire_messages.Sender,
         table: messages.RevisionTable,
     ) -> None:
-        asked_s = self._asked.pop(table.nonce, None)
-        if asked_s is None:
+        requested_s = self._table_requests.pop(table.nonce, None)
+        if requested_s is None:
             return
         self.last_peer_message_s = self._clock.monotonic_s()
-        if self._want(sender, table.entries):
+        if self._fetch_newer(sender, table.entries):
             return
-        ours = self._store.mark()
-        if table.mark.newest_revision or not ours.newest_revision:
-            # A peer that has just started has nothing to compare with.
-            self._confirmed.confirm(asked_s)
-        self._table.settle(sender.address, table.mark, ours)
-        if table.mark != ours:
-            self._tell(sender.address)
-
-    def _want(
+        own_mark = self._store.mark()
+        if table.mark.newest_revision or not own_mark.newest_revision:
+            # The empty table of a peer that just started proves nothing.
+            self._confirmations.confirm(requested_s)
+        self._peer_comparisons.settle(sender.address, table.mark, own_mark)
+        if table.mark != own_mark:
+            self._send_mark(sender.address)
+
+    def _fetch_newer(
         self,
         sender: wire_messages.Sender,
         entries: tuple[messages.KnownRevision, ...],
     ) -> bool:
-        """Fetch what ``entries`` have over us; return whether it is any."""
-        wanted = [entry for entry in entries if self._want_one(sender, entry)]
-        self._has_asked.set()
-        return bool(wanted)
+        """Fetch the entries newer than here; return whether there are any."""
+        newer = [entry for entry in entries if self._fetch_entry(sender, entry)]
+        self._has_requests.set()
+        return bool(newer)
 
-    def _want_one(
+    def _fetch_entry(
         self,
         sender: wire_messages.Sender,
         entry: messages.KnownRevision,
     ) -> bool:
         in_force = self._store.find(entry.name).in_force_revision
         if entry.deleted and entry.in_force > in_force:
-            self._intake.offer_deletion(
+            self._writer.offer_deletion(
                 entry.name,
                 entry.in_force,
                 sender.instance_id,
             )
-        return self._pulls.want(entry, sender.address)
+        return self._pulls.request(entry, sender.address)
 
     def _on_file(
         self,
         sender: wire_messages.Sender,
         answer: messages.FileAnswer,
     ) -> None:
-        """Keep an answer until it is read; drop it when many wait.
+        """Queue an answer for parsing; drop it if the queue is full.
 
-        What is dropped is asked for again.
+        A dropped file is requested again after its timeout.
         """
         try:
-            self._arrived.put_nowait(_Arrival(sender.instance_id, answer))
+            self._received.put_nowait(
+                _ReceivedFile(sender.instance_id, answer),
+            )
         except asyncio.QueueFull:
             return
         self._pulls.mark_received(answer.name)
--- a/libraries/configuration/src/sardinepier/configuration/internal/platform_health.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/platform_health.py
@@ -1,4 +1,4 @@
-"""Reports when one kind of call to the platform begins and ends to fail."""
+"""Reports when one kind of platform call starts and stops failing."""
 
 from sardinepier.configuration.internal import store_writer
 from sardinepier.core import clock as clocks
@@ -7,7 +7,7 @@
 
 
 class PlatformHealth:
-    """One event when calls begin to fail, and one when they work again."""
+    """Emits an event when calls start to fail, and one on recovery."""
 
     def __init__(
         self,
@@ -15,22 +15,22 @@
         clock: clocks.Clock,
         on_event: store_writer.OnEvent,
     ) -> None:
-        """Report on the calls for ``what`` to ``on_event``."""
+        """Report failures of the calls for ``what`` to ``on_event``."""
         self._what = what
         self._clock = clock
         self._on_event = on_event
         self._failing_since_s: float | None = None
 
-    def failed(self, error: errors.PlatformError) -> None:
-        """Note a failure; only the first in a row is reported."""
+    def record_failure(self, error: errors.PlatformError) -> None:
+        """Record a failure; only the first in a row is reported."""
         if self._failing_since_s is None:
             self._failing_since_s = self._clock.monotonic_s()
             self._on_event(
                 file_events.PlatformFailed(self._what, str(error)),
             )
 
-    def succeeded(self) -> None:
-        """Note a success; the first after a failure is reported."""
+    def record_success(self) -> None:
+        """Record a success; the first after a failure is reported."""
         if self._failing_since_s is None:
             return
         failed_for_s = self._clock.monotonic_s() - self._failing_since_s
--- a/libraries/configuration/src/sardinepier/configuration/internal/store_writer.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/store_writer.py
@@ -1,4 +1,4 @@
-"""Offers versions to the store and reports what became of them."""
+"""Offers versions to the store and reports the outcomes."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 
 
 class StoreWriter:
-    """The one way by which versions reach the store from outside."""
+    """The only writer of versions from peers and the platform to the store."""
 
     def __init__(self, file_store: store.Store, on_event: OnEvent) -> None:
-        """Offer to ``file_store`` and report to ``on_event``."""
+        """Write to ``file_store`` and report to ``on_event``."""
         self._store = file_store
         self._on_event = on_event
-        self._reading = asyncio.Lock()
+        self._parse_lock = asyncio.Lock()
 
     async def offer(
         self,
@@ -26,15 +26,15 @@
         version: files.FileVersion,
         source: str,
     ) -> files.OfferResult:
-        """Read a version that came from ``source``, and offer it.
+        """Parse a version received from ``source`` and offer it.
 
-        The text of a large file takes many milliseconds to read, in which no
-        request would be served, so a thread does it. One at a time: the
-        threads share a processor with the loop. What has become old while it
-        waited for its turn is not read at all.
+        Parsing a large file takes many milliseconds, so a thread does it to
+        keep the event loop free. Only one text is parsed at a time, because
+        the threads share a processor with the loop. A version that became
+        stale while it waited is not parsed.
         """
-        async with self._reading:
-            result = await self._read(name, version)
+        async with self._parse_lock:
+            result = await self._parse_and_offer(name, version)
         self._report(result, name, version, source)
         return result
 
@@ -44,13 +44,13 @@
         revision: ids.Revision,
         source: str,
     ) -> files.OfferResult:
-        """Offer a deletion, which has no text to read."""
+        """Offer a deletion, which has no text to parse."""
         result = self._store.offer_deleted(name, revision)
         deletion = files.FileVersion(revision, None)
         self._report(result, name, deletion, source)
         return result
 
-    async def _read(
+    async def _parse_and_offer(
         self,
         name: ids.FileName,
         version: files.FileVersion,
@@ -59,8 +59,10 @@
             return self._store.offer_deleted(name, version.revision)
         if not self._store.is_newer(name, version):
             return files.OfferResult.STALE
-        found = await asyncio.to_thread(file_parsing.parse, name, version.text)
-        return self._store.offer_parsed(name, version, found)
+        parsed_file = await asyncio.to_thread(
+            file_parsing.parse, name, version.text
+        )
+        return self._store.offer_parsed(name, version, parsed_file)
 
     def _report(
         self,
@@ -83,12 +85,12 @@
         version: files.FileVersion,
         source: str,
     ) -> None:
-        kind = (
+        event_class = (
             file_events.FileDeleted
             if version.text is None
             else file_events.FileAccepted
         )
-        self._on_event(kind(name, version.revision, source))
+        self._on_event(event_class(name, version.revision, source))
 
     def _report_rejected(
         self,
@@ -109,9 +111,9 @@
         revision: ids.Revision,
         source: str,
     ) -> None:
-        """Report what is older; the same revision again is no news."""
-        current = self._store.find(name).in_force_revision
-        if revision < current:
+        """Report an older revision; ignore a repeat of the current one."""
+        current_revision = self._store.find(name).in_force_revision
+        if revision < current_revision:
             self._on_event(
-                file_events.FileStale(name, revision, current, source),
+                file_events.FileStale(name, revision, current_revision, source),
             )
--- a/libraries/configuration/src/sardinepier/configuration/internal/watchers.py
+++ b/libraries/configuration/src/sardinepier/configuration/internal/watchers.py
@@ -1,4 +1,4 @@
-"""Which daemons hold the platform's watch, and which of them reads first."""
+"""Chooses the daemons that watch the platform, and their read order."""
 
 from collections.abc import Callable
 from typing import Final
@@ -8,83 +8,83 @@
 from sardinepier.platform import shares
 
 _NO_VERSION: Final = -1
-_READERS_OF_A_PART: Final = 2
+_READERS_PER_PART: Final = 2
 
 
 class Watchers:
-    """The watchers of all zones, chosen alike by all with the same view."""
+    """The watchers of all zones; daemons with equal views choose the same."""
 
     def __init__(
         self,
         current_view: view.View,
         per_zone: Callable[[], int],
     ) -> None:
-        """Choose ``per_zone()`` daemons a zone; nothing is chosen yet."""
+        """Prepare to choose ``per_zone()`` daemons in each zone."""
         self._view = current_view
         self._per_zone = per_zone
-        self._chosen_for = (_NO_VERSION, 0)
-        self._chosen: tuple[str, ...] = ()
+        self._choice_key = (_NO_VERSION, 0)
+        self._watcher_ids: tuple[str, ...] = ()
 
     @property
-    def is_own(self) -> bool:
-        """Tell whether this daemon is a watcher."""
+    def is_watcher(self) -> bool:
+        """Return whether this daemon is a watcher."""
         return self._view.own.daemon_id in self._choose()
 
     def rank(self, name: ids.FileName) -> int | None:
-        """Return this daemon's place in the order of readers of ``name``.
+        """Return this daemon's position in the read order of ``name``.
 
         Returns ``None`` when it is no watcher.
         """
-        chosen = self._choose()
-        own = self._view.own.daemon_id
-        if own not in chosen:
+        watcher_ids = self._choose()
+        own_id = self._view.own.daemon_id
+        if own_id not in watcher_ids:
             return None
         return rendezvous.top_candidates(
-            f'read/{name}', chosen, len(chosen)
-        ).index(own)
+            f'read/{name}', watcher_ids, len(watcher_ids)
+        ).index(own_id)
 
     def share(self) -> shares.InstanceShare | None:
-        """Return the share of the instance list that falls to this daemon.
+        """Return the share of the instance list that this daemon reads.
 
-        Returns ``None`` when it is no watcher. There are as many parts as
-        watchers, and each watcher has the part of its own place and, as a
-        backup, that of the watcher half the circle away. That one is in
-        another zone unless one zone has more than half of all watchers, so a
-        zone that is cut off from the platform hides no target. A choice by
-        score for each part would put both readers of some parts into one
-        zone, and give some watchers many parts and some none.
+        Returns ``None`` when it is no watcher. The list has one part for each
+        watcher. A watcher reads the part at its own position and, as a backup,
+        the part of the watcher that is half of the list of watchers away. The
+        two are in different zones unless one zone has more than half of all
+        watchers, so a zone that is cut off from the platform hides no target.
+        Rendezvous hashing for each part would put both readers of some parts
+        in one zone, and give some watchers many parts and others none.
         """
-        chosen = self._choose()
-        own = self._view.own.daemon_id
-        if own not in chosen:
+        watcher_ids = self._choose()
+        own_id = self._view.own.daemon_id
+        if own_id not in watcher_ids:
             return None
-        count = len(chosen)
-        if count <= _READERS_OF_A_PART:
+        count = len(watcher_ids)
+        if count <= _READERS_PER_PART:
             return shares.WHOLE
-        place = chosen.index(own)
-        opposite = (place + count // 2) % count
-        return shares.share_of(count, (place, opposite))
+        position = watcher_ids.index(own_id)
+        opposite = (position + count // 2) % count
+        return shares.share_of(count, (position, opposite))
 
     def member_count(self) -> int:
-        """Return how many daemons are known to serve, this one included."""
+        """Return the number of serving daemons, including this one."""
         return max(1, len(self._view.serving()))
 
     def _choose(self) -> tuple[str, ...]:
-        """Choose again when the view or the number has changed."""
-        chosen_for = (self._view.version, self._per_zone())
-        if chosen_for != self._chosen_for:
+        """Return the watchers; recompute if the view or number changed."""
+        choice_key = (self._view.version, self._per_zone())
+        if choice_key != self._choice_key:
             serving = self._view.serving()
             zones = sorted({member.zone for member in serving})
-            self._chosen = tuple(
-                daemon
+            self._watcher_ids = tuple(
+                daemon_id
                 for zone in zones
-                for daemon in _choose_in(zone, serving, chosen_for[1])
+                for daemon_id in _choose_in_zone(zone, serving, choice_key[1])
             )
-            self._chosen_for = chosen_for
-        return self._chosen
+            self._choice_key = choice_key
+        return self._watcher_ids
 
 
-def _choose_in(
+def _choose_in_zone(
     zone: ids.ZoneName,
     serving: tuple[members.Member, ...],
     count: int,
--- a/libraries/configuration/src/sardinepier/configuration/messages.py
+++ b/libraries/configuration/src/sardinepier/configuration/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about files."""
+"""The messages that daemons exchange about files."""
 
 from typing import Final
 
@@ -10,7 +10,7 @@
 
 
 class KnownRevision(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon knows of one file, without its text.
+    """The revisions of one file that a daemon knows, without the text.
 
     ``newest`` is above ``in_force`` while the newest revision is rejected.
     """
@@ -22,21 +22,21 @@
 
 
 class ConfigurationNews(messages.Message, frozen=True):
-    """The sender's mark has changed, by these files if they are few."""
+    """Announces the sender's new mark, and the changed files if they are few."""
 
     mark: marks.ConfigurationMark
     changed: tuple[KnownRevision, ...]
 
 
 class RevisionTableRequest(messages.Message, frozen=True):
-    """Asks a peer for all revisions, unless its mark equals this one."""
+    """Requests all revisions of a peer, unless its mark equals this one."""
 
     nonce: int
     mark: marks.ConfigurationMark
 
 
 class RevisionTable(messages.Message, frozen=True):
-    """All that a peer knows; no entries when the marks are equal."""
+    """All revisions that a peer knows; empty when the marks are equal."""
 
     nonce: int
     mark: marks.ConfigurationMark
@@ -44,7 +44,7 @@
 
 
 class FileRequest(messages.Message, frozen=True):
-    """Asks a peer for one version of one file."""
+    """Requests one version of one file from a peer."""
 
     name: ids.FileName
     revision: ids.Revision
@@ -53,8 +53,8 @@
 class FileAnswer(messages.Message, frozen=True):
     """One version of one file; ``text`` is ``None`` for a deletion.
 
-    It may be newer than what was asked for. One file a message keeps each
-    message below the size of the largest file and a little more.
+    The version may be newer than the requested one. A message has one file
+    only, which bounds its size to that of the largest file plus a header.
     """
 
     name: ids.FileName
@@ -69,4 +69,4 @@
     FileRequest,
     FileAnswer,
 )
-"""All kinds, for the network's codec."""
+"""All message kinds of this library, for the network's codec."""
--- a/libraries/configuration/src/sardinepier/configuration/options.py
+++ b/libraries/configuration/src/sardinepier/configuration/options.py
@@ -1,4 +1,4 @@
-"""The settings of a distributor, with a default for each."""
+"""The options of a distributor, with defaults."""
 
 import dataclasses
 
@@ -7,27 +7,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DistributorOptions:
-    """How often and how much is asked.
+    """Intervals, timeouts and limits of the requests.
 
-    ``watchers_per_zone`` holds until a fleet file is in force, which has its
-    own figure. ``fanout`` peers hear of a change at once. At most
-    ``pulls_in_flight`` files and ``tables_in_flight`` tables are awaited from
-    peers, each for ``answer_timeout_s``.
+    ``watchers_per_zone`` applies until a fleet file is in force, which has
+    its own setting. A change is pushed to ``fanout`` peers, after
+    ``change_delay_s`` in which further changes join it. At most
+    ``pulls_in_flight`` files and ``tables_in_flight`` tables are requested
+    from peers at a time, each with a timeout of ``answer_timeout_s``.
 
-    ``peer_wait_s`` is how long a starting daemon lets its peers answer before
-    it takes anything from the platform, and ``peer_fetch_s`` while their
-    files still come in. A watch is held for ``watch_s``.
-    Another reader follows after ``stagger_s`` if the first one fails.
+    A starting daemon waits up to ``peer_wait_s`` for answers of its peers
+    before it reads from the platform, and up to ``peer_fetch_s`` while files
+    still arrive from them. A watch request lasts up to ``watch_s``. The next
+    reader of a file follows after ``stagger_s`` if the one before it fails.
 
-    A daemon that does not watch lists the files too, now and then, in case
-    all watchers are cut off from the platform: at least every ``audit_s``,
-    and rarer in a large fleet, with ``audit_per_member_s`` for each member,
-    so that the rate of the whole fleet is the same at every size. One that
-    has heard of no peer for ``silence_s`` no longer waits for that.
+    A daemon that is no watcher also lists the files periodically, in case
+    all watchers are cut off from the platform. The interval is ``audit_s``,
+    or ``audit_per_member_s`` times the number of members if that is longer,
+    so that the request rate does not grow with the fleet. A daemon that has
+    received nothing from any peer for ``silence_s`` lists before that.
 
     A watcher reads its share of the instance list about every ``instances_s``
-    and the list of daemons, which only helps parted daemons to meet again,
-    every ``daemons_s``.
+    and, every ``daemons_s``, the list of daemons, whose only use is to
+    reconnect separated daemons.
+
+    Failed calls are retried after ``backoff_min_s`` to ``backoff_max_s``. A
+    rejected revision is read again after ``recheck_s``. ``refresh`` queries
+    at most once every ``refresh_s``.
     """
 
     watchers_per_zone: int = 2
@@ -51,15 +56,15 @@
     refresh_s: float = 0.2
 
     def __post_init__(self) -> None:
-        """Raise ``InvalidArgumentError`` for a figure that is not above 0."""
+        """Raise ``InvalidArgumentError`` for a number that is not above 0."""
         for field in dataclasses.fields(self):
             _check_above_zero(field.name, getattr(self, field.name))
 
 
-def _check_above_zero(name: str, figure: float) -> None:
-    if figure > 0:
+def _check_above_zero(name: str, number: float) -> None:
+    if number > 0:
         return
     raise errors.InvalidArgumentError(
-        f'{name} is {figure}',
-        'Pass a figure above 0',
+        f'{name} is {number}',
+        'Pass a number above 0',
     )
--- a/libraries/configuration/src/sardinepier/configuration/route_tables.py
+++ b/libraries/configuration/src/sardinepier/configuration/route_tables.py
@@ -1,35 +1,35 @@
-"""The compiled routes of services, made when they are first asked for."""
+"""The compiled routes of services, built on first use."""
 
 from sardinepier.core import ids
 from sardinepier.settings import model, routes
 
 
 class RouteTables:
-    """Keeps one compiled table for each service.
+    """Caches one compiled route table for each service.
 
-    A daemon serves few of all services, and a change of one file leaves the
-    others' tables as they are. The table always fits the settings that are
-    passed in: a request which began before a change gets the one for the
-    settings that it started with.
+    Tables are built on first use because a daemon serves few of all services.
+    A change of one file keeps the tables of the other services. The table
+    always matches the settings that are passed in, so a request that started
+    before a change still gets the table of its own settings.
     """
 
     def __init__(self) -> None:
-        """Start with nothing compiled."""
+        """Start with an empty cache."""
         self._tables: dict[
             ids.ServiceName,
             tuple[model.ServiceSettings, routes.RouteTable],
         ] = {}
 
     def find(self, service: model.ServiceSettings) -> routes.RouteTable:
-        """Return the routes of ``service``, compiled at the first call."""
-        kept = self._tables.get(service.name)
-        if kept is not None and kept[0] is service:
-            return kept[1]
+        """Return the routes of ``service``; compile them on the first call."""
+        cached = self._tables.get(service.name)
+        if cached is not None and cached[0] is service:
+            return cached[1]
         table = routes.RouteTable(service.routes)
         self._tables[service.name] = (service, table)
         return table
 
     def retain(self, current: model.Configuration) -> None:
-        """Forget the tables of services that are gone."""
+        """Drop the tables of services that ``current`` does not have."""
         for name in self._tables.keys() - current.services.keys():
             self._tables.pop(name)
--- a/libraries/configuration/src/sardinepier/configuration/store.py
+++ b/libraries/configuration/src/sardinepier/configuration/store.py
@@ -6,9 +6,9 @@
     store.offer(ids.FileName('fleet'), ids.Revision(1), text)
     store.current.fleet.name
 
-A version is taken only when its revision is higher than the one in force.
-One with mistakes is remembered with its revision, so that it is not fetched
-again, and the last valid one stays in force.
+A version is accepted only if its revision is higher than the one in force.
+A version with problems is stored as rejected, so that it is not fetched
+again, and the last valid version stays in force.
 """
 
 import types
@@ -24,7 +24,7 @@
 from sardinepier.settings import errors, model, parsing
 
 MAX_FILES: Final = 4096
-"""Files beyond this number are ignored, to bound memory and messages."""
+"""Further files are ignored, which bounds memory and message sizes."""
 
 _UNKNOWN: Final = files.KnownFile()
 ChangeCallback = Callable[[model.Configuration], None]
@@ -34,13 +34,13 @@
 class Store:
     """All files known to one daemon; synchronous, without any I/O.
 
-    ``current`` is ``None`` until a valid fleet file came. It is replaced
-    whole on each change, so a request that keeps the object it started with
-    never sees two configurations. A change parses the changed file alone.
+    ``current`` is ``None`` until there is a valid fleet file. Each change
+    replaces it by a new object, so a request that keeps the object it started
+    with never sees two configurations. Only the changed file is parsed.
     """
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Start without any file."""
         self.current: model.Configuration | None = None
         self._files: dict[ids.FileName, files.KnownFile] = {}
         self._digest = 0
@@ -56,10 +56,11 @@
         revision: ids.Revision,
         text: str,
     ) -> files.OfferResult:
-        """Take the version if it is newer and valid.
+        """Apply the version if it is newer and valid.
 
-        A rejected revision may come again with another text, for a platform
-        may garble a file once; the same text is not parsed again.
+        A rejected revision may be offered again with another text, because
+        the platform may have garbled the file once. The same text is not
+        parsed again.
         """
         version = files.FileVersion(revision, text)
         if not self.is_newer(name, version):
@@ -70,39 +71,39 @@
         self,
         name: ids.FileName,
         version: files.FileVersion,
-        found: file_parsing.ParsedFile,
+        parsed_file: file_parsing.ParsedFile,
     ) -> files.OfferResult:
-        """Take a version whose text was read already, elsewhere.
+        """Apply a version whose text the caller has already parsed.
 
-        Whether it is still news is looked at only here: a newer version may
-        have come while the text was read.
+        Whether the version is still newer is checked here, since another one
+        may have been applied while the text was parsed.
         """
         if not self.is_newer(name, version):
             return files.OfferResult.STALE
-        if found.problems:
-            return self._reject(name, version, found.problems)
-        return self._accept(name, version, found.parsed)
+        if parsed_file.problems:
+            return self._reject(name, version, parsed_file.problems)
+        return self._accept(name, version, parsed_file.parsed)
 
     def offer_deleted(
         self,
         name: ids.FileName,
         revision: ids.Revision,
     ) -> files.OfferResult:
-        """Take the deletion of a file if it is newer.
+        """Apply the deletion of a file if it is newer.
 
-        The fleet file cannot be deleted: that is a mistake like any other,
-        and its last valid version stays in force.
+        The fleet file cannot be deleted: its deletion is rejected like any
+        other invalid version, and the last valid version stays in force.
         """
         version = files.FileVersion(revision, None)
         if not self.is_newer(name, version):
             return files.OfferResult.STALE
         if name == file_names.FLEET:
-            problems = (file_parsing.deleted_fleet(),)
+            problems = (file_parsing.fleet_deleted_problem(),)
             return self._reject(name, version, problems)
         return self._accept(name, version, None)
 
     def is_newer(self, name: ids.FileName, version: files.FileVersion) -> bool:
-        """Tell whether the version may be taken, if it is valid."""
+        """Return whether the version would be applied if it is valid."""
         if not self.can_store(name):
             return False
         known = self.find(name)
@@ -111,47 +112,49 @@
         return known.rejected is None or known.rejected.version != version
 
     def find(self, name: ids.FileName) -> files.KnownFile:
-        """Return what is known of a file; an empty value if nothing is."""
+        """Return the known versions of a file; an empty object if none."""
         return self._files.get(name, _UNKNOWN)
 
     def known(self) -> Mapping[ids.FileName, files.KnownFile]:
-        """Return all files, rejected and deleted ones with them."""
+        """Return all files, including rejected and deleted ones."""
         return types.MappingProxyType(self._files)
 
     def can_store(self, name: ids.FileName) -> bool:
-        """Tell whether this file may be kept: its name is one of ours."""
+        """Return whether a file of this name is or may be stored."""
         if name in self._files:
             return True
-        return file_names.is_known(name) and len(self._files) < MAX_FILES
+        return file_names.is_valid(name) and len(self._files) < MAX_FILES
 
     def mark(self) -> marks.ConfigurationMark:
-        """Return what tells this state from another, in a few bytes."""
+        """Return a short fingerprint of all known revisions."""
         return marks.ConfigurationMark(self._newest, self._digest)
 
     def problems(self) -> tuple[errors.Problem, ...]:
-        """Return all mistakes of rejected files, and between valid ones.
+        """Return the problems of rejected files and between valid files.
 
-        A mistake between files keeps neither from being in force: which of
-        the two came first would decide, and daemons would differ.
+        A problem between two files blocks neither of them: otherwise the
+        order of arrival would decide, and daemons would differ.
         """
-        rejected = (file.rejected for file in self._files.values())
-        alone = tuple(
+        rejected_files = (file.rejected for file in self._files.values())
+        rejected_problems = tuple(
             problem
-            for one in rejected
-            if one is not None
-            for problem in one.problems
+            for rejected in rejected_files
+            if rejected is not None
+            for problem in rejected.problems
         )
         if self.current is None:
-            return alone
+            return rejected_problems
         services = tuple(self.current.services.values())
-        return alone + parsing.check_across_files(self.current.fleet, services)
+        return rejected_problems + parsing.check_across_files(
+            self.current.fleet, services
+        )
 
     def on_change(self, callback: ChangeCallback) -> None:
         """Call ``callback`` with each new ``current``."""
         self._on_change.append(callback)
 
     def on_new_version(self, callback: NewVersionCallback) -> None:
-        """Call ``callback`` with the name whenever a file's state grew."""
+        """Call ``callback`` with the file's name after each new version."""
         self._on_new_version.append(callback)
 
     def _reject(
@@ -179,24 +182,24 @@
         if rejected and rejected.version.revision <= version.revision:
             rejected = None
         self._replace(name, files.KnownFile(version, rejected, parsed))
-        self._renew_current(name, version, parsed)
+        self._rebuild_current(name, version, parsed)
         return files.OfferResult.ACCEPTED
 
     def _replace(self, name: ids.FileName, known: files.KnownFile) -> None:
-        self._digest ^= _digest_part(name, self.find(name))
-        self._digest ^= _digest_part(name, known)
+        self._digest ^= _file_digest(name, self.find(name))
+        self._digest ^= _file_digest(name, known)
         self._files[name] = known
         self._newest = max(self._newest, known.newest_revision)
         for callback in self._on_new_version:
             callback(name)
 
-    def _renew_current(
+    def _rebuild_current(
         self,
         name: ids.FileName,
         version: files.FileVersion,
         parsed: model.FleetSettings | model.ServiceSettings | None,
     ) -> None:
-        """Build the next ``current`` from copies; the old one stays whole."""
+        """Build a new ``current`` from copies; the old object is unchanged."""
         self._revisions = {**self._revisions, name: version.revision}
         fleet = self.current.fleet if self.current else None
         if isinstance(parsed, model.FleetSettings):
@@ -222,11 +225,15 @@
     service = file_names.service_of(name)
     if parsed is not None:
         return {**services, service: parsed}
-    return {other: kept for other, kept in services.items() if other != service}
+    return {
+        service_name: settings
+        for service_name, settings in services.items()
+        if service_name != service
+    }
 
 
-def _digest_part(name: ids.FileName, known: files.KnownFile) -> int:
-    """Return the share of one file; shares are joined by exclusive or."""
+def _file_digest(name: ids.FileName, known: files.KnownFile) -> int:
+    """Return the hash of one file; the digest is the XOR of all of them."""
     if known.newest_revision == files.NO_REVISION:
         return 0
     revisions = f'{known.newest_revision}\0{known.in_force_revision}'
--- a/libraries/configuration/tests/conftest.py
+++ b/libraries/configuration/tests/conftest.py
@@ -1,7 +1,7 @@
 """A small fleet of distributors in one process, in virtual time.
 
-The event loop's clock jumps to the next timer whenever nothing is left to
-run. A minute passes in a moment, and every run is the same.
+The event loop's clock advances to the next timer whenever no task is ready,
+so tests do not wait for real time and every run is deterministic.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 SERVICE = ids.FileName('service/search')
 _ZONES = ('a', 'b', 'c')
 _HEARTBEAT_PEERS = 4
-_DELIVERY_S = 0.005
-_BURST = 5
-_CALL_S = 3.0
+_DELIVERY_INTERVAL_S = 0.005
+_BURST_CALLS = 5
+_CALL_TIMEOUT_S = 3.0
 
 
-class _JumpingSelector(selectors.DefaultSelector):
+class _VirtualTimeSelector(selectors.DefaultSelector):
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
@@ -38,58 +38,58 @@
     def select(self, timeout=None):
         ready = super().select(0)
         if not ready:
-            assert timeout is not None, 'All tasks wait for ever'
+            assert timeout is not None, 'No task is ready and no timer is set'
             self.now_s += max(0, timeout)
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes only by its own timers."""
+    """An event loop whose time advances only to its next timer."""
 
     def __init__(self):
-        self._jumping = _JumpingSelector()
-        self.reading_s = 0.006
+        self._virtual_selector = _VirtualTimeSelector()
+        self.parse_s = 0.006
         self.timers = collections.Counter()
-        super().__init__(self._jumping)
+        super().__init__(self._virtual_selector)
 
     def time(self):
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
     def call_at(self, when, callback, *arguments, context=None):
-        """Count the timers of each kind of task."""
+        """Count the timers that each coroutine sets."""
         task = asyncio.current_task(self)
         self.timers[task.get_coro().__qualname__ if task else ''] += 1
         return super().call_at(when, callback, *arguments, context=context)
 
-    def run_in_executor(self, executor, work, *arguments):
-        """Do the work at a moment of virtual time, while others go on."""
+    def run_in_executor(self, executor, function, *arguments):
+        """Call the function after ``parse_s``; other tasks run meanwhile."""
         done = self.create_future()
 
         def finish():
             if not done.cancelled():
-                done.set_result(work(*arguments))
+                done.set_result(function(*arguments))
 
-        self.call_later(self.reading_s, finish)
+        self.call_later(self.parse_s, finish)
         return done
 
     def monotonic_s(self):
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
     def boot_s(self):
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
     def wall_ms(self):
-        return int(self._jumping.now_s * 1000)
+        return int(self._virtual_selector.now_s * 1000)
 
 
 class Heartbeat(wire_messages.Message, frozen=True):
-    """What membership would send: the mark of the sender."""
+    """A heartbeat of membership, reduced to the sender's mark."""
 
     mark: marks.ConfigurationMark
 
 
 class FakeView:
-    """A membership that knows at once who runs."""
+    """A membership view that is always up to date."""
 
     def __init__(self, fleet, own):
         self._fleet = fleet
@@ -106,16 +106,18 @@
         return self._fleet.members
 
     def find(self, instance_id):
-        found = (
-            one for one in self.members() if one.instance_id == instance_id
+        matches = (
+            member
+            for member in self.members()
+            if member.instance_id == instance_id
         )
-        return next(found, None)
+        return next(matches, None)
 
 
-class Sight:
-    """A daemon's way to the platform, which may be cut for it alone.
+class PlatformAccess:
+    """One daemon's connection to the platform, which a test may cut.
 
-    It lets no more calls through than the client over HTTP would.
+    It limits the rate of calls like the HTTP client.
     """
 
     def __init__(self, platform, clock, reads_per_s):
@@ -123,53 +125,57 @@
         self.called_s = collections.defaultdict(list)
         self._platform = platform
         self._clock = clock
-        self._bucket = token_bucket.TokenBucket(clock, reads_per_s, _BURST)
+        self._bucket = token_bucket.TokenBucket(
+            clock, reads_per_s, _BURST_CALLS
+        )
 
     def __getattr__(self, name):
         call = getattr(self._platform, name)
 
-        async def meet(*arguments):
-            await self._bucket.take(self._clock.monotonic_s() + _CALL_S)
+        async def limited_call(*arguments):
+            await self._bucket.take(self._clock.monotonic_s() + _CALL_TIMEOUT_S)
             self.called_s[name].append(self._clock.monotonic_s())
             if self.is_cut:
-                raise errors.PlatformUnavailableError('It is cut', 'Wait')
+                raise errors.PlatformUnavailableError(
+                    'The platform is unreachable', 'Wait'
+                )
             return await call(*arguments)
 
-        return meet
+        return limited_call
 
 
 class Daemon:
-    """One distributor, with the revisions that it has ever shown."""
+    """One distributor, with a record of its events and revisions."""
 
-    def __init__(self, fleet, number, start):
+    def __init__(self, fleet, number, incarnation):
         name = f'd{number}'
         address = wire_messages.PeerAddress(
             f'10.0.{number // 200}.{number % 200 + 1}', 7000
         )
         self.member = members.Member(
-            instance_id=ids.InstanceId(f'{name}~{start:016x}'),
+            instance_id=ids.InstanceId(f'{name}~{incarnation:016x}'),
             daemon_id=ids.DaemonId(name),
             zone=ids.ZoneName(_ZONES[number % len(_ZONES)]),
             region=ids.RegionName('r'),
             peer_address=address,
             http_ip=address.ip,
             http_port=8080,
-            incarnation=start,
+            incarnation=incarnation,
             state=members.MemberState.ALIVE,
             started_at_s=fleet.loop.time(),
         )
         self.store = store.Store()
         self.events = []
         self.instances = []
-        self.lowered = []
-        self.shown = {}
-        self.took_s = {}
+        self.lowered_revisions = []
+        self.applied_revisions = {}
+        self.arrived_s = {}
         self._fleet = fleet
-        self.store.on_change(self._show)
-        self.store.on_new_version(self._check)
+        self.store.on_change(self._record_revisions)
+        self.store.on_new_version(self._record_arrival)
         sender = wire_messages.Sender(self.member.instance_id, address)
         self.network = fleet.hub.network(sender)
-        self.sight = Sight(
+        self.platform_access = PlatformAccess(
             platform_memory.in_process(fleet.platform, 0.5),
             fleet.loop,
             fleet.reads_per_s,
@@ -179,19 +185,19 @@
         self.network.send = self._count_and_send
         self.distributor = distributor.Distributor(
             self.store,
-            self.sight,
+            self.platform_access,
             self.network,
             FakeView(fleet, self.member),
             fleet.loop,
-            random.Random(f'{name} {start} {fleet.seed}'),
+            random.Random(f'{name} {incarnation} {fleet.seed}'),
             fleet.options,
             self.events.append,
         )
         self.distributor.on_instances(self.instances.append)
         self.network.subscribe(
             Heartbeat,
-            lambda sender, beat: self.distributor.receive_mark(
-                sender, beat.mark
+            lambda sender, heartbeat: self.distributor.receive_mark(
+                sender, heartbeat.mark
             ),
         )
         self.tasks = []
@@ -200,7 +206,7 @@
         loop = self._fleet.loop
         self.tasks = [
             loop.create_task(self.distributor.run()),
-            loop.create_task(self._beat()),
+            loop.create_task(self._send_heartbeats()),
         ]
 
     async def stop(self):
@@ -212,38 +218,42 @@
     def in_force(self):
         """Return the revision in force of each file."""
         known = self.store.known().items()
-        return {name: one.in_force_revision for name, one in known}
+        return {name: file.in_force_revision for name, file in known}
 
-    def happened(self, kind):
+    def events_of(self, kind):
         """Return the events of one kind."""
-        return [one for one in self.events if type(one).__name__ == kind]
+        return [event for event in self.events if type(event).__name__ == kind]
 
     def _count_and_send(self, peer, message):
         self.sent[type(message).__name__] += 1
         return self._send(peer, message)
 
-    async def _beat(self):
-        ring = random.Random(self.member.daemon_id)
+    async def _send_heartbeats(self):
+        peer_random = random.Random(self.member.daemon_id)
         while True:
-            await asyncio.sleep(ring.uniform(0.4, 0.6))
+            await asyncio.sleep(peer_random.uniform(0.4, 0.6))
             if not self._fleet.has_heartbeats:
                 continue
-            others = [
-                one for one in self._fleet.members if one is not self.member
+            peers = [
+                member
+                for member in self._fleet.members
+                if member is not self.member
             ]
-            for peer in ring.sample(others, min(_HEARTBEAT_PEERS, len(others))):
-                beat = Heartbeat(self.store.mark())
-                self.network.send(peer.peer_address, beat)
+            for peer in peer_random.sample(
+                peers, min(_HEARTBEAT_PEERS, len(peers))
+            ):
+                heartbeat = Heartbeat(self.store.mark())
+                self.network.send(peer.peer_address, heartbeat)
 
-    def _show(self, configuration):
+    def _record_revisions(self, configuration):
         for name, revision in configuration.revisions.items():
-            if revision < self.shown.get(name, 0):
-                self.lowered.append((name, revision))
-            self.shown[name] = revision
+            if revision < self.applied_revisions.get(name, 0):
+                self.lowered_revisions.append((name, revision))
+            self.applied_revisions[name] = revision
 
-    def _check(self, name):
+    def _record_arrival(self, name):
         revision = self.store.find(name).in_force_revision
-        self.took_s.setdefault((name, revision), self._fleet.loop.time())
+        self.arrived_s.setdefault((name, revision), self._fleet.loop.time())
 
 
 class Fleet:
@@ -261,21 +271,21 @@
             self.loop,
             random.Random(seed),
         )
-        self._pump = self.loop.create_task(self._deliver())
+        self._delivery = self.loop.create_task(self._deliver())
         self.daemons = {}
-        self.starts = collections.Counter()
+        self.incarnations = collections.Counter()
         self.version = 0
         self.has_heartbeats = True
         self.members = ()
 
     def start(self, *numbers):
-        """Start daemons, or start them anew with nothing known."""
+        """Start daemons with empty stores; restart those that run."""
         for number in numbers:
             self.stop(number)
-            self.starts[number] += 1
-            daemon = Daemon(self, number, self.starts[number])
+            self.incarnations[number] += 1
+            daemon = Daemon(self, number, self.incarnations[number])
             self.daemons[number] = daemon
-        self._renew_view()
+        self._update_view()
         for number in numbers:
             self.daemons[number].start()
 
@@ -283,19 +293,19 @@
         daemon = self.daemons.pop(number, None)
         if daemon is not None:
             self.runner.run(daemon.stop())
-            self._renew_view()
+            self._update_view()
 
     def run(self, elapsed_s):
-        """Let virtual time pass."""
+        """Advance virtual time."""
         self.runner.run(asyncio.sleep(elapsed_s))
 
     def run_until(self, condition, limit_s):
         """Return the seconds until ``condition()``; fail beyond a limit."""
-        began_s = self.loop.time()
+        started_s = self.loop.time()
         while not condition():
-            assert self.loop.time() < began_s + limit_s, self.describe()
+            assert self.loop.time() < started_s + limit_s, self.describe()
             self.run(0.05)
-        return self.loop.time() - began_s
+        return self.loop.time() - started_s
 
     def publish(self, name=SERVICE, comment=''):
         """Publish a valid file and return its revision."""
@@ -305,7 +315,7 @@
         return self.platform.publish(name, service_text(service, comment))
 
     def settle(self):
-        """Publish a fleet file and a service, and let all have them."""
+        """Publish a fleet file and a service; wait until all daemons have them."""
         self.publish(FLEET)
         revision = self.publish()
         self.run_until(lambda: self.all_have(SERVICE, revision), 10)
@@ -323,22 +333,24 @@
         return {daemon.store.mark() for daemon in self.daemons.values()}
 
     def describe(self):
-        return {key: one.in_force() for key, one in self.daemons.items()}
+        return {
+            number: daemon.in_force() for number, daemon in self.daemons.items()
+        }
 
     def close(self):
         for number in tuple(self.daemons):
             self.stop(number)
-        self._pump.cancel()
+        self._delivery.cancel()
         self.runner.close()
 
     async def _deliver(self):
         while True:
-            await asyncio.sleep(_DELIVERY_S)
+            await asyncio.sleep(_DELIVERY_INTERVAL_S)
             self.hub.deliver()
 
-    def _renew_view(self):
+    def _update_view(self):
         self.version += 1
-        self.members = tuple(one.member for one in self.daemons.values())
+        self.members = tuple(daemon.member for daemon in self.daemons.values())
 
 
 def fleet_text(comment=''):
@@ -371,13 +383,13 @@
 
 
 @pytest.fixture
-def world():
-    """Give tests the names of this module and close the fleets they make."""
-    made = []
+def support():
+    """Return the helpers of this module; close the fleets at the end."""
+    fleets = []
 
     def make(count=0, seed=0, **limits):
         fleet = Fleet(seed, **limits)
-        made.append(fleet)
+        fleets.append(fleet)
         if count:
             fleet.start(*range(count))
         return fleet
@@ -390,5 +402,5 @@
         service_text=service_text,
         instances=interface.InstanceList,
     )
-    for fleet in made:
+    for fleet in fleets:
         fleet.close()
--- a/libraries/configuration/tests/cover/test_configuration_shares.py
+++ b/libraries/configuration/tests/cover/test_configuration_shares.py
@@ -1,4 +1,4 @@
-"""Every target is read by two watchers, and each of them reads few."""
+"""Tests that two watchers read each target, and that each reads few."""
 
 import itertools
 import types
@@ -24,8 +24,10 @@
         for zone, size in enumerate(sizes)
         for number in range(size)
     )
-    found = [(own.zone, _share(serving, own, per_zone)) for own in serving]
-    return [one for one in found if one[1]]
+    zone_shares = [
+        (own.zone, _share(serving, own, per_zone)) for own in serving
+    ]
+    return [zone_share for zone_share in zone_shares if zone_share[1]]
 
 
 @given(
@@ -39,11 +41,11 @@
     if count <= 2:
         assert {share for _, share in watching} == {shares.WHOLE}
         return
-    most = max(min(size, per_zone) for size in sizes)
+    largest = max(min(size, per_zone) for size in sizes)
     for number in range(count):
-        zones = [zone for zone, one in watching if number in one.chosen]
+        zones = [zone for zone, share in watching if number in share.chosen]
         assert len(zones) == 2
-        assert most > count // 2 or zones[0] != zones[1]
+        assert largest > count // 2 or zones[0] != zones[1]
     for _, share in watching:
         assert (share.parts, len(share.chosen)) == (count, 2)
         assert not share.has_daemons
@@ -73,15 +75,15 @@
     ]
 
 
-def test_watchers_hand_on_their_share_and_changes_of_it_in_time(world):
-    fleet = world.make(12)
+def test_watchers_report_their_share_and_its_changes_in_time(support):
+    fleet = support.make(12)
     fleet.settle()
     fleet.platform.set_instances(_listed(60))
     fleet.run(15)
     watching = _watching(fleet)
     assert len(watching) == 6
-    for daemon in watching:
-        listed = daemon.instances[-1]
+    for watcher in watching:
+        listed = watcher.instances[-1]
         covered = [
             target
             for target in _listed(60).targets
@@ -91,20 +93,26 @@
         assert listed.daemons == _listed(60).daemons
         assert listed.share.has_daemons
     for number in range(60):
-        for daemon in fleet.daemons.values():
-            daemon.instances.clear()
+        for receiver in fleet.daemons.values():
+            receiver.instances.clear()
         leaving = _listed(60, {number})
         fleet.platform.set_instances(leaving)
-        # Half of the 3 s after which a leaving target gets no new work.
+        # Half of the 3 s after which a leaving target gets no new requests.
         fleet.run(1.55)
-        told = [one for one in fleet.daemons.values() if one.instances]
-        assert set(told) <= set(watching)
+        notified = [
+            daemon for daemon in fleet.daemons.values() if daemon.instances
+        ]
+        assert set(notified) <= set(watching)
         changed = leaving.targets[number]
-        assert all(len(one.instances) == 1 for one in told)
-        knowing = [one for one in told if changed in one.instances[-1].targets]
-        assert len(knowing) == 2
-        assert knowing[0].member.zone != knowing[1].member.zone
-    # When one goes another one takes its share.
+        assert all(len(daemon.instances) == 1 for daemon in notified)
+        readers = [
+            daemon
+            for daemon in notified
+            if changed in daemon.instances[-1].targets
+        ]
+        assert len(readers) == 2
+        assert readers[0].member.zone != readers[1].member.zone
+    # When a watcher stops, other watchers read its share.
     leaving = _listed(60, set(range(60)))
     fleet.platform.set_instances(leaving)
     fleet.run(1.55)
@@ -113,26 +121,26 @@
     assert len(_watching(fleet)) == 6
     for target in leaving.targets:
         readers = [
-            one
-            for one in _watching(fleet)
-            if one.instances[-1].share.covers(target.service)
+            daemon
+            for daemon in _watching(fleet)
+            if daemon.instances[-1].share.covers(target.service)
         ]
         assert len(readers) == 2
 
 
-def test_zone_cut_off_from_the_platform_hides_no_target(world):
-    fleet = world.make(12)
+def test_zone_cut_off_from_the_platform_hides_no_target(support):
+    fleet = support.make(12)
     fleet.settle()
     fleet.platform.set_instances(_listed(60))
     fleet.run(15)
-    for cut in fleet.daemons.values():
-        cut.sight.is_cut = cut.member.zone == 'a'
+    for daemon in fleet.daemons.values():
+        daemon.platform_access.is_cut = daemon.member.zone == 'a'
     leaving = _listed(60, set(range(60)))
     fleet.platform.set_instances(leaving)
     fleet.run(1.55)
     known = set()
-    for one in fleet.daemons.values():
-        known.update(*(listed.targets for listed in one.instances[-1:]))
+    for daemon in fleet.daemons.values():
+        known.update(*(listed.targets for listed in daemon.instances[-1:]))
     assert known >= set(leaving.targets)
 
 
@@ -140,13 +148,17 @@
     return max(
         later - earlier
         for daemon in watching
-        for earlier, later in itertools.pairwise(daemon.sight.called_s[call])
+        for earlier, later in itertools.pairwise(
+            daemon.platform_access.called_s[call]
+        )
     )
 
 
 @pytest.mark.parametrize(('reads_per_s', 'limit_s'), [(5.0, 8), (1000.0, 2)])
-def test_many_changes_at_once_starve_no_call(world, reads_per_s, limit_s):
-    fleet = world.make(12, reads_per_s=reads_per_s)
+def test_many_changes_at_once_delay_no_platform_call(
+    support, reads_per_s, limit_s
+):
+    fleet = support.make(12, reads_per_s=reads_per_s)
     fleet.settle()
     fleet.run(20)
     names = [ids.FileName(f'service/s{number}') for number in range(110)]
@@ -156,4 +168,4 @@
     watching = _watching(fleet)
     assert _longest_pause_s(watching, 'list_instances') < 2.5
     assert _longest_pause_s(watching, 'watch_files') < 22
-    assert not any(one.happened('PlatformFailed') for one in watching)
+    assert not any(daemon.events_of('PlatformFailed') for daemon in watching)
--- a/libraries/configuration/tests/cover/test_configuration_store.py
+++ b/libraries/configuration/tests/cover/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""The store takes only newer and valid versions, in whatever order."""
+"""Tests that the store applies only newer, valid versions in any order."""
 
 import pytest
 from hypothesis import given
@@ -10,7 +10,7 @@
 _ACCEPTED = files.OfferResult.ACCEPTED
 _STALE = files.OfferResult.STALE
 _INVALID = files.OfferResult.INVALID
-_BAD = '[service]\nnme = search\n'
+_INVALID_TEXT = '[service]\nnme = search\n'
 
 
 def _offer(target, name, revision, text):
@@ -20,11 +20,11 @@
 
 
 @pytest.fixture
-def filled(world):
+def filled(support):
     """Return a store with a fleet file and one service."""
     target = store.Store()
-    _offer(target, world.fleet, 1, world.fleet_text())
-    _offer(target, world.service, 2, world.service_text('search'))
+    _offer(target, support.fleet, 1, support.fleet_text())
+    _offer(target, support.service, 2, support.service_text('search'))
     return target
 
 
@@ -32,8 +32,8 @@
     kinds=st.lists(st.sampled_from('vid'), min_size=1, max_size=8),
     order=st.randoms(),
 )
-def test_any_order_with_repeats_ends_in_the_same_state(kinds, order):
-    texts = {'v': _VALID, 'i': _BAD, 'd': None}
+def test_any_order_with_duplicates_ends_in_the_same_state(kinds, order):
+    texts = {'v': _VALID_TEXT, 'i': _INVALID_TEXT, 'd': None}
     versions = [
         (revision, texts[kind]) for revision, kind in enumerate(kinds, start=1)
     ]
@@ -42,22 +42,22 @@
     first, second = store.Store(), store.Store()
     for revision, text in versions:
         _offer(first, _NAME, revision, text)
-    shown = 0
+    previous = 0
     for revision, text in shuffled:
         result = _offer(second, _NAME, revision, text)
-        now = second.find(_NAME).in_force_revision
-        assert now >= shown
-        assert (result is _ACCEPTED) == (now > shown)
-        shown = now
+        current = second.find(_NAME).in_force_revision
+        assert current >= previous
+        assert (result is _ACCEPTED) == (current > previous)
+        previous = current
     assert second.find(_NAME) == first.find(_NAME)
     assert second.mark() == first.mark()
-    valid = [one[0] for one in versions if one[1] != _BAD]
-    assert shown == max(valid, default=0)
+    valid = [version[0] for version in versions if version[1] != _INVALID_TEXT]
+    assert previous == max(valid, default=0)
     assert second.mark().newest_revision == len(versions)
 
 
 _NAME = ids.FileName('service/search')
-_VALID = """
+_VALID_TEXT = """
 [service]
 name = search
 floor_percent = 70
@@ -78,62 +78,68 @@
 """
 
 
-def test_nothing_is_current_before_a_valid_fleet_file(world):
+def test_nothing_is_current_before_a_valid_fleet_file(support):
     target = store.Store()
-    _offer(target, world.service, 2, world.service_text('search'))
-    assert _offer(target, world.fleet, 3, '[flet]') is _INVALID
+    _offer(target, support.service, 2, support.service_text('search'))
+    assert _offer(target, support.fleet, 3, '[flet]') is _INVALID
     assert target.current is None
-    _offer(target, world.fleet, 4, world.fleet_text())
+    _offer(target, support.fleet, 4, support.fleet_text())
     assert set(target.current.services) == {'search'}
     assert target.current.revisions == {'fleet': 4, 'service/search': 2}
 
 
-def test_a_change_makes_a_new_whole_and_parses_nothing_else(world, filled):
-    before, seen = filled.current, []
-    filled.on_change(seen.append)
-    other = ids.FileName('service/deposits')
-    _offer(filled, other, 3, world.service_text('deposits'))
-    assert seen == [filled.current]
+def test_a_change_makes_a_new_configuration_and_parses_nothing_else(
+    support, filled
+):
+    before, changes = filled.current, []
+    filled.on_change(changes.append)
+    deposits = ids.FileName('service/deposits')
+    _offer(filled, deposits, 3, support.service_text('deposits'))
+    assert changes == [filled.current]
     assert set(before.services) == {'search'}
     assert filled.current.services['search'] is before.services['search']
     assert filled.current.fleet is before.fleet
 
 
-def test_an_invalid_revision_is_shown_and_does_not_block_the_next(
-    world, filled
+def test_an_invalid_revision_is_reported_and_does_not_block_the_next(
+    support, filled
 ):
-    name, seen = world.service, []
-    filled.on_change(seen.append)
-    assert _offer(filled, name, 3, _BAD) is _INVALID
-    assert (filled.current.revisions[name], seen) == (2, [])
+    name, changes = support.service, []
+    filled.on_change(changes.append)
+    assert _offer(filled, name, 3, _INVALID_TEXT) is _INVALID
+    assert (filled.current.revisions[name], changes) == (2, [])
     assert any('nme' in str(problem) for problem in filled.problems())
-    assert _offer(filled, name, 3, _BAD) is _STALE
-    assert _offer(filled, name, 4, world.service_text('search')) is _ACCEPTED
+    assert _offer(filled, name, 3, _INVALID_TEXT) is _STALE
+    assert _offer(filled, name, 4, support.service_text('search')) is _ACCEPTED
     assert filled.current.revisions[name] == 4
     assert filled.problems() == ()
 
 
-def test_a_rejected_revision_is_taken_when_its_text_comes_whole(world, filled):
+def test_a_rejected_revision_is_applied_when_its_text_arrives_intact(
+    support, filled
+):
     before = filled.mark()
-    _offer(filled, world.service, 3, '<rubbish>')
+    _offer(filled, support.service, 3, '<rubbish>')
     assert filled.mark() != before
-    text = world.service_text('search')
-    assert _offer(filled, world.service, 3, text) is _ACCEPTED
+    text = support.service_text('search')
+    assert _offer(filled, support.service, 3, text) is _ACCEPTED
     assert filled.problems() == ()
 
 
-def test_deletion_is_a_version_and_the_fleet_file_has_none(world, filled):
-    assert _offer(filled, world.service, 3, None) is _ACCEPTED
+def test_deletion_is_a_version_and_is_invalid_for_the_fleet_file(
+    support, filled
+):
+    assert _offer(filled, support.service, 3, None) is _ACCEPTED
     assert not filled.current.services
-    assert _offer(filled, world.service, 2, _VALID) is _STALE
-    assert _offer(filled, world.fleet, 4, None) is _INVALID
-    assert filled.current.revisions[world.fleet] == 1
+    assert _offer(filled, support.service, 2, _VALID_TEXT) is _STALE
+    assert _offer(filled, support.fleet, 4, None) is _INVALID
+    assert filled.current.revisions[support.fleet] == 1
     assert 'deleted' in str(filled.problems()[0])
 
 
-def test_mistakes_between_files_are_shown_and_block_neither(world, filled):
-    text = world.service_text('search').replace('zone = a', 'zone = nowhere')
-    assert _offer(filled, world.service, 3, text) is _ACCEPTED
+def test_problems_between_files_are_reported_and_block_neither(support, filled):
+    text = support.service_text('search').replace('zone = a', 'zone = nowhere')
+    assert _offer(filled, support.service, 3, text) is _ACCEPTED
     assert any('nowhere' in str(problem) for problem in filled.problems())
 
 
@@ -141,13 +147,13 @@
     'name',
     ['other', 'service/', 'service/a/b', 'service/a b', f'service/{"x" * 300}'],
 )
-def test_names_that_are_not_ours_are_ignored(name, filled):
+def test_invalid_file_names_are_ignored(name, filled):
     before = filled.mark()
     assert _offer(filled, ids.FileName(name), 9, 'text') is _STALE
     assert filled.mark() == before
 
 
-def test_number_and_size_of_files_are_bounded(world):
+def test_number_and_size_of_files_are_bounded(support):
     target = store.Store()
     for number in range(store.MAX_FILES + 1):
         _offer(target, ids.FileName(f'service/s{number}'), 1, None)
@@ -156,16 +162,16 @@
     assert _offer(target, ids.FileName('service/s1'), 2, large) is _INVALID
 
 
-def test_routes_are_compiled_once_for_each_version(world, filled):
+def test_routes_are_compiled_once_for_each_version(support, filled):
     tables = route_tables.RouteTables()
     old = filled.current.services['search']
     assert tables.find(old) is tables.find(old)
-    text = world.service_text('search').replace('/find', '/look')
-    _offer(filled, world.service, 3, text)
+    text = support.service_text('search').replace('/find', '/look')
+    _offer(filled, support.service, 3, text)
     new = filled.current.services['search']
     assert tables.find(new).match('GET', '/look').name == 'find'
     assert tables.find(old).match('GET', '/look') is None
-    _offer(filled, world.service, 4, None)
-    kept = tables.find(new)
+    _offer(filled, support.service, 4, None)
+    cached = tables.find(new)
     tables.retain(filled.current)
-    assert tables.find(new) is not kept
+    assert tables.find(new) is not cached
--- a/libraries/configuration/tests/cover/test_configuration_store_writer.py
+++ b/libraries/configuration/tests/cover/test_configuration_store_writer.py
@@ -1,4 +1,4 @@
-"""Texts are read beside the loop, one at a time, and the highest wins."""
+"""Tests that one text at a time is parsed, in a thread, and the newest wins."""
 
 import asyncio
 import threading
@@ -13,72 +13,74 @@
 _LIMIT_S = 10
 
 
-class _Gate:
-    """Reads texts only while it is open, and counts what it reads."""
+class _ParseGate:
+    """Blocks the parsing of texts until it is opened, and counts the texts."""
 
     def __init__(self, monkeypatch):
         self.events = []
         self.store = store.Store()
-        self.intake = store_writer.StoreWriter(self.store, self.events.append)
-        self.began = threading.Event()
+        self.writer = store_writer.StoreWriter(self.store, self.events.append)
+        self.started = threading.Event()
         self.opened = threading.Event()
-        self.reads = 0
-        self.at_once = 0
-        self.most_at_once = 0
-        self._read = file_parsing.parse
-        monkeypatch.setattr(file_parsing, 'parse', self._wait_and_read)
+        self.parse_count = 0
+        self.running = 0
+        self.max_running = 0
+        self._parse = file_parsing.parse
+        monkeypatch.setattr(file_parsing, 'parse', self._wait_and_parse)
 
     def offer(self, revision, text):
         version = files.FileVersion(ids.Revision(revision), text)
-        return asyncio.create_task(self.intake.offer(_NAME, version, 'peer'))
+        return asyncio.create_task(self.writer.offer(_NAME, version, 'peer'))
 
-    async def until_reading(self):
+    async def wait_until_parsing(self):
         async with asyncio.timeout(_LIMIT_S):
-            while not self.began.is_set():
+            while not self.started.is_set():
                 await asyncio.sleep(0.001)
 
-    def _wait_and_read(self, name, text):
-        self.reads += 1
-        self.at_once += 1
-        self.most_at_once = max(self.most_at_once, self.at_once)
-        self.began.set()
-        # On the loop's own thread nobody could open it.
+    def _wait_and_parse(self, name, text):
+        self.parse_count += 1
+        self.running += 1
+        self.max_running = max(self.max_running, self.running)
+        self.started.set()
+        # On the thread of the event loop this would never return.
         assert self.opened.wait(_LIMIT_S)
-        self.at_once -= 1
-        return self._read(name, text)
+        self.running -= 1
+        return self._parse(name, text)
 
 
 @pytest.fixture
 def gate(monkeypatch):
-    """Return an intake whose readings wait until the test goes on."""
-    return _Gate(monkeypatch)
+    """Return a writer whose parsing waits until the test opens the gate."""
+    return _ParseGate(monkeypatch)
 
 
-async def test_loop_runs_on_while_texts_are_read_each_once(gate, world):
-    text = world.service_text('search')
+async def test_loop_is_not_blocked_while_each_text_is_parsed_once(
+    gate, support
+):
+    text = support.service_text('search')
     tasks = [gate.offer(revision, text) for revision in (2, 2, 3, 1)]
-    await gate.until_reading()
+    await gate.wait_until_parsing()
     assert gate.store.find(_NAME) == files.KnownFile()
     gate.opened.set()
     results = [await task for task in tasks]
-    assert [one.value for one in results] == [
+    assert [offer.value for offer in results] == [
         'accepted',
         'stale',
         'accepted',
         'stale',
     ]
-    assert (gate.reads, gate.most_at_once) == (2, 1)
+    assert (gate.parse_count, gate.max_running) == (2, 1)
     kinds = [type(event).__name__ for event in gate.events]
     assert kinds == ['FileAccepted', 'FileAccepted', 'FileStale']
 
 
 @pytest.mark.parametrize('is_valid', [True, False])
-async def test_what_became_old_while_it_was_read_is_not_taken(
-    gate, world, is_valid
+async def test_version_that_became_stale_while_parsed_is_not_applied(
+    gate, support, is_valid
 ):
-    text = world.service_text('search') if is_valid else '<rubbish>'
+    text = support.service_text('search') if is_valid else '<rubbish>'
     late = gate.offer(3, text)
-    await gate.until_reading()
+    await gate.wait_until_parsing()
     gate.store.offer_deleted(_NAME, ids.Revision(5))
     gate.opened.set()
     assert await late is files.OfferResult.STALE
--- a/libraries/configuration/tests/nocover/test_configuration_stateful.py
+++ b/libraries/configuration/tests/nocover/test_configuration_stateful.py
@@ -1,4 +1,4 @@
-"""Files only move forward, and all daemons agree once faults have ended."""
+"""Tests that revisions never decrease and that daemons converge after faults."""
 
 import types
 
@@ -22,52 +22,52 @@
 )
 
 
-class Spreading(stateful.RuleBasedStateMachine):
-    """Operators, the platform, links and daemons, in any order."""
+class FileDistribution(stateful.RuleBasedStateMachine):
+    """Random changes, platform faults, link faults and restarts."""
 
-    world: types.SimpleNamespace
+    support: types.SimpleNamespace
 
     def __init__(self):
         super().__init__()
-        self.fleet = self.world.make(_COUNT)
-        self.fleet.publish(self.world.fleet)
+        self.fleet = self.support.make(_COUNT)
+        self.fleet.publish(self.support.fleet)
         self.fleet.run(2)
-        self.last = {}
+        self.last_published = {}
 
     @stateful.rule(name=_FILES, times=st.integers(1, 4))
     def publish(self, name, times):
         for _ in range(times):
-            self.last[name] = (self.fleet.publish(name), True)
+            self.last_published[name] = (self.fleet.publish(name), True)
 
     @stateful.rule(name=_FILES)
     def publish_invalid_between_valid_ones(self, name):
         self.fleet.publish(name)
         self.fleet.platform.publish(name, '[nothing]\nkey = 1\n')
-        self.last[name] = (self.fleet.publish(name), True)
+        self.last_published[name] = (self.fleet.publish(name), True)
 
     @stateful.rule(name=_FILES)
     def publish_invalid(self, name):
         revision = self.fleet.platform.publish(name, '[nothing]\n')
-        self.last[name] = (revision, False)
+        self.last_published[name] = (revision, False)
 
     @stateful.rule(name=_FILES)
     def delete(self, name):
         revision = self.fleet.platform.delete(name)
-        self.last[name] = (revision, name != 'fleet')
+        self.last_published[name] = (revision, name != 'fleet')
 
     @stateful.rule(mode=_MODES, back=st.integers(1, 4))
     def change_platform(self, mode, back):
         modes = type(self.fleet.platform.mode)
         self.fleet.platform.set_mode(modes(mode), back)
 
-    @stateful.rule(number=_NUMBERS, other=_NUMBERS)
-    def cut_one_way(self, number, other):
-        first, second = (self._address(number), self._address(other))
-        self.fleet.hub.cut(first, second)
+    @stateful.rule(sender=_NUMBERS, receiver=_NUMBERS)
+    def cut_one_way(self, sender, receiver):
+        source, destination = (self._address(sender), self._address(receiver))
+        self.fleet.hub.cut(source, destination)
 
     @stateful.rule(number=_NUMBERS)
     def cut_from_platform(self, number):
-        self.fleet.daemons[number].sight.is_cut = True
+        self.fleet.daemons[number].platform_access.is_cut = True
 
     @stateful.rule(
         loss=st.sampled_from([0.0, 0.1, 0.5]),
@@ -85,7 +85,7 @@
     def heal_links(self):
         self.fleet.hub.heal_all()
         for daemon in self.fleet.daemons.values():
-            daemon.sight.is_cut = False
+            daemon.platform_access.is_cut = False
 
     @stateful.rule(number=_NUMBERS)
     def restart(self, number):
@@ -96,39 +96,39 @@
         self.fleet.run(elapsed_s)
 
     @stateful.invariant()
-    def no_daemon_ever_shows_a_lower_revision(self):
+    def no_daemon_ever_applies_a_lower_revision(self):
         for daemon in self.fleet.daemons.values():
-            assert not daemon.lowered
+            assert not daemon.lowered_revisions
 
     @stateful.invariant()
-    def marks_tell_states_apart(self):
+    def marks_distinguish_states(self):
         states = {}
         for daemon in self.fleet.daemons.values():
             known = daemon.store.known().items()
             state = frozenset(
-                (name, one.newest_revision, one.in_force_revision)
-                for name, one in known
+                (name, file.newest_revision, file.in_force_revision)
+                for name, file in known
             )
             assert states.setdefault(daemon.store.mark(), state) == state
 
     def teardown(self):
         self.heal_links()
         self.disturb_messages(loss=0.0, reorder_s=0.0, duplicate=0.0)
-        shown = self._highest_shown()
+        highest = self._highest_in_force()
         self.fleet.set_mode('up')
         self.fleet.run_until(self._is_converged, 300)
         for daemon in self.fleet.daemons.values():
             in_force = daemon.in_force()
-            for name, revision in shown.items():
+            for name, revision in highest.items():
                 assert in_force[name] >= revision
-        self.no_daemon_ever_shows_a_lower_revision()
+        self.no_daemon_ever_applies_a_lower_revision()
         self.fleet.close()
 
     def _is_converged(self):
         return len(self.fleet.marks()) == 1 and all(
-            self._has(daemon.store.find(name), *last)
+            self._has(daemon.store.find(name), *last_published)
             for daemon in self.fleet.daemons.values()
-            for name, last in self.last.items()
+            for name, last_published in self.last_published.items()
         )
 
     def _has(self, known, revision, is_valid):
@@ -136,7 +136,7 @@
             return known.in_force_revision == revision
         return known.newest_revision == revision
 
-    def _highest_shown(self):
+    def _highest_in_force(self):
         highest = {}
         for daemon in self.fleet.daemons.values():
             for name, revision in daemon.in_force().items():
@@ -147,10 +147,10 @@
         return self.fleet.daemons[number].member.peer_address
 
 
-def test_files_move_forward_under_all_faults_together(world):
-    Spreading.world = world
+def test_revisions_only_increase_under_combined_faults(support):
+    FileDistribution.support = support
     stateful.run_state_machine_as_test(
-        Spreading,
+        FileDistribution,
         settings=settings(
             max_examples=40,
             stateful_step_count=25,
