--- a/libraries/standins/src/sardinepier/standins/internal/__init__.py
+++ b/libraries/standins/src/sardinepier/standins/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the standins library; not part of its interface."""
+"""Internals of the standins library, not part of its interface."""
--- a/libraries/standins/src/sardinepier/standins/internal/platform_counts.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_counts.py
@@ -1,10 +1,10 @@
-"""How often a stand-in platform was called."""
+"""Counters of the calls to a stand-in platform."""
 
 import msgspec
 
 
 class CallCounts(msgspec.Struct):
-    """How often each kind of call was made, a waiting watch counted once."""
+    """The number of calls of each kind; a waiting watch counts once."""
 
     lists: int = 0
     watches: int = 0
--- a/libraries/standins/src/sardinepier/standins/internal/platform_directory.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_directory.py
@@ -1,4 +1,4 @@
-"""Publishes the files of a directory, again whenever one changes."""
+"""Publishes the files of a directory and their changes."""
 
 import dataclasses
 import pathlib
@@ -17,19 +17,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Stamp:
-    """What tells one version of a file on disk from another."""
+class _FileStamp:
+    """Distinguishes the versions of a file on disk."""
 
     modified_ns: int
     size_bytes: int
 
 
 class PublishedDirectory:
-    """Keeps a stand-in platform in step with the files of a directory.
+    """Publishes the files of a directory on a stand-in platform.
 
     ``fleet.ini`` is published as ``fleet``, ``services/<name>.ini`` as
     ``service/<name>``, and ``instances.json`` is the instance list. A writer
-    should put a new text in place by renaming, so that no half is published.
+    should replace files by renaming, so that no partial text is published.
     """
 
     def __init__(
@@ -37,20 +37,20 @@
         directory: pathlib.Path,
         standin: platform_standin.PlatformStandin,
     ) -> None:
-        """Read nothing yet; the first ``scan`` publishes all files."""
+        """Create the publisher; the first ``scan`` publishes all files."""
         self._directory = directory
         self._standin = standin
-        self._stamps: dict[str, _Stamp] = {}
-        self._instances_stamp: _Stamp | None = None
+        self._stamps: dict[str, _FileStamp] = {}
+        self._instances_stamp: _FileStamp | None = None
 
     def scan(self) -> None:
-        """Publish what is new or changed, and delete what is gone."""
+        """Publish new and changed files and delete removed ones."""
         paths = self._find_files()
         for name, path in paths.items():
             self._publish_changed(name, path)
-        for gone in self._stamps.keys() - paths.keys():
-            self._stamps.pop(gone)
-            self._standin.delete(gone)
+        for removed in self._stamps.keys() - paths.keys():
+            self._stamps.pop(removed)
+            self._standin.delete(removed)
         self._load_changed_instances()
 
     def _find_files(self) -> dict[str, pathlib.Path]:
@@ -82,16 +82,16 @@
                 path.read_bytes(),
                 type=interface.InstanceList,
             )
-        except msgspec.DecodeError as wrong:
-            sys.stderr.write(f'{path} is no instance list: {wrong}\n')
+        except msgspec.DecodeError as error:
+            sys.stderr.write(f'{path} is no instance list: {error}\n')
             return
         self._standin.set_instances(instances)
 
 
-def _read_stamp(path: pathlib.Path) -> _Stamp | None:
-    """Return the file's stamp, or ``None`` when it is gone meanwhile."""
+def _read_stamp(path: pathlib.Path) -> _FileStamp | None:
+    """Return the file's stamp, or ``None`` if the file does not exist."""
     try:
         status = path.stat()
     except FileNotFoundError:
         return None
-    return _Stamp(status.st_mtime_ns, status.st_size)
+    return _FileStamp(status.st_mtime_ns, status.st_size)
--- a/libraries/standins/src/sardinepier/standins/internal/platform_faults.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_faults.py
@@ -1,4 +1,4 @@
-"""The ways in which a stand-in platform fails to answer well."""
+"""Faulty responses of a stand-in platform."""
 
 import enum
 from typing import Final
@@ -8,45 +8,45 @@
 from sardinepier.platform import interface
 
 _OVERSIZED_BYTES: Final = 10 * interface.FILE_LIMIT_BYTES
-_PROMISED_BYTES: Final = 1000
+_STATED_LENGTH_BYTES: Final = 1000
 _UNAVAILABLE: Final = 503
 
 
 class PlatformMode(enum.Enum):
-    """How the stand-in answers."""
+    """How the stand-in responds."""
 
     UP = 'up'
-    """As the interface promises."""
+    """Responses conform to the interface."""
 
     DOWN = 'down'
-    """Every connection is dropped without an answer."""
+    """Every connection is dropped without a response."""
 
     HANGING = 'hanging'
-    """Requests are taken and never answered."""
+    """Requests are accepted and never answered."""
 
     FAILING = 'failing'
-    """Status 503 for everything."""
+    """Every response has status 503."""
 
     STALE = 'stale'
-    """An earlier state, as if it were the newest."""
+    """An earlier state is served as the newest."""
 
     GARBLED = 'garbled'
-    """Well-formed answers, in which every file's text is rubbish."""
+    """Responses are well-formed, but the text of every file is invalid."""
 
     GARBAGE = 'garbage'
-    """Bytes that are no JSON, no UTF-8 and bear no revision."""
+    """Bodies are neither JSON nor UTF-8, and no revision is stated."""
 
     WRONG_TYPES = 'wrong_types'
-    """JSON in which every value has the wrong type."""
+    """Bodies are JSON in which every value has the wrong type."""
 
     TRUNCATED = 'truncated'
-    """The connection closes before the promised length was sent."""
+    """The connection closes before the stated length was sent."""
 
     OVERSIZED = 'oversized'
-    """An answer far larger than the platform's largest value."""
+    """A response is far larger than the platform's largest file."""
 
 
-SANE_MODES: Final = frozenset(
+WELL_FORMED_MODES: Final = frozenset(
     (PlatformMode.UP, PlatformMode.STALE, PlatformMode.GARBLED),
 )
 GARBLED_TEXT: Final = '<rubbish>'
@@ -60,7 +60,7 @@
     request: web.Request,
     mode: PlatformMode,
 ) -> web.StreamResponse:
-    """Answer, or break the connection, as ``mode`` says."""
+    """Respond or drop the connection according to ``mode``."""
     match mode:
         case PlatformMode.FAILING:
             return web.Response(status=_UNAVAILABLE)
@@ -77,14 +77,14 @@
                 headers={'Revision': '1'},
             )
         case PlatformMode.TRUNCATED:
-            return await _answer_half(request)
+            return await _send_truncated(request)
         case _:
             return _drop(request)
 
 
-async def _answer_half(request: web.Request) -> web.StreamResponse:
+async def _send_truncated(request: web.Request) -> web.StreamResponse:
     response = web.StreamResponse(headers={'Revision': '1'})
-    response.content_length = _PROMISED_BYTES
+    response.content_length = _STATED_LENGTH_BYTES
     await response.prepare(request)
     await response.write(b'{"revision": 1')
     return _drop(request)
--- a/libraries/standins/src/sardinepier/standins/internal/platform_handlers.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_handlers.py
@@ -28,7 +28,7 @@
 
 
 class PlatformHandlers:
-    """Answers requests from a served state, and counts them."""
+    """Handles requests with the served state and counts them."""
 
     def __init__(
         self,
@@ -53,14 +53,14 @@
         )
         return application
 
-    async def _refusal(
+    async def _fault_response(
         self,
         request: web.Request,
     ) -> web.StreamResponse | None:
-        """Return the bad answer of the mode, or ``None`` when it is sane."""
+        """Return the faulty response of the mode, ``None`` if it has none."""
         while self._state.mode is platform_faults.PlatformMode.HANGING:
             await self._state.wait_change()
-        if self._state.mode in platform_faults.SANE_MODES:
+        if self._state.mode in platform_faults.WELL_FORMED_MODES:
             return None
         return await platform_faults.respond_with_fault(
             request, self._state.mode
@@ -72,7 +72,7 @@
     ) -> web.StreamResponse:
         if 'after' not in request.query:
             self._counts.lists += 1
-            return await self._answer_listing(request)
+            return await self._respond_with_listing(request)
         self._counts.watches += 1
         try:
             after = int(request.query['after'])
@@ -80,29 +80,29 @@
         except ValueError:
             return web.Response(status=_BAD_REQUEST)
         await self._state.wait_newer(after, timeout_ms)
-        return await self._answer_listing(request)
+        return await self._respond_with_listing(request)
 
-    async def _answer_listing(
+    async def _respond_with_listing(
         self,
         request: web.Request,
     ) -> web.StreamResponse:
-        refusal = await self._refusal(request)
-        if refusal is not None:
-            return refusal
+        fault_response = await self._fault_response(request)
+        if fault_response is not None:
+            return fault_response
         return _json_response(self._state.served.listing())
 
     async def _handle_file(self, request: web.Request) -> web.StreamResponse:
         self._counts.files += 1
-        refusal = await self._refusal(request)
-        if refusal is not None:
-            return refusal
+        fault_response = await self._fault_response(request)
+        if fault_response is not None:
+            return fault_response
         name = ids.FileName(request.match_info['name'])
-        published = self._state.read(name)
-        if published is None:
+        published_file = self._state.read(name)
+        if published_file is None:
             return web.Response(status=_NOT_FOUND)
         return web.Response(
-            text=published.text,
-            headers={'Revision': str(published.revision)},
+            text=published_file.text,
+            headers={'Revision': str(published_file.revision)},
         )
 
     async def _handle_instances(
@@ -110,41 +110,43 @@
         request: web.Request,
     ) -> web.StreamResponse:
         self._counts.instances += 1
-        refusal = await self._refusal(request)
-        if refusal is not None:
-            return refusal
+        fault_response = await self._fault_response(request)
+        if fault_response is not None:
+            return fault_response
         query = {name: request.query.getall(name) for name in request.query}
         try:
             share = shares.parse_query(query)
-        except core_errors.InvalidArgumentError as wrong:
-            return web.Response(status=_BAD_REQUEST, text=str(wrong))
+        except core_errors.InvalidArgumentError as error:
+            return web.Response(status=_BAD_REQUEST, text=str(error))
         served = self._state.instances(share)
         tag = {'ETag': served.tag}
         if request.headers.get('If-None-Match') == served.tag:
             return web.Response(status=_NOT_MODIFIED, headers=tag)
-        return _json_answer(served.body, tag)
+        return _json_body_response(served.body, tag)
 
     async def _handle_mode(self, request: web.Request) -> web.Response:
         try:
-            wanted = msgspec.json.decode(
+            mode_request = msgspec.json.decode(
                 await request.read(),
                 type=ModeRequest,
             )
-        except msgspec.DecodeError as wrong:
-            return web.Response(status=_BAD_REQUEST, text=str(wrong))
-        self._state.set_mode(wanted.mode, wanted.changes_back)
-        return _json_response(wanted)
+        except msgspec.DecodeError as error:
+            return web.Response(status=_BAD_REQUEST, text=str(error))
+        self._state.set_mode(mode_request.mode, mode_request.changes_back)
+        return _json_response(mode_request)
 
     async def _handle_counts(self, request: web.Request) -> web.Response:
         return _json_response(self._counts)
 
 
 def _json_response(content: msgspec.Struct) -> web.Response:
-    return _json_answer(msgspec.json.encode(content), {})
+    return _json_body_response(msgspec.json.encode(content), {})
 
 
-def _json_answer(body: bytes, headers: Mapping[str, str]) -> web.Response:
-    """Answer with ``body``, compressed for a reader who accepts that."""
+def _json_body_response(
+    body: bytes, headers: Mapping[str, str]
+) -> web.Response:
+    """Return a response, compressed if the client accepts that."""
     response = web.Response(
         body=body,
         content_type='application/json',
--- a/libraries/standins/src/sardinepier/standins/internal/platform_shares.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_shares.py
@@ -1,4 +1,4 @@
-"""The shares of the instance list that readers ask a stand-in for."""
+"""The shares of the instance list that readers request of a stand-in."""
 
 import dataclasses
 from typing import Final
@@ -8,12 +8,12 @@
 
 from sardinepier.platform import interface, shares
 
-_MOST_SHARES: Final = 1024
+_MAX_SHARES: Final = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServedShare:
-    """A share, as it is sent, and a tag that follows from its bytes."""
+    """A share, its encoded form and the entity tag of its bytes."""
 
     listed: interface.InstanceList
     body: bytes
@@ -21,14 +21,14 @@
 
 
 class ServedShares:
-    """Cuts each share once for each instance list.
+    """Selects each share once for each instance list.
 
-    A share that a new list leaves as it was stays the same object with the
-    same tag, so that a reader learns that nothing changed for it.
+    A share that does not change with a new list stays the same object with the
+    same tag, so that a reader can detect that nothing changed for it.
     """
 
     def __init__(self) -> None:
-        """Start with nothing cut."""
+        """Start without shares."""
         self._whole = interface.InstanceList()
         self._current: dict[shares.InstanceShare, ServedShare] = {}
         self._earlier: dict[shares.InstanceShare, ServedShare] = {}
@@ -44,20 +44,20 @@
             self._earlier |= self._current
             self._current = {}
         if share not in self._current:
-            self._bound()
-            fresh = _serve(_cut(whole, share))
-            earlier = self._earlier.get(share, fresh)
-            is_same = earlier.body == fresh.body
-            self._current[share] = earlier if is_same else fresh
+            self._limit_cache()
+            selected = _encode(_select(whole, share))
+            earlier = self._earlier.get(share, selected)
+            is_unchanged = earlier.body == selected.body
+            self._current[share] = earlier if is_unchanged else selected
         return self._current[share]
 
-    def _bound(self) -> None:
-        if len(self._earlier) + len(self._current) >= _MOST_SHARES:
+    def _limit_cache(self) -> None:
+        if len(self._earlier) + len(self._current) >= _MAX_SHARES:
             self._earlier.clear()
             self._current.clear()
 
 
-def _cut(
+def _select(
     whole: interface.InstanceList,
     share: shares.InstanceShare,
 ) -> interface.InstanceList:
@@ -72,6 +72,6 @@
     )
 
 
-def _serve(listed: interface.InstanceList) -> ServedShare:
+def _encode(listed: interface.InstanceList) -> ServedShare:
     body = msgspec.json.encode(listed)
     return ServedShare(listed, body, f'"{xxhash.xxh3_64_hexdigest(body)}"')
--- a/libraries/standins/src/sardinepier/standins/internal/platform_state.py
+++ b/libraries/standins/src/sardinepier/standins/internal/platform_state.py
@@ -1,4 +1,4 @@
-"""What a stand-in platform holds, as immutable states one after another."""
+"""The content of a stand-in platform as a sequence of immutable states."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -7,12 +7,12 @@
 from sardinepier.core import ids
 from sardinepier.platform import interface
 
-_KEPT_STATES: Final = 64
+_MAX_STATES: Final = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredFile:
-    """One file: its text, or ``None`` once it is deleted."""
+    """A file; ``text`` is ``None`` once it is deleted."""
 
     revision: ids.Revision
     text: str | None
@@ -27,12 +27,14 @@
     instances: interface.InstanceList
 
     def listing(self) -> interface.Listing:
-        """Return the revisions of all files, deleted ones with them."""
+        """Return the revisions of all files, including deleted ones."""
         return interface.Listing(
             revision=ids.Revision(self.revision),
             files=tuple(
-                interface.FileRevision(name, held.revision, held.text is None)
-                for name, held in sorted(self.files.items())
+                interface.FileRevision(
+                    name, stored.revision, stored.text is None
+                )
+                for name, stored in sorted(self.files.items())
             ),
         )
 
@@ -43,18 +45,18 @@
     ) -> 'PlatformState':
         """Return the next state, in which ``name`` has a new revision."""
         revision = self.revision + 1
-        held = StoredFile(ids.Revision(revision), text)
+        stored = StoredFile(ids.Revision(revision), text)
         return dataclasses.replace(
             self,
             revision=revision,
-            files={**self.files, name: held},
+            files={**self.files, name: stored},
         )
 
     def with_instances(
         self,
         instances: interface.InstanceList,
     ) -> 'PlatformState':
-        """Return the next state, with another instance list."""
+        """Return a state with another instance list."""
         return dataclasses.replace(self, instances=instances)
 
 
@@ -76,10 +78,10 @@
         return self._states[-1]
 
     def push(self, state: PlatformState) -> None:
-        """Make ``state`` the newest and forget the oldest beyond a bound."""
+        """Make ``state`` the newest and drop the oldest beyond the limit."""
         self._states.append(state)
-        del self._states[:-_KEPT_STATES]
+        del self._states[:-_MAX_STATES]
 
     def before(self, changes: int) -> PlatformState:
-        """Return the state that many changes ago, or the oldest kept."""
+        """Return the state ``changes`` changes ago, or the oldest kept."""
         return self._states[max(0, len(self._states) - 1 - changes)]
--- a/libraries/standins/src/sardinepier/standins/internal/target_drain.py
+++ b/libraries/standins/src/sardinepier/standins/internal/target_drain.py
@@ -1,4 +1,4 @@
-"""A target's way out: it warns first, and refuses later."""
+"""Draining of a target, which announces it first and refuses requests later."""
 
 from typing import Final
 
@@ -8,10 +8,10 @@
 
 
 class Drain:
-    """Tells whether a target drains and whether it refuses work by now."""
+    """Whether a target drains, and whether it already refuses requests."""
 
     def __init__(self, time_source: clock.Clock, drain_ms: float) -> None:
-        """Start in service."""
+        """Start without draining."""
         self._clock = time_source
         self._drain_s = drain_ms / _MS_PER_S
         self._refuse_at_s: float | None = None
@@ -23,12 +23,12 @@
 
     @property
     def refuses(self) -> bool:
-        """Whether new work is refused."""
+        """Whether new requests are refused."""
         if self._refuse_at_s is None:
             return False
         return self._clock.monotonic_s() >= self._refuse_at_s
 
     def start(self) -> None:
-        """Start to drain; a second start changes nothing."""
+        """Start to drain; further calls have no effect."""
         if self._refuse_at_s is None:
             self._refuse_at_s = self._clock.monotonic_s() + self._drain_s
--- a/libraries/standins/src/sardinepier/standins/internal/target_load.py
+++ b/libraries/standins/src/sardinepier/standins/internal/target_load.py
@@ -1,4 +1,4 @@
-"""The load that a target reports, which lags behind the truth."""
+"""The load that a target reports, which lags behind its actual load."""
 
 from typing import Final
 
@@ -8,7 +8,7 @@
 
 
 class LaggingLoad:
-    """A figure that is refreshed once in ``lag_ms``."""
+    """A reported load that is refreshed at most every ``lag_ms``."""
 
     def __init__(self, time_source: clock.Clock, lag_ms: float) -> None:
         """Start at a load of 0."""
@@ -18,7 +18,7 @@
         self._published = 0
 
     def read(self, current: int) -> int:
-        """Return the published load, and publish ``current`` when due."""
+        """Return the published load; publish ``current`` if a refresh is due."""
         published = self._published
         now_s = self._clock.monotonic_s()
         if now_s >= self._refresh_at_s:
--- a/libraries/standins/src/sardinepier/standins/internal/target_replies.py
+++ b/libraries/standins/src/sardinepier/standins/internal/target_replies.py
@@ -1,4 +1,4 @@
-"""The ways in which a stand-in target ends one exchange."""
+"""The ways in which a stand-in target ends one request."""
 
 import asyncio
 import http
@@ -10,17 +10,17 @@
 from sardinepier.standins import target_answers
 
 _JSON: Final = 'application/json'
-_IDLE_CLOSE_S: Final = 0.001
+_IDLE_CLOSE_DELAY_S: Final = 0.001
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """The body of an answer to a request that did not succeed."""
+    """The body of the response to a failed request."""
 
     problem: str
 
 
 def fail(status: http.HTTPStatus, problem: str) -> web.Response:
-    """Return an answer that names a problem."""
+    """Return an error response that names the problem."""
     return web.Response(
         body=msgspec.json.encode(Problem(problem)),
         status=status,
@@ -29,35 +29,35 @@
 
 
 def shed() -> web.Response:
-    """Return the reply which says that the request was not run."""
+    """Return the response which states that the request was not run."""
     response = fail(http.HTTPStatus.SERVICE_UNAVAILABLE, 'shed')
     response.headers[target_answers.SHED_HEADER] = target_answers.SHED_VALUE
     return response
 
 
 def answer(content: msgspec.Struct) -> web.Response:
-    """Return ``content`` as a whole JSON answer."""
+    """Return ``content`` as a complete JSON response."""
     return web.Response(body=msgspec.json.encode(content), content_type=_JSON)
 
 
 def drop(request: web.Request) -> web.Response:
-    """Close the connection without another byte."""
+    """Close the connection without sending anything more."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
 def drop_when_idle(request: web.Request) -> None:
-    """Close the kept-alive connection just after its answer was sent."""
+    """Close the idle connection shortly after its response was sent."""
     loop = asyncio.get_running_loop()
-    loop.call_later(_IDLE_CLOSE_S, drop, request)
+    loop.call_later(_IDLE_CLOSE_DELAY_S, drop, request)
 
 
 async def truncate(
     request: web.Request,
     content: msgspec.Struct,
 ) -> web.StreamResponse:
-    """Promise the whole answer, send half of it and close."""
+    """State the full content length, send half of the body and close."""
     raw = msgspec.json.encode(content)
     response = web.StreamResponse()
     response.content_type = _JSON
--- a/libraries/standins/src/sardinepier/standins/internal/target_runner.py
+++ b/libraries/standins/src/sardinepier/standins/internal/target_runner.py
@@ -1,4 +1,4 @@
-"""What a stand-in target does with one request."""
+"""Runs the requests of a stand-in target."""
 
 import asyncio
 import contextlib
@@ -19,15 +19,15 @@
 from sardinepier.standins.internal import target_drain, target_replies
 
 _HUNDRED: Final = 100.0
-_HUNG_S: Final = 3600.0
+_HANG_S: Final = 3600.0
 _MS_PER_S: Final = 1000.0
 
 
 class RequestRunner:
     """Runs requests in a bounded number of slots.
 
-    A request that is cancelled, because its client went away, gives its slot
-    back at once; its execution stays counted.
+    A request that is cancelled, because its client disconnected, releases its
+    slot at once; its execution stays counted.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
             self.executions.record_shed()
             return target_replies.shed()
         effect = self.faults.draw(body)
-        if self._drops(effect, target_faults.DropMoment.BEFORE):
+        if self._drops_at(effect, target_faults.DropMoment.BEFORE):
             return target_replies.drop(request)
         with self._slot(request):
             return await self._run(request, body, effect, deadline_s)
@@ -79,7 +79,7 @@
             self._on_crash()
             return target_replies.drop(request)
         service_s = self._service_s(effect)
-        if self._drops(effect, target_faults.DropMoment.DURING):
+        if self._drops_at(effect, target_faults.DropMoment.DURING):
             await asyncio.sleep(service_s / 2)
             return target_replies.drop(request)
         left_s = deadline_s - self._clock.monotonic_s()
@@ -97,23 +97,25 @@
         body: bytes,
         effect: target_faults.Effect,
     ) -> web.StreamResponse:
-        if self._drops(effect, target_faults.DropMoment.AFTER):
+        if self._drops_at(effect, target_faults.DropMoment.AFTER):
             return target_replies.drop(request)
         if effect is target_faults.Effect.ERROR:
             return target_replies.fail(
                 http.HTTPStatus.INTERNAL_SERVER_ERROR,
-                'A fault that was asked for',
+                'An injected error',
             )
         if effect is target_faults.Effect.WRONG:
-            return target_replies.answer(self._content(request, b'wrong'))
-        content = self._content(request, body)
+            return target_replies.answer(
+                self._answer_content(request, b'wrong')
+            )
+        content = self._answer_content(request, body)
         if effect is target_faults.Effect.TRUNCATED:
             return await target_replies.truncate(request, content)
-        if self._drops(effect, target_faults.DropMoment.IDLE):
+        if self._drops_at(effect, target_faults.DropMoment.IDLE):
             target_replies.drop_when_idle(request)
         return target_replies.answer(content)
 
-    def _content(
+    def _answer_content(
         self,
         request: web.Request,
         body: bytes,
@@ -142,21 +144,21 @@
             self.in_flight -= 1
 
     def _must_refuse(self, deadline_s: float) -> bool:
-        late = deadline_s <= self._clock.monotonic_s()
-        full = self.in_flight >= self._options.slots
-        return late or full or self.drain.refuses
+        is_late = deadline_s <= self._clock.monotonic_s()
+        is_full = self.in_flight >= self._options.slots
+        return is_late or is_full or self.drain.refuses
 
-    def _drops(
+    def _drops_at(
         self,
         effect: target_faults.Effect,
         moment: target_faults.DropMoment,
     ) -> bool:
-        dropped = effect is target_faults.Effect.DROP
-        return dropped and self.faults.fault.drop_moment is moment
+        is_drop = effect is target_faults.Effect.DROP
+        return is_drop and self.faults.fault.drop_moment is moment
 
     def _service_s(self, effect: target_faults.Effect) -> float:
         if effect is target_faults.Effect.HANG:
-            return _HUNG_S
+            return _HANG_S
         jitter = self._options.jitter_percent / _HUNDRED
         factor = self._random.uniform(1 - jitter, 1 + jitter)
         if self._started <= self._options.cold_requests:
--- a/libraries/standins/src/sardinepier/standins/platform_main.py
+++ b/libraries/standins/src/sardinepier/standins/platform_main.py
@@ -1,4 +1,4 @@
-"""The stand-in platform as a process.
+"""Runs the stand-in platform as a process.
 
 For example ``sardinepier-platform-standin --port 8500 --directory example``.
 """
@@ -26,10 +26,10 @@
 ) -> None:
     """Serve the files of ``directory`` until a signal ends the process.
 
-    Port 0 takes a port from the system; ``port_file`` is written with the
-    port once the stand-in listens. ``fleet.ini``, ``services/<name>.ini``
-    and ``instances.json`` in the directory are published, and published
-    again when they change.
+    Port 0 lets the system choose; the bound port is written to ``port_file``
+    once the stand-in listens. ``fleet.ini``, ``services/<name>.ini`` and
+    ``instances.json`` in the directory are published, and published again
+    when they change.
     """
     path = pathlib.Path(directory)
     if not path.is_dir():
@@ -72,7 +72,7 @@
 
 
 def _write_port(path: pathlib.Path, url: str) -> None:
-    """Write by renaming, so that a reader never sees half a number."""
-    written = path.with_name(f'{path.name}.new')
-    written.write_text(url.rsplit(':', 1)[1])
-    written.replace(path)
+    """Write the file by renaming, so that no reader sees a partial number."""
+    draft = path.with_name(f'{path.name}.new')
+    draft.write_text(url.rsplit(':', 1)[1])
+    draft.replace(path)
--- a/libraries/standins/src/sardinepier/standins/platform_standin.py
+++ b/libraries/standins/src/sardinepier/standins/platform_standin.py
@@ -1,4 +1,4 @@
-"""A small platform for tests and the demo: files, watch, instance list.
+"""A small platform for tests and the demo: files, watches, instance list.
 
 For example::
 
@@ -8,7 +8,7 @@
     standin.set_mode(PlatformMode.DOWN)
     await standin.stop()
 
-It holds everything in memory and counts each call, a waiting watch as one.
+It keeps everything in memory and counts each call; a waiting watch is one.
 """
 
 from aiohttp import web
@@ -27,10 +27,10 @@
 
 
 class PlatformStandin:
-    """A platform in memory, served over HTTP by its own application."""
+    """An in-memory platform, served over HTTP."""
 
     def __init__(self) -> None:
-        """Start up, with nothing published and no call counted."""
+        """Start in the mode ``UP``, without files and calls."""
         self.counts = CallCounts()
         self.state = platform_served.ServedState()
         self._handlers = platform_handlers.PlatformHandlers(
@@ -41,16 +41,16 @@
 
     @property
     def revision(self) -> int:
-        """Return the newest revision, whatever is being served."""
+        """Return the newest revision, even if an earlier one is served."""
         return self.state.newest.revision
 
     @property
     def mode(self) -> PlatformMode:
-        """Return how the stand-in answers just now."""
+        """Return how the stand-in responds at present."""
         return self.state.mode
 
     def publish(self, name: str, text: str) -> int:
-        """Give the file a new text and return its revision."""
+        """Publish a new text of the file and return its revision."""
         newest = self.state.newest
         self.state.push(newest.with_file(ids.FileName(name), text))
         return self.revision
@@ -66,10 +66,10 @@
         self.state.push(self.state.newest.with_instances(instances))
 
     def set_mode(self, mode: PlatformMode, changes_back: int = 1) -> None:
-        """Answer in another way from now on, waiting watches included.
+        """Set how the stand-in responds, also to waiting watches.
 
-        For ``PlatformMode.STALE`` the state of ``changes_back`` changes ago
-        is served, and stays as it is however much is published.
+        In ``PlatformMode.STALE`` the state of ``changes_back`` changes ago
+        is served, regardless of what is published afterwards.
         """
         self.state.set_mode(mode, changes_back)
 
@@ -78,7 +78,7 @@
         return self._handlers.application()
 
     async def start(self, ip: str = '127.0.0.1', port: int = 0) -> str:
-        """Listen and return the URL; port 0 takes one from the system."""
+        """Listen and return the URL; port 0 lets the system choose."""
         self._runner = web.AppRunner(
             self.application(),
             handler_cancellation=True,
--- a/libraries/standins/src/sardinepier/standins/target_answers.py
+++ b/libraries/standins/src/sardinepier/standins/target_answers.py
@@ -1,8 +1,8 @@
-"""What a stand-in target answers, and how a caller checks the answer.
+"""The answers of a stand-in target, and how a caller checks them.
 
-The answer repeats the request's tag, method and path and a digest of its
-body. A caller can then tell the whole answer to its own request from a
-truncated one and from the answer to any other request.
+An answer repeats the tag, method and path of its request and a digest of the
+request's body. A caller can thus distinguish the complete answer to its own
+request from a truncated one and from the answer to any other request.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 
 
 class TargetAnswer(msgspec.Struct, frozen=True):
-    """The JSON body of an answer to a request that was run."""
+    """The JSON body of the response to a request that was run."""
 
     target_id: str
     request_tag: str
@@ -40,10 +40,10 @@
 
 
 def answers_request(raw: bytes, tag: str, path: str, body: bytes) -> bool:
-    """Tell whether ``raw`` is the whole answer to exactly this request.
+    """Return whether ``raw`` is the complete answer to exactly this request.
 
-    ``path`` is the one the caller asked for. It may be longer than the one
-    that the target saw, because a service's name comes before it.
+    ``path`` is the path that the caller requested. It may be longer than the
+    one that the target received, as the name of the service precedes that.
     """
     try:
         answer = msgspec.json.decode(raw, type=TargetAnswer)
--- a/libraries/standins/src/sardinepier/standins/target_executions.py
+++ b/libraries/standins/src/sardinepier/standins/target_executions.py
@@ -1,4 +1,4 @@
-"""Counts how often a target ran each key and each tagged request."""
+"""Counts the executions of a target by idempotency key and by request tag."""
 
 import collections
 import os
@@ -11,7 +11,7 @@
 
 
 class ExecutionCounts(msgspec.Struct, frozen=True):
-    """The answer to ``GET /control/executions``."""
+    """The response to ``GET /control/executions``."""
 
     target_id: str
     total: int
@@ -28,15 +28,15 @@
 
 
 class ExecutionLog:
-    """Counts executions, and appends each to a file when one is named.
+    """Counts executions and appends each to a file if a path is given.
 
-    The file is written before the work goes on, one line a system call, so
-    that the counts outlive a killed process. A process that starts with the
-    file of an earlier one goes on counting from there.
+    Each line is written in one system call before the request runs, so that
+    the counts survive a killed process. A process that starts with the file of
+    an earlier one continues its counts.
     """
 
     def __init__(self, target_id: str, path: str) -> None:
-        """Read what an earlier process left in the file at ``path``."""
+        """Read the executions of earlier processes from the file at ``path``."""
         self._target_id = target_id
         self._keys: collections.Counter[str] = collections.Counter()
         self._tags: collections.Counter[str] = collections.Counter()
@@ -50,7 +50,7 @@
             self._descriptor = os.open(path, flags, _FILE_MODE)
 
     def record(self, key: str, tag: str) -> None:
-        """Count one request at the moment its work starts."""
+        """Count one request when it starts to run."""
         execution = Execution(key, tag)
         if self._descriptor >= 0:
             line = b''.join((msgspec.json.encode(execution), b'\n'))
@@ -62,7 +62,7 @@
         self._shed += 1
 
     def counts(self) -> ExecutionCounts:
-        """Return all counts since the first start."""
+        """Return all counts, including those of earlier processes."""
         return ExecutionCounts(
             target_id=self._target_id,
             total=self._total,
--- a/libraries/standins/src/sardinepier/standins/target_faults.py
+++ b/libraries/standins/src/sardinepier/standins/target_faults.py
@@ -1,4 +1,4 @@
-"""The faults that a stand-in target can be told to show."""
+"""The faults that can be injected into a stand-in target."""
 
 import enum
 import random
@@ -8,30 +8,30 @@
 
 from sardinepier.core import clock
 
-_HUNDRED: Final = 100.0
+_MAX_PERCENT: Final = 100.0
 _MS_PER_S: Final = 1000.0
 
-Percent = Annotated[float, msgspec.Meta(ge=0, le=_HUNDRED)]
+Percent = Annotated[float, msgspec.Meta(ge=0, le=_MAX_PERCENT)]
 
 
 class DropMoment(enum.Enum):
-    """When a dropped connection is closed, relative to the work."""
+    """When a dropped connection is closed, relative to the execution."""
 
     BEFORE = 'before'
-    """The whole request was read; the work never starts."""
+    """After the request was read; it never runs."""
 
     DURING = 'during'
-    """The work has started and is left unfinished."""
+    """While the request runs; it stays unfinished."""
 
     AFTER = 'after'
-    """The work is done; its answer is never sent."""
+    """After the request has run; its answer is never sent."""
 
     IDLE = 'idle'
-    """The answer is sent whole; the kept-alive connection closes next."""
+    """After the complete answer, while the connection is idle."""
 
 
 class Effect(enum.Enum):
-    """What happens to one request."""
+    """The effect of a fault on one request."""
 
     NONE = 'none'
     ERROR = 'error'
@@ -43,12 +43,12 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of ``POST /control/fault``; the default is no fault at all.
+    """The body of ``POST /control/fault``; the default is no fault.
 
     Each percentage is the share of requests with that effect. With
-    ``flap_period_ms`` above 0 the fault shows for one period and rests for
-    the next. A request whose body holds the text ``poison`` crashes the
-    target, flapping or not.
+    ``flap_period_ms`` above 0 the fault is active in one period and inactive
+    in the next. A request whose body contains the text ``poison`` crashes the
+    target in every period.
     """
 
     slow_factor: Annotated[float, msgspec.Meta(gt=0)] = 1.0
@@ -63,7 +63,7 @@
 
 
 class FaultSource:
-    """Draws the effect on each request from the fault in force."""
+    """Draws the effect on each request from the current fault."""
 
     def __init__(
         self,
@@ -77,18 +77,18 @@
         self.fault = Fault()
 
     def set_fault(self, fault: Fault) -> None:
-        """Put ``fault`` in force in place of the one before."""
+        """Replace the current fault."""
         self._set_at_s = self._clock.monotonic_s()
         self.fault = fault
 
     def draw(self, body: bytes) -> Effect:
-        """Return what happens to a request with this ``body``."""
+        """Return the effect on a request with this ``body``."""
         poison = self.fault.poison.encode()
         if poison and poison in body:
             return Effect.CRASH
-        if not self._shows():
+        if not self._is_active():
             return Effect.NONE
-        draw_percent = self._random.uniform(0, _HUNDRED)
+        draw_percent = self._random.uniform(0, _MAX_PERCENT)
         for effect, share_percent in self._shares():
             if draw_percent < share_percent:
                 return effect
@@ -96,8 +96,8 @@
         return Effect.NONE
 
     def slow_factor(self) -> float:
-        """Return by how much the work takes longer now."""
-        return self.fault.slow_factor if self._shows() else 1.0
+        """Return the current factor on the service time."""
+        return self.fault.slow_factor if self._is_active() else 1.0
 
     def _shares(self) -> tuple[tuple[Effect, float], ...]:
         return (
@@ -108,7 +108,7 @@
             (Effect.TRUNCATED, self.fault.truncated_percent),
         )
 
-    def _shows(self) -> bool:
+    def _is_active(self) -> bool:
         period_ms = self.fault.flap_period_ms
         if period_ms == 0:
             return True
--- a/libraries/standins/src/sardinepier/standins/target_main.py
+++ b/libraries/standins/src/sardinepier/standins/target_main.py
@@ -1,8 +1,8 @@
 """The process ``sardinepier-target-standin``: one stand-in target.
 
-``SIGTERM`` drains it: answers carry the draining header, new work is
-refused after ``drain_ms``, what is in flight finishes, and it exits with 0.
-A poisoned request ends the process with code 70, as a crash would.
+``SIGTERM`` drains it: responses carry the draining header, new requests are
+refused after ``drain_ms``, requests in flight finish, and it exits with 0. A
+poisoned request ends the process with code 70 to simulate a crash.
 """
 
 import asyncio
@@ -39,42 +39,42 @@
     port: int = 0,
     port_file: str = '',
     seed: int = 1,
-    **habits: float,
+    **settings: float,
 ) -> None:
     """Serve as one target until a signal ends the process.
 
     ``port`` 0 lets the system choose; the bound port is written to
-    ``port_file``. ``habits`` are the fields of
+    ``port_file``. ``settings`` are the fields of
     :class:`target_settings.TargetStandinSettings`, for example
     ``--slots 3 --service_ms 10``.
     """
     try:
-        options = _read_habits(target_id, habits)
+        options = _read_settings(target_id, settings)
     except errors.SardinepierError as error:
-        _leave(error, _USAGE_CODE)
+        _exit_with_error(error, _USAGE_CODE)
     try:
         asyncio.run(_serve(options, ip, port, port_file, seed))
     except errors.SardinepierError as error:
-        _leave(error, 1)
+        _exit_with_error(error, 1)
 
 
 def main() -> None:
     """Run the command line."""
-    # The library would take a name like 5j for a number, and would list its
-    # own attribute in the help text, had it no underscore.
+    # Fire would parse a name like 5j as a number. It would also list its own
+    # attribute in the help text unless the name of that has an underscore.
     fire.decorators.FIRE_METADATA = '_fire_metadata'
     fire.decorators.SetParseFns(**dict.fromkeys(_TEXT_OPTIONS, str))(run)
     fire.Fire(run, name='sardinepier-target-standin')
 
 
-def _read_habits(
+def _read_settings(
     target_id: str,
-    habits: dict[str, float],
+    settings: dict[str, float],
 ) -> target_settings.TargetStandinSettings:
     try:
         return target_settings.TargetStandinSettings(
             target_id,
-            **habits,  # type: ignore[arg-type]  # checked by the class
+            **settings,  # type: ignore[arg-type]  # checked by the class
         )
     except TypeError as error:
         raise errors.InvalidArgumentError(
@@ -112,7 +112,7 @@
 
 
 def _write_port(path: pathlib.Path, port: int) -> None:
-    """Write the file whole before it shows under its name."""
+    """Write the file by renaming, so that no reader sees a partial number."""
     draft = path.with_suffix('.draft')
     draft.write_text(f'{port}\n')
     draft.replace(path)
@@ -122,7 +122,7 @@
     os._exit(CRASH_CODE)
 
 
-def _leave(error: errors.SardinepierError, code: int) -> None:
+def _exit_with_error(error: errors.SardinepierError, code: int) -> None:
     sys.stderr.write(f'{error}\n')
     sys.exit(code)
 
--- a/libraries/standins/src/sardinepier/standins/target_settings.py
+++ b/libraries/standins/src/sardinepier/standins/target_settings.py
@@ -1,4 +1,4 @@
-"""What one stand-in target is told when it starts."""
+"""Start-up settings of a stand-in target."""
 
 import dataclasses
 from typing import Final
@@ -11,16 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetStandinSettings:
-    """The habits of one stand-in target.
+    """Settings of one stand-in target.
 
-    ``slots`` requests run at once, each for ``service_ms`` milliseconds give
-    or take ``jitter_percent``. The first ``cold_requests`` requests take
+    ``slots`` requests run at once, each for ``service_ms`` milliseconds plus
+    or minus ``jitter_percent``. The first ``cold_requests`` requests take
     ``cold_factor`` times as long. ``/load`` is refreshed every
     ``load_lag_ms``. Answers are padded to about ``answer_bytes``. A body above
-    ``body_limit_bytes`` is refused with status 413. When ``executions_path``
-    is not empty, each execution is also appended to that file as it starts,
-    so that a killed process leaves its counts behind. A request whose body
-    holds the text ``poison`` crashes the target, after a restart too.
+    ``body_limit_bytes`` is refused with status 413. If ``executions_path`` is
+    not empty, each execution is also appended to that file when it starts, so
+    that the counts survive a killed process. A request whose body contains the
+    text ``poison`` crashes the target, also after a restart.
     """
 
     target_id: str
@@ -37,16 +37,16 @@
     poison: str = ''
 
     def __post_init__(self) -> None:
-        """Check each figure; raise ``InvalidArgumentError`` on the first."""
-        _check_within('slots', self.slots, 1, _MAX_SLOTS)
-        _check_within('answer_bytes', self.answer_bytes, 0, _MAX_ANSWER_BYTES)
-        _check_within('jitter_percent', self.jitter_percent, 0, 100)
+        """Check all ranges; raise ``InvalidArgumentError`` on a violation."""
+        _check_range('slots', self.slots, 1, _MAX_SLOTS)
+        _check_range('answer_bytes', self.answer_bytes, 0, _MAX_ANSWER_BYTES)
+        _check_range('jitter_percent', self.jitter_percent, 0, 100)
         for name in ('service_ms', 'cold_requests', 'load_lag_ms', 'drain_ms'):
-            _check_within(name, getattr(self, name), 0, float('inf'))
-        _check_within('cold_factor', self.cold_factor, 1, float('inf'))
+            _check_range(name, getattr(self, name), 0, float('inf'))
+        _check_range('cold_factor', self.cold_factor, 1, float('inf'))
 
 
-def _check_within(
+def _check_range(
     name: str,
     number: float,
     lowest: float,
--- a/libraries/standins/src/sardinepier/standins/target_standin.py
+++ b/libraries/standins/src/sardinepier/standins/target_standin.py
@@ -1,15 +1,15 @@
 """A stand-in target: slots, shedding, drain, cold start and faults.
 
-It serves any path with any method. ``/health`` says that all is well
-whatever the fault, and ``/load`` lags, as the real ones do. The paths under
+It serves any path with any method. Like real targets, ``/health`` reports a
+healthy target whatever the fault, and ``/load`` lags. The paths under
 ``/control/`` are for tests only::
 
     POST /control/fault        a target_faults.Fault as JSON
     POST /control/drain        start to drain
     GET  /control/executions   executions by key and by tag
 
-An execution counts from the moment its work starts: the whole request was
-read and a slot was taken.
+An execution counts once it starts, when the whole request was read and has
+a slot.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 
 class TargetStandin:
-    """One target in the event loop of the caller.
+    """A target that runs in the current event loop.
 
     For example::
 
@@ -51,8 +51,8 @@
         ...
         await standin.stop()
 
-    ``on_crash`` is called when a poisoned request runs. Without it the
-    target drops all of its connections and goes on, like a process that is
+    ``on_crash`` is called when a poisoned request runs. By default the target
+    drops all of its connections and continues, like a process that is
     restarted at once.
     """
 
@@ -63,8 +63,8 @@
         random_source: random.Random,
         on_crash: Callable[[], None] | None = None,
     ) -> None:
-        """Build a target that does not listen yet."""
-        self._work = target_runner.RequestRunner(
+        """Create a target that does not listen yet."""
+        self._request_runner = target_runner.RequestRunner(
             options,
             time_source,
             random_source,
@@ -72,53 +72,56 @@
         )
         self._body_limit_bytes = options.body_limit_bytes
         self._load = target_load.LaggingLoad(time_source, options.load_lag_ms)
-        self._runner: web.AppRunner | None = None
+        self._app_runner: web.AppRunner | None = None
 
     async def start(self, ip: str, port: int) -> int:
         """Listen at ``ip`` and ``port`` and return the bound port.
 
         Raises ``OSError`` when the port is taken.
         """
-        self._runner = web.AppRunner(
+        self._app_runner = web.AppRunner(
             self._application(),
             handler_cancellation=True,
             access_log=None,
         )
-        await self._runner.setup()
-        site = web.TCPSite(self._runner, ip, port)
+        await self._app_runner.setup()
+        site = web.TCPSite(self._app_runner, ip, port)
         await site.start()
-        return int(self._runner.addresses[0][1])
+        return int(self._app_runner.addresses[0][1])
 
     async def stop(self) -> None:
         """Stop listening and close all connections."""
-        if self._runner is not None:
+        if self._app_runner is not None:
             self.drop_connections()
-            await self._runner.cleanup()
-            self._runner = None
-        self._work.executions.close()
+            await self._app_runner.cleanup()
+            self._app_runner = None
+        self._request_runner.executions.close()
 
     def set_fault(self, fault: target_faults.Fault) -> None:
-        """Put ``fault`` in force in place of the one before."""
-        self._work.faults.set_fault(fault)
+        """Replace the current fault."""
+        self._request_runner.faults.set_fault(fault)
 
     def drain(self) -> None:
-        """Say ``Draining`` on each answer, and refuse work ``drain_ms`` on."""
-        self._work.drain.start()
+        """Announce draining at once and refuse requests after ``drain_ms``."""
+        self._request_runner.drain.start()
 
     async def drained(self) -> None:
-        """Return once work is refused and none is in flight."""
-        while self._work.in_flight or not self._work.drain.refuses:
+        """Wait until requests are refused and none is in flight."""
+        while (
+            self._request_runner.in_flight
+            or not self._request_runner.drain.refuses
+        ):
             await asyncio.sleep(_DRAIN_POLL_S)
 
     def counts(self) -> target_executions.ExecutionCounts:
-        """Return the executions so far."""
-        return self._work.executions.counts()
+        """Return the counts of executions so far."""
+        return self._request_runner.executions.counts()
 
     def drop_connections(self) -> None:
-        """Drop all connections at once, answered or not."""
-        if self._runner is None or self._runner.server is None:
+        """Drop all connections at once, even those with requests in flight."""
+        if self._app_runner is None or self._app_runner.server is None:
             return
-        for connection in self._runner.server.connections:
+        for connection in self._app_runner.server.connections:
             connection.force_close()
 
     def _application(self) -> web.Application:
@@ -129,16 +132,16 @@
         router.add_post('/control/fault', self._serve_fault)
         router.add_post('/control/drain', self._serve_drain)
         router.add_get('/control/executions', self._serve_counts)
-        router.add_route('*', '/{path:.*}', self._work.serve)
+        router.add_route('*', '/{path:.*}', self._request_runner.serve)
         application.on_response_prepare.append(self._mark_draining)
         return application
 
     async def _serve_health(self, request: web.Request) -> web.Response:
-        """Mislead: a target with a fault says that it is healthy."""
+        """Report a healthy target, even if it has a fault."""
         return web.json_response({'healthy': True})
 
     async def _serve_load(self, request: web.Request) -> web.Response:
-        load = self._load.read(self._work.in_flight)
+        load = self._load.read(self._request_runner.in_flight)
         return web.json_response({'in_flight': load})
 
     async def _serve_fault(self, request: web.Request) -> web.Response:
@@ -162,6 +165,6 @@
         request: web.Request,
         response: web.StreamResponse,
     ) -> None:
-        if self._work.drain.started:
+        if self._request_runner.drain.started:
             name = target_answers.DRAINING_HEADER
             response.headers[name] = target_answers.DRAINING_VALUE
--- a/libraries/standins/tests/cover/test_standins_target.py
+++ b/libraries/standins/tests/cover/test_standins_target.py
@@ -1,4 +1,4 @@
-"""A stand-in target sheds, drains, counts and fails as it is told."""
+"""Tests shedding, draining, counting and faults of the stand-in target."""
 
 import asyncio
 import contextlib
@@ -18,8 +18,8 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(**habits):
-    options = target_settings.TargetStandinSettings('t1', **habits)
+async def serving(**settings):
+    options = target_settings.TargetStandinSettings('t1', **settings)
     standin = target_standin.TargetStandin(
         options, clock.SystemClock(), random.Random(1)
     )
@@ -55,7 +55,7 @@
         assert standin.counts().by_tag == {'tag': 1}
 
 
-async def test_work_beyond_the_slots_is_shed_and_not_counted():
+async def test_requests_beyond_the_slots_are_shed_and_not_counted():
     async with serving(slots=1, service_ms=200) as (standin, session):
         replies = await asyncio.gather(post(session), post(session))
         assert sorted(reply.status for reply, _ in replies) == [200, 503]
@@ -84,7 +84,7 @@
         (target_faults.DropMoment.IDLE, 1, True),
     ],
 )
-async def test_dropped_connections_count_by_when_they_drop(
+async def test_executions_count_if_connections_drop_after_the_start(
     moment, executions, is_answered
 ):
     async with serving() as (standin, session):
@@ -100,14 +100,14 @@
         assert standin.counts().total == executions
 
 
-async def test_truncated_answer_breaks_off():
+async def test_truncated_answer_fails_to_read():
     async with serving() as (standin, session):
         standin.set_fault(target_faults.Fault(truncated_percent=100))
         with pytest.raises(aiohttp.ClientPayloadError):
             await post(session)
 
 
-async def test_poisoned_request_crashes_and_others_do_not():
+async def test_only_a_poisoned_request_crashes_the_target():
     async with serving() as (standin, session):
         standin.set_fault(target_faults.Fault(poison='rm'))
         assert (await post(session))[0].status == 200
@@ -116,7 +116,7 @@
         assert standin.counts().total == 2
 
 
-async def test_health_misleads_while_work_fails_and_bad_faults_are_named():
+async def test_health_stays_good_under_faults_and_unknown_faults_are_rejected():
     async with serving() as (_, session):
         fault = msgspec.json.encode(target_faults.Fault(error_percent=100))
         async with session.post('/control/fault', data=fault) as reply:
@@ -131,7 +131,7 @@
             assert 'speed' in (await reply.json())['problem']
 
 
-async def test_draining_target_warns_and_then_refuses():
+async def test_draining_is_announced_before_requests_are_refused():
     async with serving(drain_ms=0) as (standin, session):
         standin.drain()
         reply, _ = await post(session)
@@ -145,7 +145,7 @@
         assert reply.headers['Draining'] == 'yes'
 
 
-async def test_slot_is_free_again_when_the_client_goes_away():
+async def test_slot_is_released_when_the_client_disconnects():
     async with serving(slots=1, service_ms=60_000) as (standin, session):
         with pytest.raises(asyncio.TimeoutError):
             await asyncio.wait_for(post(session), timeout=0.2)
@@ -156,7 +156,7 @@
         assert reply.status == 504
 
 
-async def test_executions_outlive_the_process(tmp_path):
+async def test_executions_survive_the_process(tmp_path):
     path = str(tmp_path / 'executions')
     async with serving(executions_path=path) as (_, session):
         await post(session, Idempotency_Key='key')
@@ -165,22 +165,22 @@
         assert standin.counts().by_key == {'key': 2}
 
 
-def test_flapping_fault_shows_every_other_period():
+def test_flapping_fault_is_active_in_every_other_period():
     manual = clock.ManualClock()
     source = target_faults.FaultSource(manual, random.Random(1))
     source.set_fault(
         target_faults.Fault(error_percent=100, flap_period_ms=1000)
     )
-    seen = []
+    effects = []
     for _ in range(4):
-        seen.append(source.draw(b''))
+        effects.append(source.draw(b''))
         manual.advance(1.0)
     error, none = target_faults.Effect.ERROR, target_faults.Effect.NONE
-    assert seen == [error, none, error, none]
+    assert effects == [error, none, error, none]
 
 
 @pytest.mark.parametrize(
-    'habits',
+    'settings',
     [
         {'slots': 0},
         {'service_ms': -1},
@@ -189,6 +189,6 @@
         {'drain_ms': 'soon'},
     ],
 )
-def test_habits_out_of_range_are_refused(habits):
-    with pytest.raises(errors.InvalidArgumentError, match=next(iter(habits))):
-        target_settings.TargetStandinSettings('t1', **habits)
+def test_settings_out_of_range_are_rejected(settings):
+    with pytest.raises(errors.InvalidArgumentError, match=next(iter(settings))):
+        target_settings.TargetStandinSettings('t1', **settings)
--- a/libraries/standins/tests/nocover/test_standins_platform_process.py
+++ b/libraries/standins/tests/nocover/test_standins_platform_process.py
@@ -1,4 +1,4 @@
-"""The stand-in platform as a process follows the files of a directory."""
+"""Tests the stand-in platform as a process that publishes a directory."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 async def served(tmp_path):
-    """Run the stand-in over a directory and yield both."""
+    """Run the stand-in on a directory and yield a session and the directory."""
     (tmp_path / 'services').mkdir()
     (tmp_path / 'fleet.ini').write_text('[fleet]\n')
     (tmp_path / 'services' / 'deposits.ini').write_text('[service]\n')
@@ -45,9 +45,9 @@
     async with aiohttp.ClientSession(url) as session:
         yield session, tmp_path
     process.terminate()
-    _, problems = await process.communicate()
+    _, stderr = await process.communicate()
     assert process.returncode == 0
-    assert b'is no instance list' in problems
+    assert b'is no instance list' in stderr
 
 
 async def test_process_publishes_changes_of_its_directory(served):
@@ -66,19 +66,19 @@
             await asyncio.sleep(0.05)
 
 
-async def test_process_is_controlled_and_counts_calls(served):
+async def test_mode_is_set_and_calls_are_counted(served):
     session, _ = served
     await session.post('/control/mode', json={'mode': 'failing'})
     async with session.get('/v1/files') as response:
         assert response.status == 503
     counts = await _read(session, '/control/counts')
     assert counts == {'lists': 1, 'watches': 0, 'files': 0, 'instances': 0}
-    refused = await session.post('/control/mode', json={})
-    assert refused.status == 400
+    invalid = await session.post('/control/mode', json={})
+    assert invalid.status == 400
 
 
-async def test_missing_directory_is_named_and_the_process_ends(tmp_path):
+async def test_missing_directory_ends_the_process_with_a_message(tmp_path):
     process = await _start(f'--directory={tmp_path / "absent"}')
-    _, problems = await process.communicate()
+    _, stderr = await process.communicate()
     assert process.returncode == 2
-    assert b'is no directory' in problems
+    assert b'is no directory' in stderr
--- a/libraries/standins/tests/nocover/test_standins_target_process.py
+++ b/libraries/standins/tests/nocover/test_standins_target_process.py
@@ -1,4 +1,4 @@
-"""The target process ends as it is told, and its counts outlive it."""
+"""Tests how the target process ends, and that its counts survive it."""
 
 import asyncio
 import sys
@@ -28,18 +28,20 @@
     return process, f'http://127.0.0.1:{port}'
 
 
-async def test_signal_drains_and_cuts_no_request(tmp_path):
+async def test_signal_drains_and_breaks_no_request(tmp_path):
     process, base = await start(tmp_path, '--service_ms=500', '--drain_ms=100')
     async with aiohttp.ClientSession(base) as session:
-        work = asyncio.create_task(session.post('/work', data=b'x'))
+        response = asyncio.create_task(session.post('/work', data=b'x'))
         await asyncio.sleep(0.2)
         process.terminate()
-        assert (await work).status == 200
+        assert (await response).status == 200
     assert await asyncio.wait_for(process.wait(), timeout=20) == 0
 
 
-async def test_poison_ends_the_process_and_the_next_goes_on_counting(tmp_path):
-    # A name that a command line might take for a number.
+async def test_poison_ends_the_process_and_the_next_continues_its_counts(
+    tmp_path,
+):
+    # The command line might parse the name 5j as a number.
     executions = f'--executions_path={tmp_path / "tmp.5j"}'
     process, base = await start(tmp_path, executions)
     async with aiohttp.ClientSession(base) as session:
@@ -64,7 +66,7 @@
         (['--ip=192.0.2.1'], 'Cannot listen'),
     ],
 )
-async def test_mistakes_are_named_without_a_traceback(
+async def test_invalid_options_are_reported_without_a_traceback(
     tmp_path, arguments, problem
 ):
     process, _ = await start(tmp_path, *arguments)
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What one daemon adds to a request: one target, one platform, one daemon.
+# Measures what one daemon adds to a request, with one target and one platform.
 # Options go to `sardinepier-workbench bench`, for example --json.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/check_dependencies.py
+++ b/scripts/check_dependencies.py
@@ -1,7 +1,7 @@
 """Checks that each library declares exactly the packages that it imports.
 
-In one shared environment a missing declaration goes unnoticed: whoever embeds
-a single library would be the first to find it.
+In a shared environment a missing declaration goes unnoticed until somebody
+installs a single library.
 """
 
 import ast
@@ -35,27 +35,27 @@
 
 
 def _distribution(module: str) -> str:
-    top, _, rest = module.partition('.')
-    if top == _NAMESPACE:
+    top_level, _, rest = module.partition('.')
+    if top_level == _NAMESPACE:
         return f'{_NAMESPACE}-{rest.partition(".")[0]}'
-    return _DISTRIBUTIONS.get(top, top)
+    return _DISTRIBUTIONS.get(top_level, top_level)
 
 
-def _used(library: pathlib.Path) -> set[str]:
+def _used_distributions(library: pathlib.Path) -> set[str]:
     modules = (
         module
         for path in (library / 'src').rglob('*.py')
         for module in _imported_modules(path)
         if module.partition('.')[0] not in sys.stdlib_module_names
     )
-    own = f'{_NAMESPACE}-{library.name}'
-    return {_distribution(module) for module in modules} - {own}
+    own_distribution = f'{_NAMESPACE}-{library.name}'
+    return {_distribution(module) for module in modules} - {own_distribution}
 
 
-def _problems(library: pathlib.Path) -> Iterator[str]:
+def _find_mismatches(library: pathlib.Path) -> Iterator[str]:
     text = (library / 'pyproject.toml').read_text()
     declared = set(tomllib.loads(text)['project']['dependencies'])
-    used = _used(library)
+    used = _used_distributions(library)
     for name in sorted(used - declared):
         yield f'{library}: {name} is imported but not declared. Add it.'
     for name in sorted(declared - used):
@@ -63,13 +63,15 @@
 
 
 def main() -> None:
-    """Print every mismatch, and end with 1 if there is any."""
+    """Print every mismatch and exit with 1 if there is any."""
     libraries = sorted(pathlib.Path('libraries').iterdir())
-    problems = [
-        problem for library in libraries for problem in _problems(library)
+    mismatches = [
+        mismatch
+        for library in libraries
+        for mismatch in _find_mismatches(library)
     ]
-    sys.stdout.writelines(f'{problem}\n' for problem in problems)
-    sys.exit(bool(problems))
+    sys.stdout.writelines(f'{mismatch}\n' for mismatch in mismatches)
+    sys.exit(bool(mismatches))
 
 
 if __name__ == '__main__':
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # A small fleet as separate processes: a platform, six targets in three zones
-# and three daemons. Traffic runs while one target turns gray and one daemon
-# is killed. Ends with 0 only if all that was promised was kept.
+# and three daemons. Traffic runs while one target has a gray failure and one
+# daemon is killed. Exits with 0 only if every guarantee was kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/fleet.sh
@@ -37,7 +37,7 @@
 D2="$NETWORK.2:$(cat "$FLEET/port/d2")"
 D3="$NETWORK.3:$(cat "$FLEET/port/d3")"
 
-say 'The addresses that a caller gets'
+say 'The addresses for a caller'
 "$BIN/sardinepier" addresses --service=deposits --daemon="$D1"
 
 say 'Traffic for 10 s: idempotent searches, and deposits that run once'
@@ -48,7 +48,7 @@
     >"$FLEET/report" 2>&1 &
 TRAFFIC="$!"
 sleep 3
-echo 't1 turns gray: 40 times slower, and its health endpoint says all is well'
+echo 't1 becomes 40 times slower; its health endpoint still reports healthy'
 "$BIN/python" scripts/http_helper.py post \
     "http://127.0.0.1:$(cat "$FLEET/port/t1")/control/fault" \
     '{"slow_factor": 40}'
@@ -59,21 +59,21 @@
 CODE=0
 wait "$TRAFFIC" || CODE=$?
 
-say 'The time line of the daemons that are left'
+say 'The time line of the remaining daemons'
 "$BIN/sardinepier" timeline "--daemons=$D1,$D3" || CODE=1
 
-say 'What the daemons say'
+say 'The status of the remaining daemons'
 "$BIN/sardinepier" status "--daemons=$D1,$D3" || CODE=1
 
-say 'What callers were told, and what the targets have run'
+say 'The outcomes at the callers, and the executions at the targets'
 cat "$FLEET/report"
 for name in "${TARGETS[@]}"; do
     echo "executions on $name    $(wc -l <"$FLEET/executions/$name")"
 done
 
 if [ "$CODE" -eq 0 ]; then
-    say 'All kept: no key ran twice, nobody was told an untruth'
+    say 'All guarantees kept: no key ran twice, no outcome was misreported'
 else
-    say "Something was not kept (exit code $CODE)"
+    say "A guarantee was broken (exit code $CODE)"
 fi
 exit "$CODE"
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# The table of faults: starts a fresh fleet of separate processes for each
-# case, lets the workbench break it under load, and prints a row a case.
+# Prints the table of faults: for each case it starts a new fleet of separate
+# processes, and the workbench injects the fault under load and prints a row.
 #
 #   scripts/faults.sh                 all cases
-#   scripts/faults.sh 'home killed'   only these
+#   scripts/faults.sh 'home killed'   only the named cases
 #
 # OPTIONS=--json prints rows as JSON; KEEP_LOGS=DIR keeps the logs.
-# Ends with 1 when a guarantee was broken.
+# Exits with 1 if a guarantee was broken.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/fleet.sh
@@ -14,10 +14,10 @@
 DAEMONS=(d1 d2 d3)
 TARGETS=(t1 t2 t3 t4 t5 t6)
 
-# start_relay LISTENER...: t1 stands before a target, d1 before the peer port
-# of a daemon and d1-http before its HTTP port. A case gets only the relays
-# that it cuts: a relay accepts a connection before it knows that the process
-# behind it is gone, and so would hide that nothing was sent.
+# start_relay LISTENER...: t1 relays to a target, d1 to the peer port of a
+# daemon and d1-http to its HTTP port. A case gets only the relays that it cuts:
+# a relay accepts a connection before it can know that the process behind it has
+# ended, which would hide that nothing was sent.
 start_relay() {
     local name daemon ip port separator=''
     {
@@ -53,7 +53,7 @@
     choose_daemon_ports "${DAEMONS[@]}"
     relays="$("$BIN/sardinepier-workbench" faults --relays --case="$1")"
     if [ -n "$relays" ]; then
-        # shellcheck disable=SC2086  # one word a relay
+        # shellcheck disable=SC2086  # one word per relay
         start_relay $relays
     fi
     write_fleet_file 'addresses_valid_s = 2
@@ -79,8 +79,8 @@
 BROKEN=0
 [ -n "${OPTIONS:-}" ] || "$BIN/sardinepier-workbench" faults --heading
 for case in "${CASES[@]}"; do
-    # A subshell a case: its exit trap ends the processes of its own fleet.
-    # Not as a part of a condition, which would switch off the end at errors.
+    # One subshell per case: its exit trap ends the processes of its fleet. It
+    # must not be part of a condition, which would disable `set -e` within it.
     set +e
     (
         set -e
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,16 +1,16 @@
 # Functions that start and stop a small fleet of separate processes.
 # Sourced by the other scripts, which run in the root of the repository.
 #
-# FLEET is a directory that holds one file for each process and purpose:
-#   pid/NAME         the process id, while it runs
-#   port/NAME        the port that it listens at
-#   log/NAME         what it wrote to standard error
-#   hold/NAME        while this exists, NAME is not started again
-#   executions/NAME  what a target has run, one line each
+# FLEET is a directory with one file for each process and purpose:
+#   pid/NAME         its process id, while it runs
+#   port/NAME        the port on which it listens
+#   log/NAME         its standard output and error
+#   hold/NAME        while this exists, NAME is not restarted
+#   executions/NAME  the executions of a target, one line each
 #   platform/        the files that the platform publishes
 #   network          the first three numbers of the daemons' addresses
 #
-# Every process is started by this shell, and ended by the id recorded here.
+# Every process is started by this shell and ended by its recorded id.
 
 BIN="${BIN:-.venv/bin}"
 ZONES=(north centre south)
@@ -20,8 +20,8 @@
     FLEET="$(mktemp -d)"
     mkdir -p "$FLEET"/{pid,port,log,hold,executions,settings,platform/services}
     touch "$FLEET/running"
-    # A part of 127.0.0.0/8 for this fleet's daemons alone: nobody else can
-    # take a port there between its choice and its use.
+    # A random subnet of 127.0.0.0/8 for the daemons of this fleet: no other
+    # process is likely to bind a chosen port there before the daemon does.
     NETWORK="127.$((RANDOM % 200 + 20)).$((RANDOM % 250 + 1))"
     echo "$NETWORK" >"$FLEET/network"
     trap fleet_end EXIT
@@ -32,11 +32,11 @@
     trap '' INT TERM
     rm -f "$FLEET/running"
     local tries
-    # Again and again, as a supervisor may just have started a process whose
-    # id is not recorded yet.
+    # Repeated, because a supervisor may have started a process whose id is not
+    # recorded yet.
     for tries in {1..50}; do
         kill_recorded
-        supervised || break
+        any_supervisor_runs || break
         sleep 0.1
     done
     if [ -n "${KEEP_LOGS:-}" ]; then
@@ -50,14 +50,14 @@
     local file pid
     for file in "$FLEET"/pid/*; do
         pid="$(cat "$file" 2>/dev/null)" || continue
-        # A stopped process must go on to be able to end.
+        # A process that a signal has stopped must continue so that it can end.
         kill -CONT "$pid" 2>/dev/null || true
         kill -KILL "$pid" 2>/dev/null || true
     done
 }
 
-# supervised: whether any supervisor is still there.
-supervised() {
+# any_supervisor_runs: succeeds if any supervisor still runs.
+any_supervisor_runs() {
     local pid
     for pid in "${SUPERVISORS[@]}"; do
         if kill -0 "$pid" 2>/dev/null; then
@@ -67,7 +67,7 @@
     return 1
 }
 
-# start NAME COMMAND...: runs COMMAND, and again whenever it has ended.
+# start NAME COMMAND...: runs COMMAND and restarts it whenever it has ended.
 start() {
     local name="$1"
     shift
@@ -89,11 +89,11 @@
         echo "$!" >"$FLEET/pid/.$name"
         mv "$FLEET/pid/.$name" "$FLEET/pid/$name"
         status=0
-        # Its failure must not end this loop, which is to start it again.
+        # A failure of the process must not end this loop, which restarts it.
         wait "$!" 2>/dev/null || status=$?
         echo "# ended with status $status" >>"$FLEET/log/$name"
         rm -f "$FLEET/pid/$name"
-        # Without this a process that cannot start would be tried in a spin.
+        # Avoids a busy loop if the process cannot start.
         sleep 0.2
     done
 }
@@ -112,8 +112,8 @@
     done
 }
 
-# start_target NAME HABIT...: starts one target; its port stays the same when
-# it is started again.
+# start_target NAME OPTION...: starts one target; its port stays the same when
+# it is restarted.
 start_target() {
     local name="$1"
     shift
@@ -127,9 +127,9 @@
     await_file "$FLEET/port/platform"
 }
 
-# run_at_port NAME COMMAND...: becomes COMMAND, at the port that NAME had
-# before, or at one from the system. A port chosen beforehand may be taken by
-# another process of a busy machine until it is bound.
+# run_at_port NAME COMMAND...: replaces the shell by COMMAND, on the previous
+# port of NAME or else on one that the system chooses: on a busy machine another
+# process may take a port that was chosen before it is bound.
 run_at_port() {
     local name="$1" port=0
     shift
@@ -139,7 +139,7 @@
     exec "$@" "--port=$port" "--port_file=$FLEET/port/$name"
 }
 
-# write_fleet_file EXTRA_LINES: the operators' file for the whole fleet.
+# write_fleet_file EXTRA_LINES: writes the operators' file for the fleet.
 write_fleet_file() {
     {
         echo '[fleet]'
@@ -154,8 +154,8 @@
     } >"$FLEET/platform/fleet.ini"
 }
 
-# write_service_file SERVICE SLOTS EXTRA_LINES TARGET...: the operators' file
-# for one service. A target's port is that of its relay when it has one.
+# write_service_file SERVICE SLOTS EXTRA_LINES TARGET...: writes the operators'
+# file for one service. The port of a target is that of its relay, if any.
 write_service_file() {
     local service="$1" slots="$2" extra="$3" number=0 name port
     shift 3
@@ -206,7 +206,7 @@
         "$FLEET/platform/services/$service.ini"
 }
 
-# choose_daemon_ports NAME...: sets port/NAME and port/NAME-peer.
+# choose_daemon_ports NAME...: writes port/NAME and port/NAME-peer.
 choose_daemon_ports() {
     local ports name
     ports="$("$BIN/python" scripts/free_ports.py $((2 * $#)))"
@@ -218,7 +218,7 @@
 }
 
 # start_daemons NAME...: writes the settings of each daemon and starts it.
-# Daemon number n listens at $NETWORK.n, so that a relay can tell who connects.
+# Daemon number n listens on $NETWORK.n: relays distinguish daemons by address.
 start_daemons() {
     local names=("$@") number=0 name seeds=''
     for name in "${names[@]}"; do
--- a/scripts/free_ports.py
+++ b/scripts/free_ports.py
@@ -1,6 +1,6 @@
-"""Prints ports of 127.0.0.1 that were free a moment ago, one a line.
+"""Prints ports of 127.0.0.1 that were free when chosen, one per line.
 
-All are held at once while they are chosen, so that no two are the same:
+All are bound until the last one is chosen, so that they are distinct:
 
     python free_ports.py 6
 """
@@ -10,14 +10,14 @@
 
 
 def main() -> None:
-    """Print as many ports as the first argument says."""
+    """Print the number of ports that the first argument states."""
     count = int(sys.argv[1])
-    held = []
+    bound_sockets = []
     for _ in range(count):
         probe = socket.socket()
         probe.bind(('127.0.0.1', 0))
-        held.append(probe)
-    for probe in held:
+        bound_sockets.append(probe)
+    for probe in bound_sockets:
         sys.stdout.write(f'{probe.getsockname()[1]}\n')
         probe.close()
 
--- a/scripts/http_helper.py
+++ b/scripts/http_helper.py
@@ -1,9 +1,9 @@
-"""The little HTTP that the scripts need, so that they need no curl.
+"""HTTP requests for the scripts, so that they do not depend on curl.
 
     python http_helper.py post URL BODY
     python http_helper.py await URL TEXT SECONDS
 
-``await`` asks until the answer has status 200 and holds TEXT.
+``await`` repeats the request until a response has status 200 and contains TEXT.
 """
 
 import sys
@@ -15,7 +15,7 @@
 
 
 def post(url: str, body: str) -> int:
-    """Send ``body`` and return 0 when the answer was a success."""
+    """Send ``body``; return 0 on success and 1 on failure."""
     request = url_requests.Request(url, data=body.encode(), method='POST')
     try:
         url_requests.urlopen(request, timeout=_TIMEOUT_S).close()
@@ -26,23 +26,23 @@
 
 
 def await_text(url: str, text: str, limit_s: str) -> int:
-    """Return 0 once ``url`` answers with ``text``, 1 when time is up."""
+    """Return 0 once ``url`` responds with ``text``, 1 after ``limit_s``."""
     deadline_s = time.monotonic() + float(limit_s)
-    last = 'no answer'
+    last_body = 'no response'
     while time.monotonic() < deadline_s:
-        last = read(url)
-        if text in last:
+        last_body = read(url)
+        if text in last_body:
             return 0
         time.sleep(_POLL_S)
-    sys.stderr.write(f'{url} did not show {text!r} in time: {last}\n')
+    sys.stderr.write(f'{url} did not return {text!r} in time: {last_body}\n')
     return 1
 
 
 def read(url: str) -> str:
-    """Return the answer's body, or what went wrong."""
+    """Return the body of the response or the reason of the failure."""
     try:
-        with url_requests.urlopen(url, timeout=_TIMEOUT_S) as answer:
-            return answer.read().decode(errors='replace')
+        with url_requests.urlopen(url, timeout=_TIMEOUT_S) as response:
+            return response.read().decode(errors='replace')
     except OSError as error:
         return f'failed: {error}'
 
--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -1,4 +1,4 @@
-"""The store's stand-in and a client of it."""
+"""Fixtures: a stand-in for the platform's store and a client of it."""
 
 import pytest
 import store_standin
@@ -7,14 +7,14 @@
 
 @pytest.fixture
 async def standin():
-    made = store_standin.StoreStandin()
-    await made.start()
-    yield made
-    await made.stop()
+    store_server = store_standin.StoreStandin()
+    await store_server.start()
+    yield store_server
+    await store_server.stop()
 
 
 @pytest.fixture
 async def client(standin):
-    made = store.StoreClient(standin.address)
-    yield made
-    await made.close()
+    store_client = store.StoreClient(standin.address)
+    yield store_client
+    await store_client.close()
--- a/tests/adapter/instance_process.py
+++ b/tests/adapter/instance_process.py
@@ -1,4 +1,4 @@
-"""The program that the platform starts, as a process of its own."""
+"""An entry daemon as a separate process, started as the platform does."""
 
 import asyncio
 import contextlib
@@ -7,32 +7,32 @@
 import socket
 import sys
 
-import entry_support as targets
+import entry_support as support
 
 ROOT = pathlib.Path(__file__).parents[2]
 LIBRARIES = ROOT / 'libraries'
-PORTS = ('front', 'ready', 'control', 'directory')
+LISTENERS = ('front', 'ready', 'control', 'directory')
 
 
 def free_ports(ip, count):
-    taken = [socket.create_server((ip, 0)) for _ in range(count)]
-    ports = [one.getsockname()[1] for one in taken]
-    for one in taken:
-        one.close()
+    servers = [socket.create_server((ip, 0)) for _ in range(count)]
+    ports = [server.getsockname()[1] for server in servers]
+    for server in servers:
+        server.close()
     return ports
 
 
 class Instance:
-    """One process, with its settings file and what it printed."""
+    """One daemon process with its settings file."""
 
     def __init__(self, folder, name, store_address, seeds=''):
-        # The port of the figures is the same one everywhere, and a port that
-        # was let go may be taken for somebody's outgoing connection, so that
-        # each instance of each run of the tests has an address of its own.
+        # Each instance of each test run has its own address: all use the same
+        # metrics port, and on a shared address an outgoing connection could
+        # take a port between its release and its use.
         high, low = divmod(os.getpid(), 250)
         self.ip = f'127.{1 + high % 250}.{low}.{name[-1]}'
-        free = free_ports(self.ip, len(PORTS))
-        self.ports = dict(zip(PORTS, free, strict=True))
+        free = free_ports(self.ip, len(LISTENERS))
+        self.ports = dict(zip(LISTENERS, free, strict=True))
         self.path = folder / f'{name}.conf'
         lines = [
             f'node_name={name}',
@@ -43,23 +43,26 @@
             f'provider.address={store_address}',
             f'seeds={seeds or self.address("control")}',
             f'ip={self.ip}',
-            *(f'listen.{one}={self.address(one)}' for one in PORTS),
+            *(
+                f'listen.{listener}={self.address(listener)}'
+                for listener in LISTENERS
+            ),
         ]
         self.path.write_text('\n'.join(lines))
         self.process = None
 
-    def address(self, name):
-        return f'{self.ip}:{self.ports[name]}'
+    def address(self, listener):
+        return f'{self.ip}:{self.ports[listener]}'
 
     async def start(self, stdout=asyncio.subprocess.PIPE):
-        folders = [str(one) for one in LIBRARIES.glob('*/src')]
+        sources = [str(path) for path in LIBRARIES.glob('*/src')]
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             str(ROOT / 'platform' / 'start.py'),
             env={
                 **os.environ,
                 'SARDINEPIER_BOOT': str(self.path),
-                'PYTHONPATH': os.pathsep.join(folders),
+                'PYTHONPATH': os.pathsep.join(sources),
             },
             stdout=stdout,
         )
@@ -70,43 +73,43 @@
             self.ports[listener],
         )
         writer.write(f'GET {path} HTTP/1.1\r\nHost: a.example\r\n\r\n'.encode())
-        answer = await targets.read_answer(reader)
+        answer = await support.read_answer(reader)
         writer.close()
         return answer
 
     async def until_ready(self, status=200):
-        """Wait until readiness is answered by ``status``."""
-        await self.until('ready', '/api/readiness', status)
+        """Wait until the readiness endpoint answers with ``status``."""
+        await self.wait_for_status('ready', '/api/readiness', status)
 
-    async def until(self, listener, path, status):
+    async def wait_for_status(self, listener, path, status):
         try:
-            await self._until(listener, path, status)
+            await self._poll_status(listener, path, status)
         except TimeoutError:
-            # What is needed to find the cause of one that never got there.
-            sys.stdout.write(await self._last_words())
+            # Shows why the instance never answered with this status.
+            sys.stdout.write(await self._process_report())
             raise
 
-    async def ask(self, path, name):
+    async def send_request(self, path, attempt_id):
         reader, writer = await asyncio.open_connection(
             self.ip,
             self.ports['front'],
         )
         writer.write(
             f'GET {path} HTTP/1.1\r\nHost: a.example\r\n'
-            f'X-Sardinepier-Attempt-Id: {name}\r\n'
+            f'X-Sardinepier-Attempt-Id: {attempt_id}\r\n'
             'X-Sardinepier-Request-Deadline: 4000\r\n\r\n'.encode(),
         )
         return reader, writer
 
-    async def _last_words(self):
-        """Return how the process ended, if it did, and what it printed."""
+    async def _process_report(self):
+        """Return the ports, the exit code, if any, and the newest output."""
         if self.process.returncode is None:
             self.process.kill()
         printed, _ = await self.process.communicate()
         return f'{self.ports} {self.process.returncode} {printed[-4000:]}'
 
-    async def _until(self, listener, path, status):
-        async with asyncio.timeout(targets.TIMEOUT_S):
+    async def _poll_status(self, listener, path, status):
+        async with asyncio.timeout(support.TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
                     if (await self.get(listener, path))[0] == status:
--- a/tests/adapter/store_standin.py
+++ b/tests/adapter/store_standin.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store that misbehaves on demand."""
+"""A stand-in for the platform's store with injectable faults."""
 
 import asyncio
 import base64
@@ -7,21 +7,21 @@
 
 from aiohttp import web
 
-PAGE = 3
-"""Entries a page: few, so that tests cross pages."""
+ENTRIES_PER_PAGE = 3
+"""Small, so that tests read several pages."""
 
 
 class StoreStandin:
-    """Serves entries below a prefix; ``fault`` says how it misbehaves."""
+    """Serves entries below a prefix; ``fault`` selects a faulty behaviour."""
 
     def __init__(self):
         self.entries = {}
         self.raw_values = {}
         self.revision = 1
         self.fault = ''
-        self.era = 0
+        self.epoch = 0
         self._copy = None
-        self.asked = []
+        self.queries = []
         self._runner = None
         self.address = ''
 
@@ -31,7 +31,7 @@
         self.entries[key] = (raw, self.revision)
 
     def put_raw(self, key, value):
-        """Put what stands in the answer as it is, base64 or not."""
+        """Put a value that is sent unchanged, whether base64 or not."""
         self.revision += 1
         self.raw_values[key] = value
         self.entries[key] = (b'', self.revision)
@@ -40,15 +40,15 @@
         self.revision += 1
         del self.entries[key]
 
-    def copy(self):
-        """Keep a copy of everything as it is now."""
+    def save_copy(self):
+        """Save a copy of the current entries."""
         self._copy = (dict(self.entries), self.revision)
 
     def restore(self):
-        """Come back from the copy: what came since is lost."""
+        """Restore the copy, which loses all later changes."""
         self.entries = dict(self._copy[0])
         self.revision = self._copy[1]
-        self.era += 1
+        self.epoch += 1
 
     async def start(self):
         app = web.Application()
@@ -64,7 +64,7 @@
         await self._runner.cleanup()
 
     async def _range(self, request):
-        self.asked.append(dict(request.query))
+        self.queries.append(dict(request.query))
         if self.fault.isdigit():
             return web.Response(status=int(self.fault))
         if self.fault == 'silent':
@@ -80,15 +80,15 @@
             if key.startswith(request.query['prefix'])
             and key > request.query.get('after', '')
         )
-        items = [self._item(key) for key in keys[:PAGE]]
+        items = [self._item(key) for key in keys[:ENTRIES_PER_PAGE]]
         return web.json_response(
             {
                 'items': items,
-                'has_more': len(keys) > PAGE,
+                'has_more': len(keys) > ENTRIES_PER_PAGE,
                 'as_of': self.revision,
                 'unknown_field': {'may': 'come'},
             },
-            headers={'Store-Era': str(self.era)},
+            headers={'Store-Era': str(self.epoch)},
         )
 
     def _item(self, key):
@@ -105,7 +105,7 @@
         }
 
 
-def worker(service='books', address='127.0.0.1:9', **changed):
+def worker(service='books', address='127.0.0.1:9', **overrides):
     return {
         'service': service,
         'address': address,
@@ -115,11 +115,11 @@
         'state': 'ready',
         'warmup_left_s': 0,
         'sequence': 4,
-        **changed,
+        **overrides,
     }
 
 
-def configuration(version=7, **changed):
+def configuration(version=7, **overrides):
     return {
         'version': version,
         'base_version': 1,
@@ -168,7 +168,7 @@
                 ],
             },
         ],
-        **changed,
+        **overrides,
     }
 
 
--- a/tests/adapter/test_adapter_deploy.py
+++ b/tests/adapter/test_adapter_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file and the adapter agree."""
+"""The adapter conforms to the deploy file."""
 
 import pathlib
 import tomllib
@@ -8,7 +8,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-def test_the_metrics_are_where_the_deploy_file_says():
+def test_metrics_are_served_where_the_deploy_file_states():
     text = (ROOT / 'deploy' / 'system.toml').read_text()
     stated = tomllib.loads(text)['roles']['entry']['metrics']
     assert stated == f'{names.METRICS_PORT}{names.METRICS_PATH}'
--- a/tests/adapter/test_adapter_fuzz.py
+++ b/tests/adapter/test_adapter_fuzz.py
@@ -1,20 +1,18 @@
-"""Whatever other writers put into entries, the others hold."""
+"""An entry with any content is either a valid target or rejected."""
 
 import base64
 import json
 
-import store_standin as given
-from hypothesis import example, strategies
-from hypothesis import given as with_any
-from hypothesis import settings
+import store_standin
+from hypothesis import example, given, settings, strategies
 from sardinepier.platform import errors
 from sardinepier_adapter import documents
 
-ENTRIES_TRIED = 2000
-"""Of each test below: about a second each."""
+MAX_EXAMPLES = 2000
+"""Examples per test, which take about a second."""
 
 HUGE_PORT = '9' * 5000
-"""More digits than Python turns into a number."""
+"""More digits than Python converts to an integer."""
 
 ANY_JSON = strategies.recursive(
     strategies.none()
@@ -29,7 +27,7 @@
     max_leaves=6,
 )
 SOME_FIELDS = strategies.dictionaries(
-    strategies.sampled_from([*given.worker(), 'born', 'other']),
+    strategies.sampled_from([*store_standin.worker(), 'born', 'other']),
     ANY_JSON,
     max_size=4,
 )
@@ -40,25 +38,25 @@
 
 
 def _target(value):
-    """Return the target of an entry, None for one that names none."""
+    """Return the target of an entry, None for a rejected entry."""
     try:
-        return documents.target('servers/i-1', value)
+        return documents.decode_target('servers/i-1', value)
     except errors.PlatformReplyError:
         return None
 
 
-@with_any(ANY_JSON)
-@settings(max_examples=ENTRIES_TRIED)
-def test_any_json_is_a_usable_target_or_names_none(document):
+@given(ANY_JSON)
+@settings(max_examples=MAX_EXAMPLES)
+def test_any_json_is_rejected(document):
     assert _target(_value(document)) is None
 
 
-@with_any(SOME_FIELDS)
+@given(SOME_FIELDS)
 @example({'slots': 10**30, 'warmup_left_s': 10**400})
 @example({'address': f'10.0.0.1:{HUGE_PORT}'})
-@settings(max_examples=ENTRIES_TRIED)
-def test_fields_of_any_type_name_a_sound_target_or_none(changed):
-    found = _target(_value(given.worker(**changed)))
+@settings(max_examples=MAX_EXAMPLES)
+def test_fields_of_any_type_give_a_valid_target_or_none(overrides):
+    found = _target(_value(store_standin.worker(**overrides)))
     if found is not None:
         assert 0 < found.port < 65536
         assert found.slots >= 1
@@ -66,9 +64,9 @@
         assert found.ip.count('.') == 3
 
 
-@with_any(strategies.binary(max_size=64) | strategies.text(max_size=64))
-@settings(max_examples=ENTRIES_TRIED)
-def test_any_bytes_and_any_text_name_no_target(raw):
+@given(strategies.binary(max_size=64) | strategies.text(max_size=64))
+@settings(max_examples=MAX_EXAMPLES)
+def test_any_bytes_and_any_text_are_rejected(raw):
     value = raw
     if isinstance(raw, bytes):
         value = base64.b64encode(raw).decode()
--- a/tests/adapter/test_adapter_process.py
+++ b/tests/adapter/test_adapter_process.py
@@ -1,13 +1,13 @@
-"""The program that the platform starts, as processes of their own."""
+"""Entry daemons as separate processes, started as the platform does."""
 
 import asyncio
 import json
 import signal
 
-import entry_support as targets
+import entry_support as support
 import instance_process
 import pytest
-import store_standin as given
+import store_standin
 from sardinepier_adapter import names
 
 pytestmark = pytest.mark.processes
@@ -15,23 +15,23 @@
 
 @pytest.fixture
 async def worker(monkeypatch):
-    names = targets.header_names.HeaderNames(
+    names = support.header_names.HeaderNames(
         attempt_id='X-Sardinepier-Attempt-Id',
         signature='X-Sardinepier-Response-Signature',
     )
-    monkeypatch.setattr(targets, 'NAMES', names)
-    made = targets.RawTarget('i-1')
-    await made.start()
-    yield made
-    made.server.close()
+    monkeypatch.setattr(support, 'NAMES', names)
+    target = support.RawTarget('i-1')
+    await target.start()
+    yield target
+    target.server.close()
 
 
 @pytest.fixture
 async def instances(tmp_path, standin, worker):
-    standin.put('op/config', given.configuration())
+    standin.put('op/config', store_standin.configuration())
     standin.put(
         'servers/i-1',
-        given.worker(address=f'127.0.0.1:{worker.port}'),
+        store_standin.worker(address=f'127.0.0.1:{worker.port}'),
     )
     first = instance_process.Instance(tmp_path, 'edge-1', standin.address)
     second = instance_process.Instance(
@@ -40,90 +40,92 @@
         standin.address,
         seeds=first.address('control'),
     )
-    for one in (first, second):
-        await one.start()
+    for instance in (first, second):
+        await instance.start()
     yield first, second
-    for one in (first, second):
-        if one.process.returncode is None:
-            one.process.kill()
-        await one.process.communicate()
+    for instance in (first, second):
+        if instance.process.returncode is None:
+            instance.process.kill()
+        await instance.process.communicate()
 
 
-async def test_the_figures_can_be_read(instances):
+async def test_metrics_are_served(instances):
     first, _ = instances
     await first.until_ready()
-    reader, writer = await first.ask('/kelo/books/1', 'id-1')
-    await targets.read_answer(reader)
+    reader, writer = await first.send_request('/kelo/books/1', 'id-1')
+    await support.read_answer(reader)
     writer.close()
     reader, writer = await asyncio.open_connection(
         first.ip,
         names.METRICS_PORT,
     )
     writer.write(b'GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n')
-    status, _, body = await targets.read_answer(reader)
+    status, _, body = await support.read_answer(reader)
     writer.close()
     assert status == 200
     assert b'sardinepier_configuration_version 7' in body
     assert b'sardinepier_requests_total{' in body
 
 
-async def test_a_request_finds_its_way_and_the_exit_cuts_none(
+async def test_requests_are_forwarded_and_the_exit_breaks_none(
     instances,
     worker,
     standin,
 ):
     first, second = instances
-    for one in instances:
-        await one.until_ready()
+    for instance in instances:
+        await instance.until_ready()
     status, _, body = await first.get(
         'directory',
         '/api/resolve?name=a.example&region=r&zone=z1',
     )
-    named = json.loads(body)
+    resolved = json.loads(body)
     assert status == 200
-    assert 0 < named['ttl_s'] <= 5
-    assert set(named['addresses']) <= {
-        one.address('front') for one in instances
+    assert 0 < resolved['ttl_s'] <= 5
+    assert set(resolved['addresses']) <= {
+        instance.address('front') for instance in instances
     }
 
-    reader, writer = await first.ask('/once/1', 'id-1')
-    status, headers, body = await targets.read_answer(reader)
-    assert (status, body) == (200, targets.BODY)
+    reader, writer = await first.send_request('/once/1', 'id-1')
+    status, headers, body = await support.read_answer(reader)
+    assert (status, body) == (200, support.BODY)
     assert headers['X-Sardinepier-Response-Signature'] == 'proof-of-id-1'
 
     worker.behaviours = ['gated']
     writer.close()
-    reader, writer = await first.ask('/once/2', 'id-2')
-    await targets.wait_until(lambda: len(worker.seen) == 2)
+    reader, writer = await first.send_request('/once/2', 'id-2')
+    await support.wait_until(lambda: len(worker.seen) == 2)
     first.process.send_signal(signal.SIGTERM)
     await first.until_ready(503)
     worker.gate.set()
-    status, headers, body = await targets.read_answer(reader)
-    assert (status, body) == (200, targets.BODY)
+    status, headers, body = await support.read_answer(reader)
+    assert (status, body) == (200, support.BODY)
     assert headers['Connection'] == 'close'
     writer.close()
-    async with asyncio.timeout(targets.TIMEOUT_S):
+    async with asyncio.timeout(support.TIMEOUT_S):
         assert await first.process.wait() == 0
 
 
-async def test_a_new_configuration_reaches_both(instances, standin):
-    for one in instances:
-        await one.until_ready()
+async def test_a_new_configuration_reaches_both_instances(instances, standin):
+    for instance in instances:
+        await instance.until_ready()
     renamed = json.loads(
-        json.dumps(given.configuration(9)).replace('/once/', '/later/'),
+        json.dumps(store_standin.configuration(9)).replace('/once/', '/later/'),
     )
     standin.put('op/config', renamed)
-    for one in instances:
-        await one.until('front', '/later/1', 200)
-        assert (await one.get('front', '/once/1'))[0] == 404
+    for instance in instances:
+        await instance.wait_for_status('front', '/later/1', 200)
+        assert (await instance.get('front', '/once/1'))[0] == 404
 
 
-async def test_a_missing_settings_file_ends_it_with_one_line(tmp_path, standin):
-    lost = instance_process.Instance(tmp_path, 'edge-1', standin.address)
-    lost.path.unlink()
-    await lost.start()
-    printed, _ = await lost.process.communicate()
+async def test_a_missing_settings_file_ends_the_process_with_one_line(
+    tmp_path, standin
+):
+    instance = instance_process.Instance(tmp_path, 'edge-1', standin.address)
+    instance.path.unlink()
+    await instance.start()
+    printed, _ = await instance.process.communicate()
     lines = [json.loads(line) for line in printed.splitlines()]
-    assert lost.process.returncode == 1
+    assert instance.process.returncode == 1
     assert lines[-1]['event'] == 'daemon-failed'
     assert 'cannot be read' in lines[-1]['message']
--- a/tests/adapter/test_adapter_settings.py
+++ b/tests/adapter/test_adapter_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, and what is wrong with bad ones."""
+"""Reading of the platform's settings file, and errors of invalid files."""
 
 import pytest
 from sardinepier.membership import capacity
@@ -33,7 +33,7 @@
     return settings_file.read(str(path))
 
 
-def test_each_field_has_its_meaning(tmp_path):
+def test_each_field_is_read(tmp_path):
     fields = read(tmp_path, TEXT)
     found = settings_file.entry_settings_of(fields)
     assert found.daemon_id == 'edge-a-1'
@@ -47,7 +47,7 @@
     assert settings_file.store_address(fields) == '10.200.1.7:8384'
 
 
-def test_each_bound_has_its_meaning(tmp_path):
+def test_each_bound_is_read(tmp_path):
     found = settings_file.entry_settings_of(read(tmp_path, TEXT))
     assert found.bounds.grace_s == 5
     assert found.bounds.directory_s == 4
@@ -57,7 +57,7 @@
     assert found.bounds.min_used_share == 0.6
 
 
-def test_what_is_optional_may_be_absent(tmp_path):
+def test_optional_fields_may_be_absent(tmp_path):
     text = '\n'.join(
         line
         for line in TEXT.splitlines()
@@ -75,7 +75,7 @@
     'name',
     ['node_name', 'zone', 'listen.front', 'listen.control'],
 )
-def test_a_missing_field_is_named(tmp_path, name):
+def test_a_missing_field_is_reported(tmp_path, name):
     text = TEXT.replace(f'\n{name}=', '\nx=').removeprefix(f'{name}=')
     with pytest.raises(errors.SettingsFileError, match=name):
         settings_file.entry_settings_of(read(tmp_path, text))
@@ -89,39 +89,39 @@
         ('seeds=10.1.0.18:8382', 'seeds=10.1.0.18', 'seeds'),
     ],
 )
-def test_a_wrong_field_is_named(tmp_path, before, after, named):
+def test_an_invalid_field_is_reported(tmp_path, before, after, named):
     with pytest.raises(errors.SettingsFileError, match=named):
         settings_file.entry_settings_of(
             read(tmp_path, TEXT.replace(before, after)),
         )
 
 
-def test_a_file_that_is_not_there_is_said_to_be():
+def test_a_missing_file_is_reported():
     with pytest.raises(errors.SettingsFileError, match='SARDINEPIER_BOOT'):
         settings_file.read('/nowhere/node.conf')
 
 
-def test_what_the_instance_may_use_is_told(tmp_path):
+def test_limits_set_the_capacity(tmp_path):
     limits = 'limits.cpu_share=0.717\nlimits.cores=3\nlimits.link_mbps=5.5\n'
     fields = read(tmp_path, TEXT + limits)
     found = settings_file.entry_settings_of(fields)
     assert found.capacity == capacity.Capacity(2151, 5500)
 
 
-def test_without_limits_an_instance_is_a_usual_one(tmp_path):
+def test_without_limits_the_capacity_is_the_default(tmp_path):
     found = settings_file.entry_settings_of(read(tmp_path, TEXT))
     assert found.capacity == capacity.DEFAULT
 
 
 @pytest.mark.parametrize('stated', ['0', '-3', '1e-9'])
-def test_a_limit_of_nothing_is_the_least(tmp_path, stated):
+def test_the_smallest_capacity_is_one(tmp_path, stated):
     fields = read(tmp_path, f'{TEXT}limits.link_mbps={stated}\n')
     found = settings_file.entry_settings_of(fields)
     assert found.capacity.link_kbit_per_s == 1
 
 
 @pytest.mark.parametrize('stated', ['fast', 'nan', 'inf'])
-def test_a_limit_that_is_no_number_is_refused(tmp_path, stated):
+def test_a_limit_that_is_not_a_number_is_rejected(tmp_path, stated):
     fields = read(tmp_path, f'{TEXT}limits.link_mbps={stated}\n')
     with pytest.raises(errors.SettingsFileError):
         settings_file.entry_settings_of(fields)
@@ -138,12 +138,12 @@
     return settings_file.entry_settings_of(read(tmp_path, text)).bounds
 
 
-def test_bounds_of_customers_have_their_meaning(tmp_path):
+def test_bounds_on_customers_are_read(tmp_path):
     found = bounds_of(tmp_path, CUSTOMER_BOUNDS)
     assert found.revocation_s == 5
     assert found.leeway == fleet_limits.Leeway(4, 0.5, 10, 6.5)
 
 
 @pytest.mark.parametrize('stated', ['revoke_strict=false,revoke_s=5', 'x=1'])
-def test_without_a_strict_bound_no_confirmation_is_needed(tmp_path, stated):
+def test_without_a_strict_bound_there_is_no_revocation_time(tmp_path, stated):
     assert bounds_of(tmp_path, stated).revocation_s is None
--- a/tests/adapter/test_adapter_slow_callers.py
+++ b/tests/adapter/test_adapter_slow_callers.py
@@ -1,4 +1,4 @@
-"""Memory of an instance whose callers read large answers slowly."""
+"""Memory use of an instance whose callers read large answers slowly."""
 
 import asyncio
 import contextlib
@@ -6,10 +6,10 @@
 import sys
 import time
 
-import entry_support as targets
+import entry_support as support
 import instance_process
 import pytest
-import store_standin as given
+import store_standin
 from sardinepier_adapter import names
 
 CALLERS = 200
@@ -17,11 +17,11 @@
 """500 kB."""
 
 BYTES_PER_S = 50_000
-MOST_RESIDENT_MB = 128
-"""What a daemon may take at the target size; the smallest instances have 200."""
+MAX_RESIDENT_MB = 128
+"""Limit for a daemon at the target size; the smallest instances have 200 MB."""
 
-APART_S = 0.01
-"""Between the first requests of two callers: all are there after two seconds."""
+START_INTERVAL_S = 0.01
+"""Between the starts of two callers; all have started after two seconds."""
 
 SMALL_PER_S = 20
 LARGE_PATH = '/once/large'
@@ -31,12 +31,12 @@
 
 
 class Target:
-    """Answers at once, with a large body where that is asked for."""
+    """A target that answers at once, with a large body for ``LARGE_PATH``."""
 
     async def start(self):
         self.server = await asyncio.start_server(
             self._serve,
-            targets.LOOPBACK,
+            support.LOOPBACK,
             0,
         )
 
@@ -48,7 +48,7 @@
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
                 head = (await reader.readuntil(b'\r\n\r\n')).decode()
-                body = BODY if LARGE_PATH in head else targets.BODY
+                body = BODY if LARGE_PATH in head else support.BODY
                 writer.write(_head(head, body) + body)
                 await writer.drain()
         writer.close()
@@ -56,11 +56,11 @@
 
 def _head(request, body):
     fields = dict(line.split(': ', 1) for line in request.split('\r\n')[1:-2])
-    name = fields[names.HEADERS.attempt_id]
+    attempt_id = fields[names.HEADERS.attempt_id]
     lines = (
         'HTTP/1.1 200 OK',
-        f'{names.HEADERS.attempt_id}: {name}',
-        f'{names.HEADERS.signature}: proof-of-{name}',
+        f'{names.HEADERS.attempt_id}: {attempt_id}',
+        f'{names.HEADERS.signature}: proof-of-{attempt_id}',
         f'Content-Length: {len(body)}',
         '',
         '',
@@ -69,33 +69,35 @@
 
 
 def resident_mb(process, field):
-    """Return a figure of the process, in MB, from the system's page on it."""
-    lines = pathlib.Path(f'/proc/{process.pid}/status').read_text()
-    found = next(one for one in lines.splitlines() if one.startswith(field))
-    return int(found.split()[1]) / 1000
+    """Return a memory field of ``/proc/<pid>/status`` in MB."""
+    text = pathlib.Path(f'/proc/{process.pid}/status').read_text()
+    line = next(line for line in text.splitlines() if line.startswith(field))
+    return int(line.split()[1]) / 1000
 
 
 @pytest.fixture
 async def instance(tmp_path, standin):
     target = Target()
     await target.start()
-    standin.put('op/config', given.configuration())
+    standin.put('op/config', store_standin.configuration())
     standin.put(
         'servers/i-1',
-        given.worker(address=f'127.0.0.1:{target.port}', slots=CALLERS + 50),
+        store_standin.worker(
+            address=f'127.0.0.1:{target.port}', slots=CALLERS + 50
+        ),
     )
-    made = instance_process.Instance(tmp_path, 'edge-1', standin.address)
-    await made.start()
-    await made.until_ready()
-    yield made
-    made.process.kill()
-    await made.process.communicate()
+    running = instance_process.Instance(tmp_path, 'edge-1', standin.address)
+    await running.start()
+    await running.until_ready()
+    yield running
+    running.process.kill()
+    await running.process.communicate()
     target.server.close()
 
 
 async def read_slowly(instance, number):
-    await asyncio.sleep(number * APART_S)
-    reader, writer = await instance.ask(LARGE_PATH, f'id-{number}')
+    await asyncio.sleep(number * START_INTERVAL_S)
+    reader, writer = await instance.send_request(LARGE_PATH, f'id-{number}')
     head = await reader.readuntil(b'\r\n\r\n')
     assert head.startswith(b'HTTP/1.1 200')
     left = len(BODY)
@@ -105,34 +107,34 @@
     writer.close()
 
 
-async def ask_small(instance, number):
-    """Return how long a small answer took, in ms."""
-    began_s = time.monotonic()
-    reader, writer = await instance.ask(SMALL_PATH, f'small-{number}')
-    status, _, _ = await targets.read_answer(reader)
+async def request_small(instance, number):
+    """Request a small answer and return its duration in ms."""
+    started_s = time.monotonic()
+    reader, writer = await instance.send_request(SMALL_PATH, f'small-{number}')
+    status, _, _ = await support.read_answer(reader)
     writer.close()
     assert status == 200
-    return (time.monotonic() - began_s) * 1000
+    return (time.monotonic() - started_s) * 1000
 
 
 async def test_slow_callers_of_large_answers_take_bounded_memory(instance):
     idle_mb = resident_mb(instance.process, 'VmRSS')
-    slow = [
+    slow_callers = [
         asyncio.ensure_future(read_slowly(instance, number))
         for number in range(CALLERS)
     ]
     small_ms = []
-    while not all(one.done() for one in slow):
-        small_ms.append(await ask_small(instance, len(small_ms)))
+    while not all(caller.done() for caller in slow_callers):
+        small_ms.append(await request_small(instance, len(small_ms)))
         await asyncio.sleep(1 / SMALL_PER_S)
-    for one in slow:
-        one.result()
-    most_mb = resident_mb(instance.process, 'VmHWM')
+    for caller in slow_callers:
+        caller.result()
+    peak_mb = resident_mb(instance.process, 'VmHWM')
     small_ms.sort()
     sys.stdout.write(
-        f'resident {idle_mb:.0f} MB idle, {most_mb:.0f} MB at most; small '
-        f'answers beside: p50 {small_ms[len(small_ms) // 2]:.1f} ms, '
+        f'resident {idle_mb:.0f} MB idle, {peak_mb:.0f} MB at most; '
+        f'concurrent small answers: p50 {small_ms[len(small_ms) // 2]:.1f} ms, '
         f'p99 {small_ms[int(len(small_ms) * 0.99)]:.1f} ms '
-        f'({len(small_ms)} asked)\n',
+        f'({len(small_ms)} requests)\n',
     )
-    assert most_mb <= MOST_RESIDENT_MB
+    assert peak_mb <= MAX_RESIDENT_MB
