--- a/libraries/workbench/src/sardinepier/workbench/bench/__init__.py
+++ b/libraries/workbench/src/sardinepier/workbench/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what one daemon adds to each request."""
+"""Measures the latency that one daemon adds to each request."""
--- a/libraries/workbench/src/sardinepier/workbench/bench/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/bench/command.py
@@ -1,7 +1,8 @@
 """The command ``sardinepier-workbench bench``.
 
-``scripts/bench.sh`` starts one target, a platform and one daemon, and calls
-it. All figures are of this machine at this moment; nothing passes or fails.
+``scripts/bench.sh`` starts one target, a platform and one daemon, and runs
+this command. The figures depend on the machine and its load; the benchmark
+has no pass or fail criterion.
 """
 
 import asyncio
@@ -42,7 +43,7 @@
     'target',
     'service',
 )
-"""Options that stay text even when they look like a number."""
+"""Options that fire must not parse as numbers."""
 
 
 def run(
@@ -55,11 +56,11 @@
     halvings: int = 3,
     json: bool = False,
 ) -> None:
-    """Measure what one daemon adds to a request, in paired runs.
+    """Measure the latency that one daemon adds to a request, in paired runs.
 
-    ``pairs`` slices of ``slice_s`` seconds run on each way at 100 requests a
-    second, with idempotent and with keyed requests; then the knee is
-    searched up to ``highest_per_s`` with ``halvings`` halvings of the gap. ``json``
+    ``pairs`` slices of ``slice_s`` seconds run on each path at 100 requests a
+    second, with idempotent and with keyed requests. Then the knee is searched
+    up to ``highest_per_s``, with ``halvings`` halvings of the gap. ``json``
     prints the raw figures.
     """
     bench = _Bench(
@@ -74,7 +75,7 @@
 
 
 def render(figures: BenchReport) -> str:
-    """Return the table for a person."""
+    """Return the figures as a text table."""
     lines = [
         'Added by one daemon, against going straight to the target (ms)',
         _HEADING,
@@ -129,7 +130,7 @@
         self._service = service
         self._plan = plan
         self._numbers = itertools.count()
-        self._run_tag = f'{random.SystemRandom().getrandbits(_TAG_BITS):x}'
+        self._tag_prefix = f'{random.SystemRandom().getrandbits(_TAG_BITS):x}'
         self._ticket = ''
 
     async def measure(
@@ -142,8 +143,10 @@
             connector=connector,
             timeout=_TIMEOUT,
         ) as session:
-            idempotent = self._pair(session, '/search', self._plain)
-            keyed = self._pair(session, '/deposits', self._keyed)
+            idempotent = self._pair(
+                session, '/search', self._idempotent_headers
+            )
+            keyed = self._pair(session, '/deposits', self._keyed_headers)
             base = await idempotent.measure(_BASE_RATE_PER_S)
             await self._renew_ticket(session)
             base_keyed = await keyed.measure(_BASE_RATE_PER_S)
@@ -160,7 +163,7 @@
         halvings: int,
     ) -> knee.Knee:
         self._plan = _SEARCH_PLAN
-        pair = self._pair(session, '/search', self._plain)
+        pair = self._pair(session, '/search', self._idempotent_headers)
         search = knee.KneeSearch(pair.measure, _LOWEST_PER_S, highest_per_s)
         return await search.run(_BASE_RATE_PER_S, halvings)
 
@@ -182,18 +185,18 @@
             clock.SystemClock(),
         )
 
-    def _plain(self) -> dict[str, str]:
-        return {target_answers.TAG_HEADER: self._tag()}
+    def _idempotent_headers(self) -> dict[str, str]:
+        return {target_answers.TAG_HEADER: self._next_tag()}
 
-    def _keyed(self) -> dict[str, str]:
-        tag = self._tag()
+    def _keyed_headers(self) -> dict[str, str]:
+        tag = self._next_tag()
         return {
             target_answers.TAG_HEADER: tag,
             target_answers.KEY_HEADER: f'{self._ticket}.{tag}',
         }
 
-    def _tag(self) -> str:
-        return f'{self._run_tag}-{next(self._numbers)}'
+    def _next_tag(self) -> str:
+        return f'{self._tag_prefix}-{next(self._numbers)}'
 
     async def _renew_ticket(self, session: aiohttp.ClientSession) -> None:
         async with session.get(
--- a/libraries/workbench/src/sardinepier/workbench/bench/knee.py
+++ b/libraries/workbench/src/sardinepier/workbench/bench/knee.py
@@ -1,4 +1,4 @@
-"""Finds the rate where the added 99th percentile passes the limit."""
+"""Finds the rate at which the added 99th percentile exceeds the limit."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -8,7 +8,7 @@
 from sardinepier.workbench.bench import paired
 
 ADDED_LIMIT_MS: Final = 2.9
-"""The time that a daemon may add to 99 of 100 requests."""
+"""The limit on the time that a daemon adds to the 99th percentile."""
 
 _FAILED_LIMIT_PERCENT: Final = 1.0
 
@@ -16,11 +16,11 @@
 
 
 class Knee(msgspec.Struct, frozen=True):
-    """The knee lies between two measured rates.
+    """The two measured rates around the knee.
 
     ``within`` is the highest measured rate within the limit and ``beyond``
-    the lowest one past it; either is None when no such rate was seen.
-    ``steps`` are all measurements in their order.
+    the lowest one above it; either is None if no such rate was measured.
+    ``steps`` has all measurements in their order.
     """
 
     within: paired.PairFigures | None
@@ -29,10 +29,11 @@
 
 
 class KneeSearch:
-    """Doubles or halves the rate past the knee, then halves the gap.
+    """Doubles or halves the rate until the knee is passed, then bisects.
 
-    A rate counts as past the knee only when two measurements say so: one
-    slow moment of a busy machine would otherwise end the search far too low.
+    A rate counts as above the knee only if two measurements exceed the limit:
+    otherwise one slow moment of a busy machine would end the search far too
+    low.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         lowest_per_s: float,
         highest_per_s: float,
     ) -> None:
-        """Search between the two rates."""
+        """Search between ``lowest_per_s`` and ``highest_per_s``."""
         self._measure = measure
         self._lowest_per_s = lowest_per_s
         self._highest_per_s = highest_per_s
@@ -50,10 +51,10 @@
         self._steps: list[paired.PairFigures] = []
 
     async def run(self, start_per_s: float, halvings: int) -> Knee:
-        """Return the knee after at most ``halvings`` halvings of the gap."""
+        """Return the knee, after at most ``halvings`` halvings of the gap."""
         rate_per_s = start_per_s
         while self._lowest_per_s <= rate_per_s <= self._highest_per_s:
-            await self._try(rate_per_s)
+            await self._measure_rate(rate_per_s)
             if self._within is not None and self._beyond is not None:
                 break
             rate_per_s *= 2 if self._beyond is None else 1 / 2
@@ -61,10 +62,10 @@
             if self._within is None or self._beyond is None:
                 break
             total_per_s = self._within.rate_per_s + self._beyond.rate_per_s
-            await self._try(round(total_per_s / 2))
+            await self._measure_rate(round(total_per_s / 2))
         return Knee(self._within, self._beyond, tuple(self._steps))
 
-    async def _try(self, rate_per_s: float) -> None:
+    async def _measure_rate(self, rate_per_s: float) -> None:
         for _ in range(2):
             figures = await self._measure(rate_per_s)
             self._steps.append(figures)
@@ -75,7 +76,7 @@
 
 
 def is_within(figures: paired.PairFigures) -> bool:
-    """Tell whether the daemon keeps up at this rate."""
+    """Return whether the daemon stays within the limits at this rate."""
     return (
         figures.added_p99_ms <= ADDED_LIMIT_MS
         and figures.failed_percent <= _FAILED_LIMIT_PERCENT
--- a/libraries/workbench/src/sardinepier/workbench/bench/paired.py
+++ b/libraries/workbench/src/sardinepier/workbench/bench/paired.py
@@ -1,9 +1,9 @@
-"""Times the same requests on two ways, in turns, at a fixed rate.
+"""Measures the same requests on two paths, alternately, at a fixed rate.
 
-Slices of both ways alternate, and the order within a pair swaps, so that a
-slow moment of the machine falls on both. At any moment only one way is
-loaded. Requests start when they are due, whether or not earlier ones were
-answered: a queue that builds up shows in the figures.
+Slices of both paths alternate, and the order swaps from pair to pair, so that
+a slow phase of the machine affects both. Only one path is loaded at a time.
+Requests start at their due time, whether or not earlier ones were answered,
+so that queueing shows in the figures.
 """
 
 import asyncio
@@ -18,19 +18,19 @@
 from sardinepier.workbench.traffic import report
 
 _MS_PER_S: Final = 1000.0
-_HUNDRED: Final = 100.0
-_IN_FLIGHT_LIMIT: Final = 1000
+_PERCENT: Final = 100.0
+_MAX_IN_FLIGHT: Final = 1000
 _WARM_UP_S: Final = 0.5
 
 Headers = Callable[[], dict[str, str]]
-"""Makes the headers of the next request."""
+"""Returns the headers of the next request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestPath:
-    """Where requests go, and the headers that they need there.
+    """A URL for requests, and their headers.
 
-    ``headers`` is called for each request, since a key is used only once.
+    ``headers`` is called for each request, as a key is used only once.
     """
 
     name: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """How long to measure. ``pairs`` slices of ``slice_s`` on each way."""
+    """The measuring plan: ``pairs`` slices of ``slice_s`` on each path."""
 
     pairs: int
     slice_s: float
@@ -48,8 +48,8 @@
 
 
 class PathFigures(msgspec.Struct, frozen=True):
-    """What one way took. ``late`` is how far behind its due time a request
-    started: high values mean that the generator was the bottleneck.
+    """The figures of one path. ``late`` is the delay of a request's start after
+    its due time: high values mean that the generator was the bottleneck.
     """
 
     latency: report.Latency
@@ -59,7 +59,7 @@
 
 
 class PairFigures(msgspec.Struct, frozen=True):
-    """Both ways at one rate, and what the second adds to the first."""
+    """Both paths at one rate, and the latency that the daemon adds."""
 
     rate_per_s: float
     direct: PathFigures
@@ -78,9 +78,9 @@
     @property
     def failed_percent(self) -> float:
         """The share of requests through the daemon without a good answer."""
-        bad = self.through.failed + self.through.not_sent
-        total = bad + self.through.latency.count
-        return _HUNDRED * bad / max(1, total)
+        failed = self.through.failed + self.through.not_sent
+        total = failed + self.through.latency.count
+        return _PERCENT * failed / max(1, total)
 
 
 @dataclasses.dataclass(slots=True)
@@ -100,7 +100,7 @@
 
 
 class PairedRun:
-    """Measures two ways with one session."""
+    """Measures two paths with one session."""
 
     def __init__(
         self,
@@ -118,22 +118,22 @@
         self._clock = time_source
 
     async def measure(self, rate_per_s: float) -> PairFigures:
-        """Return the figures of both ways at ``rate_per_s``."""
+        """Return the figures of both paths at ``rate_per_s``."""
         direct, through = _Samples(), _Samples()
-        for way in (self._direct, self._through):
-            await self._play(way, rate_per_s, _WARM_UP_S, _Samples())
+        for path in (self._direct, self._through):
+            await self._run_slice(path, rate_per_s, _WARM_UP_S, _Samples())
         for number in range(self._plan.pairs):
-            turns = [(self._direct, direct), (self._through, through)]
+            slices = [(self._direct, direct), (self._through, through)]
             if number % 2:
-                turns.reverse()
-            for way, samples in turns:
+                slices.reverse()
+            for path, samples in slices:
                 slice_s = self._plan.slice_s
-                await self._play(way, rate_per_s, slice_s, samples)
+                await self._run_slice(path, rate_per_s, slice_s, samples)
         return PairFigures(rate_per_s, direct.figures(), through.figures())
 
-    async def _play(
+    async def _run_slice(
         self,
-        way: RequestPath,
+        path: RequestPath,
         rate_per_s: float,
         slice_s: float,
         samples: _Samples,
@@ -146,30 +146,30 @@
                 left_s = due_s - self._clock.monotonic_s()
                 if left_s > 0:
                     await asyncio.sleep(left_s)
-                if len(in_flight) >= _IN_FLIGHT_LIMIT:
+                if len(in_flight) >= _MAX_IN_FLIGHT:
                     samples.not_sent += 1
                     continue
-                task = tasks.create_task(self._send(way, due_s, samples))
+                task = tasks.create_task(self._send(path, due_s, samples))
                 in_flight.add(task)
                 task.add_done_callback(in_flight.discard)
 
     async def _send(
-        self, way: RequestPath, due_s: float, samples: _Samples
+        self, path: RequestPath, due_s: float, samples: _Samples
     ) -> None:
         started_at_s = self._clock.monotonic_s()
         samples.late_ms.append((started_at_s - due_s) * _MS_PER_S)
-        if not await self._exchange(way):
+        if not await self._exchange(path):
             samples.failed += 1
             return
         took_s = self._clock.monotonic_s() - started_at_s
         samples.latencies_ms.append(took_s * _MS_PER_S)
 
-    async def _exchange(self, way: RequestPath) -> bool:
+    async def _exchange(self, path: RequestPath) -> bool:
         try:
             async with self._session.post(
-                way.url,
+                path.url,
                 data=self._plan.body,
-                headers=way.headers(),
+                headers=path.headers(),
             ) as answer:
                 await answer.read()
                 return answer.ok
--- a/libraries/workbench/src/sardinepier/workbench/load/__init__.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments with the policy under load, around the real routing library."""
+"""Simulates the routing policy under load, with the real routing library."""
--- a/libraries/workbench/src/sardinepier/workbench/load/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/command.py
@@ -1,4 +1,4 @@
-"""The load part of the experiment, as a command."""
+"""The command ``sardinepier-workbench experiment load``."""
 
 import pathlib
 import sys
@@ -18,27 +18,27 @@
 ) -> None:
     """Print the tables of the policy under load.
 
-    They come from simulated daemons and targets around the real routing
-    objects, the same for the same ``seed``; only the cost of a decision is
-    measured with the real clock. ``quick`` makes short runs, which show that
-    it works rather than figures to go by. With ``output_directory`` the
-    tables are also written to ``load.md`` there, and the figure to
-    ``load.png``.
+    They come from simulated daemons and targets with the real routing
+    objects, and are the same for the same ``seed``; only the cost of a
+    decision is measured with the real clock. ``quick`` makes short runs,
+    which test the command but give no reliable figures. With
+    ``output_directory`` the tables are also written to ``load.md`` there, and
+    the figure to ``load.png``.
     """
-    compared = comparisons.Comparisons(seed, quick)
-    happened = incidents.Incidents(seed, quick)
+    comparison_tables = comparisons.Comparisons(seed, quick)
+    incident_tables = incidents.Incidents(seed, quick)
     rendered: list[str] = []
-    for make in (
-        compared.sharing,
-        compared.policies,
-        compared.shapes,
-        happened.priorities,
-        happened.flood,
-        happened.storm,
-        happened.recovery,
+    for make_table in (
+        comparison_tables.sharing,
+        comparison_tables.policies,
+        comparison_tables.shapes,
+        incident_tables.priorities,
+        incident_tables.flood,
+        incident_tables.storm,
+        incident_tables.recovery,
         cost.Cost(seed, quick).table,
     ):
-        text = f'{make().render()}\n'
+        text = f'{make_table().render()}\n'
         sys.stdout.write(text)
         sys.stdout.flush()
         rendered.append(text)
--- a/libraries/workbench/src/sardinepier/workbench/load/comparisons.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/comparisons.py
@@ -1,4 +1,4 @@
-"""Comparisons of ways to spread load, each a table."""
+"""Comparisons of ways to spread load, one table each."""
 
 import itertools
 from collections.abc import Mapping
@@ -49,7 +49,7 @@
         self._runs = runs.RunFactory(seed, quick)
 
     def policies(self) -> tables.Table:
-        """Compare the choosers, all with home slots and counts."""
+        """Compare the target choosers, all with home slots and counts."""
         return self._compare('Choice of target', _POLICIES, _STANDARD_LOADS)
 
     def sharing(self) -> tables.Table:
@@ -57,7 +57,7 @@
         return self._compare('Sharing the slots', _SHARING, _STANDARD_LOADS)
 
     def shapes(self) -> tables.Table:
-        """Vary the group, its traffic and what it hears."""
+        """Vary the group, its traffic and the reports that daemons receive."""
         return self._compare('Groups and disturbances', _SHAPES, _SHAPE_LOADS)
 
     def _compare(
--- a/libraries/workbench/src/sardinepier/workbench/load/cost.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/cost.py
@@ -1,4 +1,4 @@
-"""What one decision costs, and how that grows."""
+"""Measures the time and memory of one decision, by problem size."""
 
 import functools
 import gc
@@ -26,39 +26,45 @@
 _CALLERS: Final = (10, 1000, 10_000, 150_000)
 _WAITERS: Final = (10, 100, 1000)
 _SLOTS: Final = 3
-_ONE: Final = (1,)
+_SINGLE: Final = (1,)
 _PRIORITIES: Final = 3
 _CALLS: Final = 20_000
 _QUICK_CALLS: Final = 200
-_LONG_S: Final = 1000
-_MANY: Final = 10_000_000
-_KEPT_NAMES: Final = 1000
+_LONG_TIME_S: Final = 1000
+_BURST_REQUESTS: Final = 10_000_000
+_SAMPLED_CALLERS: Final = 1000
 
-_Act = Callable[[], None]
+_Operation = Callable[[], None]
 
 _ZONE: Final = ids.ZoneName('z1')
 
 
 class Cost:
-    """Measures with the real clock, so its figures vary from run to run."""
+    """Measures with the real clock, so the figures vary from run to run."""
 
     def __init__(self, seed: int, quick: bool) -> None:
-        """Make fewer calls a measurement when ``quick``."""
+        """Make fewer calls per measurement if ``quick``."""
         self._random = random.Random(seed)
         self._calls = _QUICK_CALLS if quick else _CALLS
 
     def table(self) -> tables.Table:
-        """Return microseconds and bytes of each decision by size."""
+        """Return the microseconds and bytes of each decision by size."""
         return tables.Table(
             'Cost of a decision',
             ('decision', 'size', 'us a call', 'bytes kept', 'bytes added'),
             [
-                *self._rows('reserve and release', 'targets', _choose, _SIZES),
-                *self._rows('no slot free', 'targets', _find_none, _SIZES),
-                *self._rows('admit a caller', 'callers', _admit, _CALLERS),
-                *self._rows('enter and leave', 'waiting', _queue, _WAITERS),
-                *self._rows('retry budget', 'service', _retry, _ONE),
-                *self._rows('hedge delay', 'route', _hedge, _ONE),
+                *self._rows(
+                    'reserve and release', 'targets', _make_reserve, _SIZES
+                ),
+                *self._rows(
+                    'no slot free', 'targets', _make_reserve_when_full, _SIZES
+                ),
+                *self._rows('admit a caller', 'callers', _make_admit, _CALLERS),
+                *self._rows(
+                    'enter and leave', 'waiting', _make_pass_through, _WAITERS
+                ),
+                *self._rows('retry budget', 'service', _make_spend, _SINGLE),
+                *self._rows('hedge delay', 'route', _make_observe, _SINGLE),
             ],
         )
 
@@ -66,47 +72,51 @@
         self,
         decision: str,
         unit: str,
-        make: Callable[[int, random.Random], _Act],
+        make_operation: Callable[[int, random.Random], _Operation],
         sizes: Sequence[int],
     ) -> list[list[str]]:
         return [
-            [decision, f'{size} {unit}', *self._measure(make, size)]
+            [decision, f'{size} {unit}', *self._figures(make_operation, size)]
             for size in sizes
         ]
 
-    def _measure(
+    def _figures(
         self,
-        make: Callable[[int, random.Random], _Act],
+        make_operation: Callable[[int, random.Random], _Operation],
         size: int,
     ) -> list[str]:
         gc.collect()
         tracemalloc.start()
-        act = make(size, self._random)
+        operation = make_operation(size, self._random)
         kept = tracemalloc.get_traced_memory()[0]
-        self._repeat(act)
+        self._call_us(operation)
         settled = tracemalloc.get_traced_memory()[0]
-        self._repeat(act)
+        self._call_us(operation)
         added = tracemalloc.get_traced_memory()[0] - settled
         tracemalloc.stop()
-        best_us = min(self._repeat(act) for _ in range(_ROUNDS))
+        best_us = min(self._call_us(operation) for _ in range(_ROUNDS))
         return [f'{best_us:.2f}', f'{kept}', f'{added}']
 
-    def _repeat(self, act: _Act) -> float:
-        """Return the microseconds a call."""
+    def _call_us(self, operation: _Operation) -> float:
+        """Return the microseconds per call."""
         started_ns = time.perf_counter_ns()
         for _ in range(self._calls):
-            act()
+            operation()
         elapsed_ns = time.perf_counter_ns() - started_ns
         return elapsed_ns / self._calls / _NS_PER_US
 
 
-def _choose(size: int, random_source: random.Random) -> _Act:
+def _make_reserve(size: int, random_source: random.Random) -> _Operation:
     chooser = choice.LeastLoadedOfTwo(random_source)
-    return functools.partial(_reserve, _slots(size, random_source), chooser)
+    return functools.partial(
+        _reserve, _make_slots(size, random_source), chooser
+    )
 
 
-def _find_none(size: int, random_source: random.Random) -> _Act:
-    slots = _slots(size, random_source)
+def _make_reserve_when_full(
+    size: int, random_source: random.Random
+) -> _Operation:
+    slots = _make_slots(size, random_source)
     chooser = choice.LeastLoadedOfTwo(random_source)
     for _ in range(size * _SLOTS):
         slots.reserve(chooser)
@@ -122,23 +132,23 @@
         slots.release(chosen)
 
 
-def _admit(size: int, random_source: random.Random) -> _Act:
-    # So slow and large that no bucket fills up or empties meanwhile.
+def _make_admit(size: int, random_source: random.Random) -> _Operation:
+    # At this rate and burst no bucket fills up or empties during a run.
     limits = caller_limits.CallerLimits(
         clock.SystemClock(),
-        rate_per_s=1 / _LONG_S,
-        burst=_MANY,
+        rate_per_s=1 / _LONG_TIME_S,
+        burst=_BURST_REQUESTS,
         capacity=size,
         random_source=random_source,
     )
     callers = [ids.CallerId(f'customer-{number}') for number in range(size)]
     for caller in callers:
         limits.admit(caller)
-    kept_names = callers[:_KEPT_NAMES]
-    return functools.partial(_admit_one, limits, kept_names, random_source)
+    sampled_callers = callers[:_SAMPLED_CALLERS]
+    return functools.partial(_admit, limits, sampled_callers, random_source)
 
 
-def _admit_one(
+def _admit(
     limits: caller_limits.CallerLimits,
     callers: Sequence[ids.CallerId],
     random_source: random.Random,
@@ -146,28 +156,28 @@
     limits.admit(random_source.choice(callers))
 
 
-def _queue(size: int, random_source: random.Random) -> _Act:
-    line = wait_queue.WaitQueue(
+def _make_pass_through(size: int, random_source: random.Random) -> _Operation:
+    queue = wait_queue.WaitQueue(
         clock.SystemClock(),
         size + 1,
         random_source,
     )
     for _ in range(size):
-        line.submit(_Waiter(random_source))
-    return functools.partial(_pass_through, line, random_source)
+        queue.submit(_Waiter(random_source))
+    return functools.partial(_pass_through, queue, random_source)
 
 
 def _pass_through(
-    line: wait_queue.WaitQueue,
+    queue: wait_queue.WaitQueue,
     random_source: random.Random,
 ) -> None:
     waiter = _Waiter(random_source)
-    line.submit(waiter)
-    line.remove(waiter)
+    queue.submit(waiter)
+    queue.remove(waiter)
 
 
-def _retry(size: int, random_source: random.Random) -> _Act:
-    # Neither matters to a budget; all measurements are made alike.
+def _make_spend(size: int, random_source: random.Random) -> _Operation:
+    # A budget depends on neither argument; all makers have one signature.
     retries = budget.RetryBudget(clock.SystemClock(), 10)
     return functools.partial(_spend, retries)
 
@@ -177,13 +187,13 @@
     retries.try_spend()
 
 
-def _hedge(_: int, random_source: random.Random) -> _Act:
+def _make_observe(_: int, random_source: random.Random) -> _Operation:
     delay = hedging.HedgeDelay()
     return functools.partial(_observe, delay, random_source)
 
 
 def _observe(delay: hedging.HedgeDelay, random_source: random.Random) -> None:
-    delay.observe(random_source.random() * _LONG_S)
+    delay.observe(random_source.random() * _LONG_TIME_S)
     delay.delay_ms()
 
 
@@ -191,8 +201,8 @@
     """A request that never gets a slot."""
 
     def __init__(self, random_source: random.Random) -> None:
-        """Draw a priority and a deadline far away."""
-        deadline_s = time.monotonic() + _LONG_S + random_source.random()
+        """Draw a priority and a deadline in the far future."""
+        deadline_s = time.monotonic() + _LONG_TIME_S + random_source.random()
         self.request = wait_queue.QueuedRequest(
             random_source.randrange(_PRIORITIES),
             deadline_s,
@@ -200,16 +210,18 @@
         )
 
     def choose(self) -> ids.TargetId | None:
-        """Find no slot."""
+        """Return no target."""
 
     def grant(self, target_id: ids.TargetId) -> None:
-        """Never called, as no slot is found."""
+        """Do nothing: no slot is ever granted."""
 
     def refuse(self, error: errors.RefusalError) -> None:
-        """Be dropped."""
+        """Do nothing: the request is dropped."""
 
 
-def _slots(size: int, random_source: random.Random) -> in_flight.TargetSlots:
+def _make_slots(
+    size: int, random_source: random.Random
+) -> in_flight.TargetSlots:
     slots = in_flight.TargetSlots(clock.SystemClock(), random_source)
     names = [ids.TargetId(f't{number}') for number in range(size)]
     slots.set_targets(
--- a/libraries/workbench/src/sardinepier/workbench/load/event_queue.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/event_queue.py
@@ -1,4 +1,4 @@
-"""Simulated time: events in order, and a clock that reads their time."""
+"""An event queue in simulated time, which also serves as a clock."""
 
 import heapq
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class EventQueue:
-    """Runs actions at their simulated time. It is itself the clock."""
+    """Runs actions at their simulated time, and is a clock of that time."""
 
     def __init__(self) -> None:
         """Start at 0 s without events."""
@@ -23,7 +23,7 @@
         return self._now_s
 
     def boot_s(self) -> float:
-        """Return the simulated time: nothing here is ever suspended."""
+        """Return the simulated time: the simulation is never suspended."""
         return self._now_s
 
     def wall_ms(self) -> int:
@@ -31,19 +31,19 @@
         return int(self._now_s * _MS_PER_S)
 
     def call_later(self, delay_s: float, action: Action) -> None:
-        """Run ``action`` in ``delay_s`` seconds of simulated time."""
+        """Run ``action`` after ``delay_s`` seconds of simulated time."""
         self.call_at(self._now_s + delay_s, action)
 
-    def call_at(self, moment_s: float, action: Action) -> None:
-        """Run ``action`` at ``moment_s``, or now if that is past."""
+    def call_at(self, time_s: float, action: Action) -> None:
+        """Run ``action`` at ``time_s``, or now if that is in the past."""
         self._added += 1
-        event = (max(moment_s, self._now_s), self._added, action)
+        event = (max(time_s, self._now_s), self._added, action)
         heapq.heappush(self._events, event)
 
     def run_until(self, end_s: float) -> None:
         """Run all events up to ``end_s`` and stop the clock there."""
         while self._events and self._events[0][0] <= end_s:
-            moment_s, _, action = heapq.heappop(self._events)
-            self._now_s = moment_s
+            time_s, _, action = heapq.heappop(self._events)
+            self._now_s = time_s
             action()
         self._now_s = end_s
--- a/libraries/workbench/src/sardinepier/workbench/load/incidents.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/incidents.py
@@ -1,4 +1,4 @@
-"""What load does when something is wrong, each a table."""
+"""Simulations of incidents under load, one table each."""
 
 import itertools
 from collections.abc import Sequence
@@ -19,13 +19,13 @@
 _STORM_PERCENT: Final = 50
 _NO_LIMIT: Final = 0
 _CALLER_LIMIT_PER_S: Final = 2
-_WITHOUT_BUDGET: Final = 100
+_UNLIMITED_BUDGET_PERCENT: Final = 100
 _RECOVERY_S: Final = 30
 _BEFORE_S: Final = (5, 20)
 _OVERLOAD_S: Final = (20, 40)
 _LOST_PERCENT: Final = 1
 _SLOW_FACTOR: Final = 1.5
-_IN_A_ROW: Final = 3
+_CONSECUTIVE_S: Final = 3
 
 _HIGH: Final = 0
 _NORMAL: Final = 1
@@ -45,15 +45,15 @@
     percent=_REPORT_PERCENT,
     deadline_ms=_REPORT_DEADLINE_MS,
 )
-_REPORT_ALIKE: Final = scenario.CallerClass(
+_REPORT_SAME_PRIORITY: Final = scenario.CallerClass(
     'overnight report',
     _HIGH,
     percent=_REPORT_PERCENT,
 )
-_OTHERS: Final = scenario.CallerClass(
+_NORMAL_CALLERS: Final = scenario.CallerClass(
     '100 others', _NORMAL, percent=_HALF_PERCENT
 )
-_FLOOD: Final = scenario.CallerClass(
+_FLOODING_CALLER: Final = scenario.CallerClass(
     'flooding caller',
     _NORMAL,
     percent=_HALF_PERCENT,
@@ -62,18 +62,18 @@
 
 
 class Incidents:
-    """Runs the incidents; each method returns its table."""
+    """Simulates the incidents; each method returns its table."""
 
     def __init__(self, seed: int, quick: bool) -> None:
         """Use ``seed`` for all runs; ``quick`` runs are shorter."""
         self._runs = runs.RunFactory(seed, quick)
 
     def priorities(self) -> tables.Table:
-        """Sign-offs beside overnight reports, with and without priority."""
+        """Mix sign-offs and overnight reports, with and without priority."""
         rows: list[list[str]] = []
         variants = {
             'by priority': (_SIGN_OFF, _REPORT),
-            'one priority and deadline': (_SIGN_OFF, _REPORT_ALIKE),
+            'one priority and deadline': (_SIGN_OFF, _REPORT_SAME_PRIORITY),
         }
         for load_percent, name in itertools.product(_LOADS, variants):
             classes = variants[name]
@@ -90,8 +90,8 @@
         )
 
     def flood(self) -> tables.Table:
-        """One caller sends 100 times its share beside 100 others at 70 %."""
-        both = (_OTHERS, _FLOOD)
+        """Add a caller with 100 times its share to 100 others at 70 % load."""
+        both = (_NORMAL_CALLERS, _FLOODING_CALLER)
         variants = {
             'no flood': (_NORMAL_PERCENT, both[:1], _NO_LIMIT),
             'flood, no limit': (_FLOOD_PERCENT, both, _NO_LIMIT),
@@ -117,8 +117,10 @@
         )
 
     def storm(self) -> tables.Table:
-        """Attempts a request while attempts fail, by budget and daemons."""
-        cases = itertools.product((50, 100), (9, 48), (10, _WITHOUT_BUDGET))
+        """Measure attempts per request while attempts fail."""
+        cases = itertools.product(
+            (50, 100), (9, 48), (10, _UNLIMITED_BUDGET_PERCENT)
+        )
         rows: list[list[str]] = []
         for failing_percent, daemons, budget_percent in cases:
             run = self._runs.run(
@@ -151,7 +153,7 @@
         )
 
     def recovery(self) -> tables.Table:
-        """Seconds until all is as before, after 20 s of 150 % load."""
+        """Measure the seconds until recovery after 20 s of 150 % load."""
         services = scenario.SERVICES[: 1 if self._runs.quick else None]
         cases = itertools.product(services, (3, 9))
         return tables.Table(
@@ -193,8 +195,12 @@
             f'{daemons}',
             f'{before.p99_ms:.0f}',
             f'{during.lost_percent:.1f}',
-            _first([one.lost_percent < _LOST_PERCENT for one in seconds]),
-            _first([one.p99_ms <= slow_ms for one in seconds]),
+            _first_stable_second(
+                [figures.lost_percent < _LOST_PERCENT for figures in seconds]
+            ),
+            _first_stable_second(
+                [figures.p99_ms <= slow_ms for figures in seconds]
+            ),
         ]
 
 
@@ -206,16 +212,16 @@
     return [
         [
             *labels,
-            one.name,
-            *tables.latency_cells(run.counts.of_class(one.name)),
+            caller_class.name,
+            *tables.latency_cells(run.counts.of_class(caller_class.name)),
         ]
-        for one in classes
+        for caller_class in classes
     ]
 
 
-def _first(fulfilled: Sequence[bool]) -> str:
-    """Return the first second from which on it holds for three in a row."""
+def _first_stable_second(fulfilled: Sequence[bool]) -> str:
+    """Return the first second of three in a row that fulfil the condition."""
     for second, _ in enumerate(fulfilled):
-        if all(fulfilled[second : second + _IN_A_ROW]):
+        if all(fulfilled[second : second + _CONSECUTIVE_S]):
             return f'{second}'
     return f'over {len(fulfilled)}'
--- a/libraries/workbench/src/sardinepier/workbench/load/plots.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/plots.py
@@ -1,4 +1,4 @@
-"""The figure of the load experiment."""
+"""The plot of the load experiment."""
 
 import pathlib
 from typing import Final
@@ -9,8 +9,8 @@
 from sardinepier.workbench.load import runs, scenario, tally
 
 _LOADS: Final = (30, 50, 70, 80, 90, 95, 100, 110, 130, 150)
-_FULL: Final = 100
-_WAYS: Final = (
+_FULL_PERCENT: Final = 100
+_SHARING_MODES: Final = (
     ('home slots and counts', True, True),
     ('counts only', True, False),
     ('neither', False, False),
@@ -18,22 +18,27 @@
 
 
 def draw(seed: int, path: pathlib.Path, *, quick: bool) -> None:
-    """Draw losses and p99 against load for the ways to share slots.
+    """Draw losses and p99 by load for each way to share the slots.
 
-    The same seed draws the same file, byte for byte.
+    The same seed gives the same file, byte for byte.
     """
     mpl.use('Agg')
-    maker = runs.RunFactory(seed, quick)
+    factory = runs.RunFactory(seed, quick)
     drawing = figure.Figure(figsize=(9, 4), layout='constrained')
     lost_axes, slow_axes = drawing.subplots(1, 2)
-    for name, pooled, home_slots in _WAYS:
-        figures = [_figures(maker, load, pooled, home_slots) for load in _LOADS]
-        lost = [one.lost_percent for one in figures]
-        slow = [one.p99_ms for one in figures]
-        lost_axes.plot(_LOADS, lost, marker='o', label=name)
-        slow_axes.plot(_LOADS, slow, marker='o', label=name)
-    least = [max(0, _FULL - _FULL * _FULL / load) for load in _LOADS]
-    lost_axes.plot(_LOADS, least, 'k:', label='least possible')
+    for name, pooled, home_slots in _SHARING_MODES:
+        figures = [
+            _figures(factory, load, pooled, home_slots) for load in _LOADS
+        ]
+        lost_percents = [step.lost_percent for step in figures]
+        p99_latencies_ms = [step.p99_ms for step in figures]
+        lost_axes.plot(_LOADS, lost_percents, marker='o', label=name)
+        slow_axes.plot(_LOADS, p99_latencies_ms, marker='o', label=name)
+    min_lost = [
+        max(0, _FULL_PERCENT - _FULL_PERCENT * _FULL_PERCENT / load)
+        for load in _LOADS
+    ]
+    lost_axes.plot(_LOADS, min_lost, 'k:', label='least possible')
     lost_axes.set(xlabel='load, % of slots', ylabel='requests lost, %')
     slow_axes.set(xlabel='load, % of slots', ylabel='p99 latency, ms')
     lost_axes.legend()
@@ -42,12 +47,12 @@
 
 
 def _figures(
-    maker: runs.RunFactory,
+    factory: runs.RunFactory,
     load_percent: float,
     pooled: bool,
     home_slots: bool,
 ) -> tally.Figures:
-    run = maker.run(
+    run = factory.run(
         scenario.SEARCH,
         load_percent,
         pooled=pooled,
--- a/libraries/workbench/src/sardinepier/workbench/load/runs.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/runs.py
@@ -1,4 +1,4 @@
-"""Runs of the load experiment that share a seed and a length."""
+"""Simulation runs with the same seed and duration."""
 
 import dataclasses
 from typing import Any, Final
@@ -10,7 +10,7 @@
 
 
 class RunFactory:
-    """Makes runs with one seed; short ones when quick."""
+    """Makes runs with one seed; they are short if ``quick``."""
 
     def __init__(self, seed: int, quick: bool) -> None:
         """Use ``seed`` for all runs."""
@@ -25,9 +25,9 @@
         failing_percent: float = 0,
         **options: Any,
     ) -> simulation.Simulation:
-        """Run one phase of that load; ``options`` change the scenario."""
+        """Run one phase at that load; ``options`` override scenario fields."""
         phase = scenario.Phase(self._length_s, load_percent, failing_percent)
-        plain = scenario.Scenario(service, (phase,), seed=self.seed)
-        run = simulation.Simulation(dataclasses.replace(plain, **options))
+        baseline = scenario.Scenario(service, (phase,), seed=self.seed)
+        run = simulation.Simulation(dataclasses.replace(baseline, **options))
         run.run()
         return run
--- a/libraries/workbench/src/sardinepier/workbench/load/scenario.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/scenario.py
@@ -1,4 +1,4 @@
-"""What one run of the load experiment simulates."""
+"""Scenarios of the load experiment."""
 
 import dataclasses
 import enum
@@ -21,10 +21,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """A service at one deployment's size.
+    """A service, at the size of one deployment.
 
-    ``zone_latency_ms`` is one way between two zones; within a zone it is a
-    tenth of that. Service times are exponential with the given mean.
+    ``zone_latency_ms`` is the one-way latency between two zones; within a zone
+    it is a tenth of that. Service times are exponential with the given mean.
     """
 
     name: str
@@ -39,12 +39,12 @@
         return self.targets * self.slots
 
     def requests_per_s(self, load_percent: float) -> float:
-        """Return the arrival rate that asks for that part of the slots."""
+        """Return the arrival rate that uses that share of the slots."""
         return load_percent * 10 * self.slots_total / self.service_ms
 
 
-# Targets and slots as the deployments have them; the service times are
-# assumed, between 20 ms and 200 ms.
+# Targets and slots are those of the deployments; the service times are assumed
+# to be between 20 ms and 200 ms.
 SEARCH: Final = Service(
     'Red Tesis search',
     targets=6,
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerClass:
-    """A kind of request and its part of the arrivals, in percent."""
+    """A class of requests, with its share of the arrivals in percent."""
 
     name: str
     priority: int
@@ -104,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Phase:
-    """A stretch of time with one load and one rate of failing attempts."""
+    """A period with a constant load and a constant rate of failing attempts."""
 
     duration_s: float
     load_percent: float
@@ -113,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """One run: a service, its daemons, what arrives and how they decide."""
+    """One run: a service, its daemons, their policy and the arrivals."""
 
     service: Service
     phases: tuple[Phase, ...]
@@ -135,5 +135,5 @@
 
     @property
     def duration_s(self) -> float:
-        """Return how long requests arrive."""
+        """Return the time in which requests arrive, in seconds."""
         return sum(phase.duration_s for phase in self.phases)
--- a/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulated_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon's path of a request, over the real routing objects."""
+"""The request path of a simulated daemon, with the real routing objects."""
 
 import dataclasses
 import random
@@ -23,13 +23,13 @@
 
 _MS_PER_S: Final = 1000
 _RECHECK_S: Final = 0.05
-_LOCAL_PART: Final = 0.1
+_IN_ZONE_LATENCY_SHARE: Final = 0.1
 _CALLER_CAPACITY: Final = 200_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A request as it comes to a daemon."""
+    """A request that arrives at a daemon."""
 
     caller_class: scenario.CallerClass
     caller: ids.CallerId
@@ -39,7 +39,7 @@
 
     @property
     def deadline_s(self) -> float:
-        """Return the simulated time by which the answer must be there."""
+        """Return the simulated time by which the answer must arrive."""
         return self.arrived_s + self.caller_class.deadline_ms / _MS_PER_S
 
 
@@ -55,7 +55,7 @@
         counts: tally.Tally,
         random_source: random.Random,
     ) -> None:
-        """Know all targets, each with its full weight."""
+        """Start with all targets, each with its full weight unless ejected."""
         self.zone = zone
         self.events = events
         self.slots = in_flight.TargetSlots(
@@ -74,32 +74,32 @@
         self._targets = targets
         self._counts = counts
         self._limits = self._caller_limits(random_source)
-        self._rechecking = False
-        self._learn_targets()
+        self._is_recheck_scheduled = False
+        self._set_targets()
 
     def receive(self, arrival: Arrival) -> None:
-        """Take in a new request."""
+        """Admit and enqueue a new request."""
         self.retries.record_request()
         try:
             self._admit(arrival)
         except errors.CallerLimitError:
-            self.end(arrival, tally.End.LIMITED)
+            self.end(arrival, tally.Outcome.LIMITED)
             return
         self.enqueue(arrival)
 
     def enqueue(self, arrival: Arrival, *, is_retry: bool = False) -> None:
-        """Let a request wait for a slot, the first or a further time."""
+        """Queue a request for a slot, for its first or a further attempt."""
         waiter = _Waiter(self, arrival, is_retry)
         self.wait_queue.submit(waiter)
         if len(self.wait_queue):
-            self._start_rechecking()
+            self._schedule_recheck()
             self.events.call_at(
                 self.wait_queue.latest_start_s(waiter.request),
                 self.wait_queue.dispatch,
             )
 
     def send(self, arrival: Arrival, target_id: ids.TargetId) -> None:
-        """Send a request to the target at which a slot is reserved."""
+        """Send a request to the target that has a slot reserved for it."""
         target = self._targets[target_id]
         latency_s = self._latency_s(target)
 
@@ -118,12 +118,12 @@
             ),
         )
 
-    def end(self, arrival: Arrival, end: tally.End) -> None:
-        """Count the end of a request."""
+    def end(self, arrival: Arrival, outcome: tally.Outcome) -> None:
+        """Count the outcome of a request."""
         latency_s = self.events.monotonic_s() - arrival.arrived_s
         name = arrival.caller_class.name
         self._counts.add(
-            tally.Ended(name, arrival.arrived_s, latency_s, end),
+            tally.EndedRequest(name, arrival.arrived_s, latency_s, outcome),
         )
 
     def _answered(
@@ -138,54 +138,54 @@
             self._finish(arrival)
         else:
             self.slots.shed(target_id)
-            self._send_again(arrival)
+            self._requeue_shed(arrival)
         self.wait_queue.dispatch()
 
     def _finish(self, arrival: Arrival) -> None:
         if self.events.monotonic_s() > arrival.deadline_s:
-            self.end(arrival, tally.End.TIMED_OUT)
+            self.end(arrival, tally.Outcome.TIMED_OUT)
             return
         self.wait_queue.observe_service_time(arrival.service_s)
         if arrival.fails():
-            self._retry(arrival, tally.End.FAILED)
+            self._retry(arrival, tally.Outcome.FAILED)
         else:
-            self.end(arrival, tally.End.COMPLETED)
+            self.end(arrival, tally.Outcome.COMPLETED)
 
-    def _send_again(self, arrival: Arrival) -> None:
-        """Let a shed request wait, also while the budget is empty."""
+    def _requeue_shed(self, arrival: Arrival) -> None:
+        """Queue a shed request again, even while the retry budget is empty."""
         if self._setup.shed_waits:
             self.enqueue(arrival, is_retry=True)
         else:
-            self._retry(arrival, tally.End.SHED)
+            self._retry(arrival, tally.Outcome.SHED)
 
-    def _retry(self, arrival: Arrival, otherwise: tally.End) -> None:
+    def _retry(self, arrival: Arrival, outcome: tally.Outcome) -> None:
         if self.retries.can_spend():
             self.enqueue(arrival, is_retry=True)
         else:
-            self.end(arrival, otherwise)
+            self.end(arrival, outcome)
 
     def _admit(self, arrival: Arrival) -> None:
         if self._limits is not None:
             self._limits.admit(arrival.caller)
 
-    def _start_rechecking(self) -> None:
-        if not self._rechecking:
-            self._rechecking = True
+    def _schedule_recheck(self) -> None:
+        if not self._is_recheck_scheduled:
+            self._is_recheck_scheduled = True
             self.events.call_later(_RECHECK_S, self._recheck)
 
     def _recheck(self) -> None:
-        self._rechecking = False
+        self._is_recheck_scheduled = False
         self.wait_queue.dispatch()
         if len(self.wait_queue):
-            self._start_rechecking()
+            self._schedule_recheck()
 
     def _latency_s(self, target: simulated_target.SimulatedTarget) -> float:
         latency_s = self._setup.service.zone_latency_ms / _MS_PER_S
         if target.zone == self.zone:
-            return latency_s * _LOCAL_PART
+            return latency_s * _IN_ZONE_LATENCY_SHARE
         return latency_s
 
-    def _learn_targets(self) -> None:
+    def _set_targets(self) -> None:
         self.slots.set_targets(
             in_flight.TargetCapacity(target_id, target.zone, target.slots)
             for target_id, target in self._targets.items()
@@ -237,7 +237,7 @@
 
 
 class _Waiter:
-    """A simulated request in the line."""
+    """A simulated request in the wait queue."""
 
     def __init__(
         self,
@@ -245,7 +245,7 @@
         arrival: Arrival,
         is_retry: bool,
     ) -> None:
-        """Wait at ``daemon``."""
+        """Wait in the queue of ``daemon``."""
         self.request = wait_queue.QueuedRequest(
             arrival.caller_class.priority,
             arrival.deadline_s,
@@ -256,7 +256,7 @@
         self._is_retry = is_retry
 
     def choose(self) -> ids.TargetId | None:
-        """Reserve a slot; a further attempt also needs the budget for it."""
+        """Reserve a slot; a retry also spends the retry budget."""
         if self._is_retry and not self._daemon.retries.can_spend():
             return None
         target_id = self._daemon.slots.reserve(self._daemon.chooser)
@@ -270,14 +270,20 @@
 
     def refuse(self, error: errors.RefusalError) -> None:
         """End the request without sending it."""
-        end = tally.End.QUEUE_FULL
+        outcome = tally.Outcome.QUEUE_FULL
         if isinstance(error, errors.QueueDeadlineError):
-            end = tally.End.TOO_LATE
-        self._daemon.end(self._arrival, end)
+            outcome = tally.Outcome.TOO_LATE
+        self._daemon.end(self._arrival, outcome)
 
 
 def _rate_ratio(service: scenario.Service) -> float:
-    """Return the paper's alpha / gamma: how much slower another zone is."""
-    local_ms = service.service_ms + 2 * _LOCAL_PART * service.zone_latency_ms
+    """Return the alpha / gamma of the local-first paper.
+
+    This is the time of a request to another zone, relative to a local one.
+    """
+    local_ms = (
+        service.service_ms
+        + 2 * _IN_ZONE_LATENCY_SHARE * service.zone_latency_ms
+    )
     remote_ms = service.service_ms + 2 * service.zone_latency_ms
     return remote_ms / local_ms
--- a/libraries/workbench/src/sardinepier/workbench/load/simulated_target.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulated_target.py
@@ -1,4 +1,4 @@
-"""A target with slots that sheds what it has no slot for."""
+"""A simulated target that sheds requests when all its slots are busy."""
 
 from collections.abc import Callable
 
@@ -31,7 +31,7 @@
         deadline_s: float,
         answer: Callable[[bool], None],
     ) -> None:
-        """Run a request or shed it; ``answer`` gets whether it ran.
+        """Run a request or shed it; ``answer`` gets whether the request ran.
 
         A request is cancelled at its deadline, which frees its slot.
         """
--- a/libraries/workbench/src/sardinepier/workbench/load/simulation.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/simulation.py
@@ -25,7 +25,7 @@
         self.counts = tally.Tally(setup.duration_s)
         self._setup = setup
         self._events = event_queue.EventQueue()
-        # Arrivals have a source of their own: all policies meet the same.
+        # A separate source, so that all policies get the same arrivals.
         self._arrivals = random.Random(setup.seed)
         self._random = random.Random(setup.seed + 1)
         self._targets = self._make_targets()
@@ -43,8 +43,8 @@
         self._failing_percent = 0.0
 
     def run(self) -> tally.Tally:
-        """Run all phases and let the last requests end."""
-        self._tell_groups()
+        """Run all phases, and then until the last requests have ended."""
+        self._set_groups()
         if self._setup.pooled:
             self._start_reports()
         start_s = 0.0
@@ -53,12 +53,14 @@
             self._failing_percent = phase.failing_percent
             self._arrive(phase, start_s + phase.duration_s)
             start_s += phase.duration_s
-        last_ms = max(one.deadline_ms for one in self._setup.classes)
+        last_ms = max(
+            caller_class.deadline_ms for caller_class in self._setup.classes
+        )
         self._events.run_until(start_s + last_ms / _MS_PER_S + _DRAIN_S)
         return self.counts
 
     def slot_use_percent(self) -> float:
-        """Return the part of all slots' time that ran requests."""
+        """Return the share of the time of all slots that was busy."""
         slots_s = self._setup.service.slots_total * self._setup.duration_s
         return _PERCENT * self.counts.busy_s / slots_s
 
@@ -77,13 +79,13 @@
             )
         return targets
 
-    def _tell_groups(self) -> None:
+    def _set_groups(self) -> None:
         if not (self._setup.pooled or self._setup.home_slots):
             return
         for name, daemon in self._daemons.items():
-            others = [other for other in self._daemons if other != name]
+            peers = [peer for peer in self._daemons if peer != name]
             own = name if self._setup.home_slots else None
-            daemon.slots.set_group(others, own)
+            daemon.slots.set_group(peers, own)
 
     def _start_reports(self) -> None:
         interval_s = self._setup.report_interval_ms / _MS_PER_S
@@ -98,8 +100,8 @@
         latency_s = self._setup.service.zone_latency_ms / _MS_PER_S
 
         def _deliver() -> None:  # noqa: WPS430 - an event's closure
-            for other, daemon in self._daemons.items():
-                if other != observer:
+            for receiver, daemon in self._daemons.items():
+                if receiver != observer:
                     daemon.slots.receive_report(observer, counts)
                     daemon.wait_queue.dispatch()
 
@@ -116,14 +118,14 @@
             return
 
         def _next() -> None:  # noqa: WPS430 - an event's closure
-            self._receive_one()
+            self._receive_request()
             self._arrive(phase, until_s)
 
         self._events.call_later(wait_s, _next)
 
-    def _receive_one(self) -> None:
+    def _receive_request(self) -> None:
         classes = self._setup.classes
-        weights = [one.percent for one in classes]
+        weights = [caller_class.percent for caller_class in classes]
         caller_class = self._arrivals.choices(classes, weights)[0]
         caller = self._arrivals.randrange(caller_class.callers)
         service_s = self._arrivals.expovariate(
--- a/libraries/workbench/src/sardinepier/workbench/load/tables.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the load experiment, in Markdown."""
+"""Markdown tables of the load experiment."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Table:
-    """A titled table of texts."""
+    """A table with a title."""
 
     title: str
     header: Sequence[str]
@@ -41,7 +41,9 @@
 def run_cells(run: simulation.Simulation) -> list[str]:
     """Return the figures of a whole run, for :data:`RUN_HEADER`."""
     ended = run.counts.ended
-    cut_off = sum(one.end is tally.End.TIMED_OUT for one in ended)
+    cut_off = sum(
+        request.outcome is tally.Outcome.TIMED_OUT for request in ended
+    )
     return [
         *latency_cells(ended),
         f'{run.slot_use_percent():.1f}',
@@ -51,7 +53,7 @@
     ]
 
 
-def latency_cells(ended: list[tally.Ended]) -> list[str]:
+def latency_cells(ended: list[tally.EndedRequest]) -> list[str]:
     """Return lost percent, p50 and p99 of some requests."""
     figures = tally.figures(ended)
     return [
--- a/libraries/workbench/src/sardinepier/workbench/load/tally.py
+++ b/libraries/workbench/src/sardinepier/workbench/load/tally.py
@@ -1,4 +1,4 @@
-"""Counts what happened to the requests of one run."""
+"""Counts the outcomes of the requests of one run."""
 
 import collections
 import dataclasses
@@ -11,7 +11,7 @@
 _MS_PER_S: Final = 1000
 
 
-class End(enum.Enum):
+class Outcome(enum.Enum):
     """How a request ended."""
 
     COMPLETED = 'completed'
@@ -24,18 +24,18 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
-    """One request's end: its class, when it came and how long it took."""
+class EndedRequest:
+    """A request that has ended, with its arrival time and its latency."""
 
     class_name: str
     arrived_s: float
     latency_s: float
-    end: End
+    outcome: Outcome
 
 
 @dataclasses.dataclass(frozen=True)
 class Figures:
-    """Figures of some ended requests. Latencies are of completed ones."""
+    """Figures of some ended requests; the latencies are of completed ones."""
 
     requests: int
     lost_percent: float
@@ -44,44 +44,54 @@
 
 
 class Tally:
-    """All ends and attempts of one run."""
+    """All ended requests and attempts of one run."""
 
     def __init__(self, until_s: float) -> None:
-        """Start with nothing counted; slots are watched ``until_s``."""
+        """Start empty; slot use is counted up to ``until_s``."""
         self.until_s = until_s
-        self.ended: list[Ended] = []
+        self.ended: list[EndedRequest] = []
         self.attempts = 0
         self.sheds = 0
         self.busy_s = 0.0
 
     def add_busy(self, from_s: float, until_s: float) -> None:
-        """Count a slot's use, as far as it lies in the watched time."""
+        """Count the use of a slot, up to the end of the counted time."""
         self.busy_s += max(0, min(until_s, self.until_s) - from_s)
 
-    def add(self, ended: Ended) -> None:
-        """Count the end of a request."""
+    def add(self, ended: EndedRequest) -> None:
+        """Record a request that has ended."""
         self.ended.append(ended)
 
-    def between(self, from_s: float, until_s: float) -> list[Ended]:
-        """Return the requests that arrived in that stretch of time."""
-        return [one for one in self.ended if from_s <= one.arrived_s < until_s]
+    def between(self, from_s: float, until_s: float) -> list[EndedRequest]:
+        """Return the requests that arrived in that period."""
+        return [
+            request
+            for request in self.ended
+            if from_s <= request.arrived_s < until_s
+        ]
 
-    def of_class(self, class_name: str) -> list[Ended]:
+    def of_class(self, class_name: str) -> list[EndedRequest]:
         """Return the requests of one class."""
-        return [one for one in self.ended if one.class_name == class_name]
+        return [
+            request
+            for request in self.ended
+            if request.class_name == class_name
+        ]
 
     def amplification(self) -> float:
-        """Return the attempts for each request."""
+        """Return the attempts per request."""
         return self.attempts / max(1, len(self.ended))
 
 
-def figures(ended: list[Ended]) -> Figures:
-    """Work out the figures of ``ended``; latencies are NaN without any."""
-    counts = collections.Counter(one.end for one in ended)
+def figures(ended: list[EndedRequest]) -> Figures:
+    """Return the figures of ``ended``; latencies are NaN if none completed."""
+    counts = collections.Counter(request.outcome for request in ended)
     latencies_ms = [
-        one.latency_s * _MS_PER_S for one in ended if one.end is End.COMPLETED
+        request.latency_s * _MS_PER_S
+        for request in ended
+        if request.outcome is Outcome.COMPLETED
     ]
-    lost = len(ended) - counts[End.COMPLETED]
+    lost = len(ended) - counts[Outcome.COMPLETED]
     quantiles = np.percentile(latencies_ms or [float('nan')], [50, 99])
     return Figures(
         len(ended),
--- a/libraries/workbench/src/sardinepier/workbench/main.py
+++ b/libraries/workbench/src/sardinepier/workbench/main.py
@@ -15,12 +15,12 @@
 _HELP: Final = '--help'
 
 _SUBCOMMANDS: Final = {
-    ('traffic',): 'send bounded traffic and check what became of it',
+    ('traffic',): 'send bounded traffic and check the outcome of each request',
     ('bench',): 'measure the time that one daemon adds to a request',
-    ('faults',): 'drive the table of faults over real processes',
-    ('experiment', 'detection'): 'detection time against false ejections',
-    ('experiment', 'load'): 'ways to spread load',
-    ('policy',): 'play the decisions of entry instances in virtual time',
+    ('faults',): 'run the fault cases against real processes',
+    ('experiment', 'detection'): 'compare detection time and false ejections',
+    ('experiment', 'load'): 'compare ways to spread load',
+    ('policy',): 'emulate the decisions of entry instances in virtual time',
 }
 
 
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Run the command line; a typed error becomes one line and code 2."""
+    """Run the command line; a typed error prints one line and exits with 2."""
     arguments = sys.argv[1:]
     if not arguments or arguments[0] == _HELP:
         sys.stdout.write(f'{_usage()}\n')
@@ -48,31 +48,32 @@
         if tuple(arguments[: len(words)]) == words:
             remaining = list(arguments[len(words) :])
             if _HELP in remaining:
-                # A function that takes any option would take this one too;
-                # after the separator it reaches the library instead.
+                # A function with arbitrary options would get this one too;
+                # behind the separator, fire itself handles it.
                 remaining = ['--', _HELP]
             name = ' '.join((_PROGRAM, *words))
             fire.Fire(_load(words), command=remaining, name=name)
             return
     raise UnknownSubcommandError(
-        f'There is no subcommand {" ".join(arguments[:2])!r}',
-        f'Run {_PROGRAM} {_HELP} to see them',
+        f'Unknown subcommand {" ".join(arguments[:2])!r}',
+        f'Run {_PROGRAM} {_HELP} for a list of all subcommands',
     )
 
 
 def _load(words: Sequence[str]) -> Callable[..., None]:
     """Return the function of a subcommand.
 
-    Only the one that was asked for is imported. Some bring numpy and
-    matplotlib or the whole daemon, which would slow the start of all others,
-    and the demo starts this command several times.
+    Only the requested subcommand is imported: some import numpy, matplotlib
+    or the whole daemon, which would slow down the start of the others, and
+    the demo starts this command several times.
     """
     module = importlib.import_module(
         f'sardinepier.workbench.{words[-1]}.command',
     )
     run: Callable[..., None] = module.run
-    # The library would take a name like 5j for a number, and would list its
-    # own attribute in every help text, had it no underscore.
+    # Fire parses a name such as 5j as a number unless told otherwise. It lists
+    # its metadata attribute in every help text unless the name has an
+    # underscore.
     fire.decorators.FIRE_METADATA = '_fire_metadata'
     text_options = getattr(module, 'TEXT_OPTIONS', ())
     fire.decorators.SetParseFns(**dict.fromkeys(text_options, str))(run)
--- a/libraries/workbench/src/sardinepier/workbench/policy/__init__.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of entry instances, played in virtual time without sockets."""
+"""Emulates the decisions of entry instances in virtual time."""
--- a/libraries/workbench/src/sardinepier/workbench/policy/client.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/client.py
@@ -1,4 +1,4 @@
-"""The client of one emulated daemon: the wire is a delay."""
+"""The HTTP client of an emulated daemon: the network is a fixed delay."""
 
 import asyncio
 import dataclasses
@@ -15,8 +15,8 @@
 from sardinepier.workbench.policy import scenario, statement_compliance, targets
 
 WORK_HEADER: Final = 'X-Emulated-Work'
-"""Carries the seconds that the request takes, drawn by its caller, so that
-all variants meet the same work."""
+"""Carries the processing time of the request in seconds. The caller draws it,
+so that all variants get the same requests."""
 
 _NAMES: Final = header_names.HeaderNames()
 _BODY: Final = b'an answer'
@@ -24,20 +24,20 @@
 
 @dataclasses.dataclass(slots=True)
 class _Content:
-    """The body of an answer, which comes in one piece."""
+    """The body of an answer, read in one piece."""
 
-    left: bytes = _BODY
+    remaining: bytes = _BODY
 
     async def readany(self) -> bytes:
-        """Return what has come, nothing at its end."""
-        piece = self.left
-        self.left = b''
+        """Return the whole body, and no bytes at the end."""
+        piece = self.remaining
+        self.remaining = b''
         return piece
 
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """As much of an answer as the request path asks for."""
+    """The parts of an HTTP response that the request path uses."""
 
     status: int
     headers: multidict.CIMultiDictProxy[str]
@@ -49,21 +49,21 @@
 
 
 class EmulatedClient:
-    """Reaches emulated targets from one zone."""
+    """Sends the requests of one daemon to the emulated targets."""
 
     def __init__(
         self,
         setup: scenario.Scenario,
         own: members.Member,
-        found: Sequence[targets.Target],
-        watch: statement_compliance.StatementCompliance,
+        known_targets: Sequence[targets.Target],
+        compliance: statement_compliance.StatementCompliance,
     ) -> None:
-        """Reach the targets that were ``found``; ``watch`` sees all of it."""
+        """Send to ``known_targets``; ``compliance`` records every arrival."""
         self._setup = setup
         self._zone = own.zone
         self._source = str(own.instance_id)
-        self._watch = watch
-        self._by_ip = {target.listed.ip: target for target in found}
+        self._compliance = compliance
+        self._by_ip = {target.listed.ip: target for target in known_targets}
 
     async def close(self) -> None:
         """Do nothing: there is no connection."""
@@ -87,7 +87,7 @@
         await asyncio.sleep(delay_s)
         loop = asyncio.get_running_loop()
         target_id = target.listed.target_id
-        self._watch.record_arrival(target_id, self._source, loop.time())
+        self._compliance.record_arrival(target_id, self._source, loop.time())
         work_s = float(dict(headers)[WORK_HEADER])
         try:
             reply = await target.serve(work_s)
@@ -95,46 +95,48 @@
             await asyncio.sleep(delay_s)
             raise errors.ConnectionLostError(
                 'The target ended the connection without an answer',
-                'Find out whether the request ran before sending it anew',
+                'Find out whether the request ran before sending it again',
             ) from error
         await asyncio.sleep(delay_s)
-        self._note(target, reply, loop.time())
+        self._record_statements(target, reply, loop.time())
         return Response(reply.status, _headers(target, reply))
 
-    def _note(
+    def _record_statements(
         self,
         target: targets.Target,
         reply: targets.Reply,
         now_s: float,
     ) -> None:
-        """Let the watch know what this daemon is told."""
+        """Record what the target stated to this daemon."""
         target_id = target.listed.target_id
         source = self._source
         if target.limit_per_s is None:
-            self._watch.clear_limit(target_id)
+            self._compliance.clear_limit(target_id)
         else:
-            self._watch.record_limit(
+            self._compliance.record_limit(
                 target_id, source, now_s, target.limit_per_s
             )
         if target.is_leaving:
-            self._watch.record_leaving(target_id, source, now_s)
-        if reply.rest_s:
-            self._watch.record_backoff(target_id, source, now_s, reply.rest_s)
+            self._compliance.record_leaving(target_id, source, now_s)
+        if reply.retry_after_s:
+            self._compliance.record_backoff(
+                target_id, source, now_s, reply.retry_after_s
+            )
 
 
 def _headers(
     target: targets.Target,
     reply: targets.Reply,
 ) -> multidict.CIMultiDictProxy[str]:
-    found = multidict.CIMultiDict(
+    fields = multidict.CIMultiDict(
         {_NAMES.signature: 'emulated', _NAMES.load: reply.load},
     )
     if not reply.has_run:
-        found[_NAMES.not_run] = '1'
-    if reply.rest_s:
-        found[gateway_headers.RETRY_AFTER] = str(reply.rest_s)
+        fields[_NAMES.not_run] = '1'
+    if reply.retry_after_s:
+        fields[gateway_headers.RETRY_AFTER] = str(reply.retry_after_s)
     if target.is_leaving:
-        found[_NAMES.leaving] = '1'
+        fields[_NAMES.leaving] = '1'
     if target.limit_per_s is not None:
-        found[_NAMES.limit] = str(target.limit_per_s)
-    return multidict.CIMultiDictProxy(found)
+        fields[_NAMES.limit] = str(target.limit_per_s)
+    return multidict.CIMultiDictProxy(fields)
--- a/libraries/workbench/src/sardinepier/workbench/policy/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/command.py
@@ -1,4 +1,4 @@
-"""Play scenarios, and compare variants of the decision path on them."""
+"""Emulates scenarios, and compares variants of the decision path on them."""
 
 import math
 import statistics
@@ -16,7 +16,7 @@
 )
 
 TEXT_OPTIONS: Final = ('scenario_name', 'variant')
-_SIGMAS: Final = 1.96
+_CONFIDENCE_SIGMAS: Final = 1.96
 _ALL: Final = 'all'
 
 
@@ -25,62 +25,67 @@
     seeds: int = 3,
     variant: str = '',
 ) -> None:
-    """Print what callers get, and how a variant differs.
+    """Print the results that callers get, and how a variant differs.
 
-    ``scenario_name`` is a file, the name of a shipped scenario or ``all`` of
-    these. ``variant`` has figures to set, ``library.module.NAME=number`` with
-    commas between. Both are played with the same ``seeds``; the difference
-    is printed with the bounds of its 95 % confidence interval.
+    ``scenario_name`` is a file, the name of a shipped scenario, or ``all`` for
+    all shipped scenarios. ``variant`` lists constants to override, as
+    ``library.module.NAME=number`` separated by commas. Both variants run with
+    the same ``seeds``; the difference is printed with its 95 % confidence
+    interval.
     """
     logs.configure('error', '', stream=sys.stderr)
     names = [scenario_name]
     if scenario_name == _ALL:
         names = scenario.shipped_names()
-    changed = [one for one in variant.split(',') if one]
+    variant_overrides = [text for text in variant.split(',') if text]
     for name in names:
         setup = scenario.load(name)
-        plain = [emulation.emulate(setup, seed) for seed in range(seeds)]
-        sys.stdout.write(f'{name}: {_summary(plain)}\n')
-        if changed:
-            with overrides.applied(changed):
-                other = [
+        baseline = [emulation.emulate(setup, seed) for seed in range(seeds)]
+        sys.stdout.write(f'{name}: {_summary(baseline)}\n')
+        if variant_overrides:
+            with overrides.applied(variant_overrides):
+                varied = [
                     emulation.emulate(setup, seed) for seed in range(seeds)
                 ]
-            sys.stdout.write(f'{name}, changed: {_summary(other)}\n')
-            sys.stdout.write(f'{name}: {_difference(plain, other)}\n')
+            sys.stdout.write(f'{name}, changed: {_summary(varied)}\n')
+            sys.stdout.write(f'{name}: {_difference(baseline, varied)}\n')
         sys.stdout.flush()
 
 
-def _summary(played: Sequence[tally.Tally]) -> str:
+def _summary(tallies: Sequence[tally.Tally]) -> str:
     total = tally.Count()
-    for counts in played:
+    for counts in tallies:
         total.requests += counts.total.requests
         total.served += counts.total.served
         total.refused += counts.total.refused
-    worth = statistics.fmean(each.worth() for each in played)
+    worth = statistics.fmean(played.worth() for played in tallies)
     shares = {
-        name: statistics.fmean(each.by_class[name].share for each in played)
-        for name in played[0].by_class
+        name: statistics.fmean(
+            played.by_class[name].share for played in tallies
+        )
+        for name in tallies[0].by_class
     }
     classes = ' '.join(f'{name} {share:.3f}' for name, share in shares.items())
     return (
         f'worth {worth:.3f}, served {total.served / total.requests:.4f}, '
         f'refused {total.refused / total.requests:.4f}, '
         f'failed {total.failed / total.requests:.4f}; {classes}; '
-        f'{floor.summary([each.floor for each in played])}'
+        f'{floor.summary([played.floor for played in tallies])}'
     )
 
 
 def _difference(
-    plain: Sequence[tally.Tally],
-    other: Sequence[tally.Tally],
+    baseline: Sequence[tally.Tally],
+    varied: Sequence[tally.Tally],
 ) -> str:
     gains = [
         changed.worth() - before.worth()
-        for before, changed in zip(plain, other, strict=True)
+        for before, changed in zip(baseline, varied, strict=True)
     ]
     mean = statistics.fmean(gains)
     if len(gains) < 2:
         return f'the change is worth {mean:+.4f} (one seed)'
-    half = _SIGMAS * statistics.stdev(gains) / math.sqrt(len(gains))
-    return f'the change is worth {mean:+.4f} +- {half:.4f}'
+    half_width = (
+        _CONFIDENCE_SIGMAS * statistics.stdev(gains) / math.sqrt(len(gains))
+    )
+    return f'the change is worth {mean:+.4f} +- {half_width:.4f}'
--- a/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/daemons.py
@@ -1,4 +1,4 @@
-"""Emulated daemons: the real request path and the real sharing of a zone."""
+"""Emulated daemons, with the real request path and the real zone sharing."""
 
 import asyncio
 import ipaddress
@@ -38,51 +38,51 @@
 
 
 class FleetView:
-    """All daemons, as one of them sees them; they never change."""
+    """The member list of one daemon; it never changes."""
 
     version = 1
 
     def __init__(
         self,
-        known: Sequence[fleet.Member],
+        fleet_members: Sequence[fleet.Member],
         own: fleet.Member,
     ) -> None:
-        """Show ``known`` to ``own``."""
-        self._known = tuple(known)
+        """Give ``fleet_members`` as the members that ``own`` knows."""
+        self._members = tuple(fleet_members)
         self.own = own
 
     def members(self) -> tuple[fleet.Member, ...]:
         """Return all daemons."""
-        return self._known
+        return self._members
 
     def serving(self) -> tuple[fleet.Member, ...]:
         """Return all daemons."""
-        return self._known
+        return self._members
 
     def find(self, instance_id: ids.InstanceId) -> fleet.Member | None:
-        """Return the daemon of that name."""
-        for one in self._known:
-            if one.instance_id == instance_id:
-                return one
+        """Return the daemon with that instance id."""
+        for member in self._members:
+            if member.instance_id == instance_id:
+                return member
         return None
 
 
 class EmulatedDaemon:
-    """One start of a daemon that carries its zone."""
+    """One incarnation of a daemon that is a carrier of its zone."""
 
     def __init__(
         self,
         setup: scenario.Scenario,
         view: FleetView,
         hub: memory_network.MemoryHub,
-        found: Sequence[targets.Target],
+        emulated_targets: Sequence[targets.Target],
         random_source: random.Random,
-        watch: statement_compliance.StatementCompliance,
+        compliance: statement_compliance.StatementCompliance,
     ) -> None:
-        """Know all targets, and nothing of what they are like."""
+        """Start with the list of all targets and without any estimate."""
         clock = virtual_loop.VirtualClock(asyncio.get_running_loop())
         own = view.own
-        held = service_registry.ServiceRegistry(
+        services = service_registry.ServiceRegistry(
             own.zone,
             clock,
             random_source,
@@ -93,18 +93,20 @@
         self._sharing = sharing.ZoneSharing(
             hub.network(messages.Sender(own.instance_id, own.peer_address)),
             carriers.Carriers(view, clock),
-            held,
+            services,
             expired_entries.ExpiredEntryGuard(clock),
             zone_load.ZoneLoad(clock, activity),
             clock,
             random_source,
-            _ignore,
+            _ignore_configuration,
         )
-        held.on_outcome = self._outcome_seen
-        held.offer_targets(
-            model.TargetList(1, tuple(target.listed for target in found)),
+        services.on_outcome = self._on_outcome
+        services.offer_targets(
+            model.TargetList(
+                1, tuple(target.listed for target in emulated_targets)
+            ),
         )
-        held.set_retry_burst(setup.retry_burst)
+        services.set_retry_burst(setup.retry_burst)
         self._activity = activity
         self._forwarding = forwarding.Forwarding(
             context.EntryContext(
@@ -112,36 +114,38 @@
                 names=header_names.HeaderNames(),
                 client=cast(
                     Any,
-                    client.EmulatedClient(setup, own, found, watch),
+                    client.EmulatedClient(
+                        setup, own, emulated_targets, compliance
+                    ),
                 ),
-                services=held,
+                services=services,
                 quarantine=quarantine.Quarantine(clock),
                 activity=activity,
-                decision_log=decision_log.DecisionLog(held, clock),
+                decision_log=decision_log.DecisionLog(services, clock),
                 metrics=entry_metrics.RequestMetrics(),
                 buffer_budget=buffer_budget.BufferBudget(),
             ),
         )
-        self._beats = asyncio.ensure_future(self._sharing.run())
+        self._sharing_task = asyncio.ensure_future(self._sharing.run())
 
     async def forward(
-        self, item: caller_request.CallerRequest
+        self, request: caller_request.CallerRequest
     ) -> answers.Answer:
-        """Return a target's answer, or raise what the caller is told."""
+        """Return a target's answer, or raise the error that the caller gets."""
         with self._activity:
-            return await self._forwarding.forward(item)
+            return await self._forwarding.forward(request)
 
     def stop(self) -> None:
-        """Say nothing more to the others."""
-        self._beats.cancel()
+        """Stop sending updates to the other daemons."""
+        self._sharing_task.cancel()
 
-    def _outcome_seen(self, is_good: bool) -> None:
+    def _on_outcome(self, is_good: bool) -> None:
         if not is_good:
             self._sharing.request_early_beat()
 
 
 def member_of(number: int, zone: str) -> fleet.Member:
-    """Return a daemon of a zone; each has a number of its own."""
+    """Return a daemon of a zone; ``number`` is unique in the fleet."""
     ip = str(_FIRST_ADDRESS + number)
     return fleet.Member(
         instance_id=ids.InstanceId(f'{zone}~{number:016x}'),
@@ -157,5 +161,5 @@
     )
 
 
-def _ignore(taken: model.ServedConfiguration) -> None:
-    """Do nothing: configurations don't change here."""
+def _ignore_configuration(configuration: model.ServedConfiguration) -> None:
+    """Do nothing: the configuration of an emulation never changes."""
--- a/libraries/workbench/src/sardinepier/workbench/policy/emulation.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/emulation.py
@@ -1,4 +1,4 @@
-"""One emulated run: callers, daemons, targets and what disturbs them."""
+"""One emulated run of callers, daemons, targets and disturbances."""
 
 import asyncio
 import math
@@ -21,21 +21,23 @@
 )
 from sardinepier.zones import messages as zone_messages
 
-_GOOD: Final = 500
-_FAILED_PRICE: Final = 0.5
-"""Of the worth of a request that ended without any answer of a target."""
+_SERVER_ERROR: Final = 500
+_FAILED_PENALTY_SHARE: Final = 0.5
+"""Penalty of a request that ended without an answer, as a share of its worth."""
 
-_FREE_HOLD: Final = 0.125
-"""Part of the aim for which a request may be held and refused for nothing."""
+_FREE_HOLD_SHARE: Final = 0.125
+"""Share of the latency aim within which a refusal has no penalty."""
 
-_LONGEST_HOLD: Final = 0.75
-"""Part of its time from which a refusal costs the whole worth."""
+_MAX_HOLD_SHARE: Final = 0.75
+"""Share of the deadline from which a refusal costs the whole worth."""
 
-_FINGERPRINTS: Final = 1e12
+_FINGERPRINT_FACTOR: Final = 1e12
 
-_Harms = Mapping[scenario.DisturbanceKind, tuple[str, float | bool | None]]
+_TargetSettings = Mapping[
+    scenario.DisturbanceKind, tuple[str, float | bool | None]
+]
 
-_HARMS: Final[_Harms] = {
+_TARGET_SETTINGS: Final[_TargetSettings] = {
     scenario.DisturbanceKind.SHED: ('sheds', 0.0),
     scenario.DisturbanceKind.SLOW: ('slowness', 1.0),
     scenario.DisturbanceKind.CRASH: ('is_gone', False),
@@ -43,14 +45,14 @@
     scenario.DisturbanceKind.LEAVE: ('is_leaving', False),
     scenario.DisturbanceKind.REST: ('rest_s', 0.0),
 }
-"""What each trouble sets of a target, and what that is without it."""
+"""The attribute of a target that a disturbance sets, and its default."""
 
 
 class Emulation:
-    """One run of a scenario; arrivals and work are the same for a seed."""
+    """One run of a scenario; equal seeds give equal arrivals and work."""
 
     def __init__(self, setup: scenario.Scenario, seed: int) -> None:
-        """Prepare; must be made on a running virtual loop."""
+        """Prepare a run; needs a running virtual loop."""
         self.counts = tally.Tally()
         self._setup = setup
         self._loop = asyncio.get_running_loop()
@@ -65,50 +67,50 @@
         self._hub.faults = memory_network.LinkFaults(
             delay_s=setup.cross_zone_s,
         )
-        self._known = [
+        self._members = [
             daemons.member_of(number, zone)
             for number, zone in enumerate(setup.zones * setup.daemons_a_zone)
         ]
         self._daemons: dict[str, list[daemons.EmulatedDaemon]] = {}
-        self._starts = 0
-        self._drawn = random.Random(seed + 3)
-        self._is_down = False
-        self._eagerness = 1.0
+        self._incarnation = 0
+        self._random = random.Random(seed + 3)
+        self._are_daemons_down = False
+        self._arrival_factor = 1.0
         self._requests: set[asyncio.Task[None]] = set()
 
     async def run(self) -> tally.Tally:
-        """Play all of it and return what callers got."""
+        """Run the whole scenario and return the results of its callers."""
         self._start_daemons()
-        looks = asyncio.ensure_future(self._watch_floor())
+        floor_task = asyncio.ensure_future(self._watch_floor())
         async with asyncio.TaskGroup() as group:
             for disturbance in self._setup.disturbances:
                 group.create_task(self._disturb(disturbance))
-            for number, one in enumerate(self._setup.classes):
-                for place, zone in enumerate(self._setup.zones):
-                    seed = hash((self._seed, number, place))
+            for number, request_class in enumerate(self._setup.classes):
+                for zone_number, zone in enumerate(self._setup.zones):
+                    seed = hash((self._seed, number, zone_number))
                     group.create_task(
-                        self._arrive(one, zone, random.Random(seed)),
+                        self._arrive(request_class, zone, random.Random(seed)),
                     )
-        looks.cancel()
+        floor_task.cancel()
         await asyncio.gather(*self._requests)
         self._stop_daemons()
         return self.counts
 
     async def _watch_floor(self) -> None:
         while True:
-            if not self._is_down:
+            if not self._are_daemons_down:
                 self.counts.floor.sample(self._targets, self._loop.time())
             await asyncio.sleep(floor.INTERVAL_S)
 
     def _start_daemons(self) -> None:
-        self._is_down = False
-        self._starts += 1
+        self._are_daemons_down = False
+        self._incarnation += 1
         self._daemons = {zone: [] for zone in self._setup.zones}
-        for number, member in enumerate(self._known):
+        for number, member in enumerate(self._members):
             self._daemons[member.zone].append(
                 daemons.EmulatedDaemon(
                     self._setup,
-                    daemons.FleetView(self._known, member),
+                    daemons.FleetView(self._members, member),
                     self._hub,
                     self._targets,
                     random.Random(hash((self._seed, number))),
@@ -117,123 +119,137 @@
             )
 
     def _stop_daemons(self) -> None:
-        self._is_down = True
-        for of_zone in self._daemons.values():
-            for daemon in of_zone:
+        self._are_daemons_down = True
+        for zone_daemons in self._daemons.values():
+            for daemon in zone_daemons:
                 daemon.stop()
 
     async def _arrive(
         self,
-        one: scenario.RequestClass,
+        request_class: scenario.RequestClass,
         zone: str,
-        drawn: random.Random,
+        random_source: random.Random,
     ) -> None:
-        per_s = one.per_s / len(self._setup.zones)
-        mu = math.log(one.work_s) - one.spread**2 / 2
+        per_s = request_class.per_s / len(self._setup.zones)
+        mu = math.log(request_class.work_s) - request_class.spread**2 / 2
         while self._loop.time() < self._setup.duration_s:
-            gap_s = drawn.expovariate(per_s)
-            await asyncio.sleep(gap_s / self._eagerness)
-            work_s = drawn.lognormvariate(mu, one.spread)
-            task = asyncio.ensure_future(self._request(one, zone, work_s))
+            gap_s = random_source.expovariate(per_s)
+            await asyncio.sleep(gap_s / self._arrival_factor)
+            work_s = random_source.lognormvariate(mu, request_class.spread)
+            task = asyncio.ensure_future(
+                self._request(request_class, zone, work_s)
+            )
             self._requests.add(task)
             task.add_done_callback(self._requests.discard)
 
     async def _request(
         self,
-        one: scenario.RequestClass,
+        request_class: scenario.RequestClass,
         zone: str,
         work_s: float,
     ) -> None:
         sent_s = self._loop.time()
         credit = 0.0
-        price = 0.0
+        penalty = 0.0
         is_refused = False
-        daemon = self._drawn.choice(self._daemons[zone])
-        start = self._starts
-        if not self._is_down:
+        daemon = self._random.choice(self._daemons[zone])
+        incarnation = self._incarnation
+        if not self._are_daemons_down:
             try:
-                answer = await daemon.forward(_work(one, sent_s, work_s))
+                answer = await daemon.forward(
+                    _caller_request(request_class, sent_s, work_s)
+                )
             except core_errors.SardinepierError as error:
                 is_refused = isinstance(error, refusals.NotRunError)
                 held_s = self._loop.time() - sent_s
-                price = _price(one, held_s, is_refused=is_refused)
+                penalty = _penalty(request_class, held_s, is_refused=is_refused)
             else:
-                if answer.status < _GOOD and start == self._starts:
-                    is_late = self._loop.time() - sent_s > one.aim_s
-                    credit = one.late_worth if is_late else one.worth
+                if (
+                    answer.status < _SERVER_ERROR
+                    and incarnation == self._incarnation
+                ):
+                    is_late = self._loop.time() - sent_s > request_class.aim_s
+                    credit = (
+                        request_class.late_worth
+                        if is_late
+                        else request_class.worth
+                    )
         self.counts.add(
-            one.name,
+            request_class.name,
             sent_s,
-            tally.Earned(credit, one.worth, price, is_refused=is_refused),
+            tally.RequestScore(
+                credit, request_class.worth, penalty, is_refused=is_refused
+            ),
         )
 
-    async def _disturb(self, one: scenario.Disturbance) -> None:
-        await asyncio.sleep(one.at_s)
-        if one.kind is scenario.DisturbanceKind.RESTART:
+    async def _disturb(self, disturbance: scenario.Disturbance) -> None:
+        await asyncio.sleep(disturbance.at_s)
+        if disturbance.kind is scenario.DisturbanceKind.RESTART:
             self._stop_daemons()
-            await asyncio.sleep(one.for_s)
+            await asyncio.sleep(disturbance.for_s)
             self._start_daemons()
-        elif one.kind is scenario.DisturbanceKind.BURST:
-            self._eagerness = one.strength
-            await asyncio.sleep(one.for_s)
-            self._eagerness = 1.0
+        elif disturbance.kind is scenario.DisturbanceKind.BURST:
+            self._arrival_factor = disturbance.strength
+            await asyncio.sleep(disturbance.for_s)
+            self._arrival_factor = 1.0
         else:
-            await self._harm(one)
+            await self._disturb_targets(disturbance)
 
-    async def _harm(self, one: scenario.Disturbance) -> None:
-        of_service = [
+    async def _disturb_targets(self, disturbance: scenario.Disturbance) -> None:
+        service_targets = [
             target
             for target in self._targets
-            if target.listed.service == one.service
+            if target.listed.service == disturbance.service
         ]
-        harmed = of_service[:: max(1, round(1 / one.share))]
-        for target in harmed:
-            _set(target, one.kind, one.strength)
-        await asyncio.sleep(one.for_s)
-        for target in harmed:
-            _set(target, one.kind, None)
+        affected = service_targets[:: max(1, round(1 / disturbance.share))]
+        for target in affected:
+            _set_disturbance(target, disturbance.kind, disturbance.strength)
+        await asyncio.sleep(disturbance.for_s)
+        for target in affected:
+            _set_disturbance(target, disturbance.kind, None)
 
 
-def _price(
-    one: scenario.RequestClass,
+def _penalty(
+    request_class: scenario.RequestClass,
     held_s: float,
     *,
     is_refused: bool,
 ) -> float:
-    """Return what a request costs that got no answer of a target.
+    """Return the penalty of a request that got no answer from a target.
 
-    Its caller could have gone elsewhere the sooner, the sooner it was refused.
+    A refusal costs more the later it comes, as its caller could have used
+    another service in that time.
     """
     if not is_refused:
-        return _FAILED_PRICE * one.worth
-    free_s = _FREE_HOLD * one.aim_s
-    most_s = _LONGEST_HOLD * one.deadline_s
-    share = (held_s - free_s) / (most_s - free_s)
-    return one.worth * min(1.0, max(0.0, share))
+        return _FAILED_PENALTY_SHARE * request_class.worth
+    free_s = _FREE_HOLD_SHARE * request_class.aim_s
+    max_s = _MAX_HOLD_SHARE * request_class.deadline_s
+    share = (held_s - free_s) / (max_s - free_s)
+    return request_class.worth * min(1.0, max(0.0, share))
 
 
-def _set(
+def _set_disturbance(
     target: targets.Target,
     kind: scenario.DisturbanceKind,
     strength: float | None,
 ) -> None:
-    """Harm a target by ``strength``, or with None end the harm."""
-    name, unharmed = _HARMS[kind]
+    """Disturb a target by ``strength``; None ends the disturbance."""
+    name, default = _TARGET_SETTINGS[kind]
     if strength is None:
-        setattr(target, name, unharmed)
+        setattr(target, name, default)
     else:
-        setattr(target, name, True if unharmed is False else strength)
+        setattr(target, name, True if default is False else strength)
 
 
-def _work(
-    one: scenario.RequestClass,
+def _caller_request(
+    request_class: scenario.RequestClass,
     sent_s: float,
     work_s: float,
 ) -> caller_request.CallerRequest:
     kind = model.RouteKind.NON_IDEMPOTENT
-    if one.repeatable:
+    if request_class.repeatable:
         kind = model.RouteKind.IDEMPOTENT
-    service = ids.ServiceName(one.service)
+    service = ids.ServiceName(request_class.service)
     return caller_request.CallerRequest(
         request_id='',
         method='GET',
@@ -241,28 +257,29 @@
         headers=[(client.WORK_HEADER, str(work_s))],
         body=b'',
         route=model.Route(
-            name=ids.RouteName(one.name),
+            name=ids.RouteName(request_class.name),
             host='',
             prefix='/',
             kind=kind,
             shares=(model.ServiceShare(service, 1.0),),
-            timeout_s=one.deadline_s,
-            target_latency_s=one.aim_s,
-            priority=one.priority,
-            max_attempts=one.max_attempts,
+            timeout_s=request_class.deadline_s,
+            target_latency_s=request_class.aim_s,
+            priority=request_class.priority,
+            max_attempts=request_class.max_attempts,
         ),
         service=service,
         arrived_s=sent_s,
-        caller_deadline_s=sent_s + one.deadline_s,
-        deadline_s=sent_s + one.deadline_s,
-        # Each is a request of its own: none is taken for one that crashes.
-        fingerprint=int(work_s * _FINGERPRINTS),
-        priority=one.priority,
+        caller_deadline_s=sent_s + request_class.deadline_s,
+        deadline_s=sent_s + request_class.deadline_s,
+        # Unique per request, so that the quarantine never takes a request for
+        # a repetition of one that crashed targets.
+        fingerprint=int(work_s * _FINGERPRINT_FACTOR),
+        priority=request_class.priority,
     )
 
 
 def emulate(setup: scenario.Scenario, seed: int) -> tally.Tally:
-    """Play a scenario in virtual time and return what callers got."""
+    """Run a scenario in virtual time and return the results of its callers."""
     return virtual_loop.run(_emulate(setup, seed))
 
 
--- a/libraries/workbench/src/sardinepier/workbench/policy/overrides.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/overrides.py
@@ -1,7 +1,8 @@
-"""Figures of the decision path that are set otherwise for one run.
+"""Overrides constants of the decision path for one run.
 
-A mechanism is taken out by a figure that keeps it from ever acting, for
-example ``entry.exploration._SUSPECTED_IDLE_S=inf``. No production setting does that.
+To disable a mechanism, override a constant such that it never acts, for
+example ``entry.exploration._SUSPECTED_IDLE_S=inf``. No production setting
+does that.
 """
 
 import contextlib
@@ -15,33 +16,33 @@
 
 
 class OverrideError(errors.SardinepierError):
-    """An override names nothing, or gives no number."""
+    """An override names no existing constant, or its value is no number."""
 
 
 @contextlib.contextmanager
 def applied(overrides: Sequence[str]) -> Iterator[None]:
-    """Set each ``library.module.NAME=number`` within the context."""
+    """Apply each ``library.module.NAME=number`` within the context."""
     with contextlib.ExitStack() as stack:
-        for text in overrides:
-            stack.enter_context(_applied(text))
+        for override in overrides:
+            stack.enter_context(_applied(override))
         yield
 
 
 @contextlib.contextmanager
-def _applied(text: str) -> Iterator[None]:
-    place, _, number_text = text.partition('=')
-    path, _, name = place.rpartition('.')
+def _applied(override: str) -> Iterator[None]:
+    path, _, number_text = override.partition('=')
+    module_name, _, constant_name = path.rpartition('.')
     try:
-        module = importlib.import_module(f'{_ROOT}.{path}')
-        before = getattr(module, name)
+        module = importlib.import_module(f'{_ROOT}.{module_name}')
+        before = getattr(module, constant_name)
         number = type(before)(float(number_text))
     except (ImportError, AttributeError, ValueError) as error:
         raise OverrideError(
-            f'The override {text!r} can not be used: {error}',
+            f'The override {override!r} cannot be used: {error}',
             'Write it as library.module.NAME=number',
         ) from error
-    setattr(module, name, number)
+    setattr(module, constant_name, number)
     try:
         yield
     finally:
-        setattr(module, name, before)
+        setattr(module, constant_name, before)
--- a/libraries/workbench/src/sardinepier/workbench/policy/scenario.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/scenario.py
@@ -1,4 +1,4 @@
-"""What is emulated, as a checked TOML file."""
+"""Scenarios of the policy emulation, read from TOML files and checked."""
 
 import enum
 import pathlib
@@ -8,11 +8,11 @@
 from sardinepier.core import errors
 
 _SUFFIX = '.toml'
-_SHIPPED = pathlib.Path(__file__).parent / 'scenarios'
+_SHIPPED_DIRECTORY = pathlib.Path(__file__).parent / 'scenarios'
 
 
 class ScenarioError(errors.SardinepierError):
-    """A scenario file is missing, or something in it is wrong."""
+    """A scenario file is missing or invalid."""
 
 
 class Manner(enum.Enum):
@@ -25,20 +25,21 @@
     """It answers at once that it failed."""
 
     LATE_ERROR = 'late_error'
-    """It works on the request, and then answers that it failed."""
+    """It processes the request, and then answers that it failed."""
 
     HANG = 'hang'
     """It never answers."""
 
     SHED = 'shed'
-    """It says that it is full, whatever its load."""
+    """It refuses requests as if it were full, whatever its load."""
 
 
 class Noise(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Targets that fail by themselves for a while.
 
-    On average ``share`` of them fail at any time, for ``length_s`` seconds
-    each, ``fails`` of their requests.
+    On average a ``share`` of the targets is failing at any time, each for
+    ``length_s`` seconds on average. A failing target fails a share of
+    ``fails`` of its requests.
     """
 
     share: float = 0.0
@@ -48,10 +49,11 @@
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service with as many targets in each zone.
+    """A service with the same number of targets in each zone.
 
-    A target works on ``slots`` requests and lets ``queue`` more wait.
-    ``error_share`` of all requests fail after their work, at any target.
+    A target processes up to ``slots`` requests at once and queues up to
+    ``queue`` more. A share of ``error_share`` of the processed requests fails
+    at the end, at any target.
     """
 
     name: str
@@ -65,9 +67,9 @@
 class RequestClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Requests of one kind.
 
-    ``per_s`` are those of all zones together. An answer within ``aim_s`` earns
-    ``worth``, a later one ``late_worth``. ``work_s`` is the mean of a
-    log-normal distribution with ``spread`` as its sigma.
+    ``per_s`` is the rate of all zones together. An answer within ``aim_s``
+    earns ``worth``, a later one ``late_worth``. The processing time is
+    log-normal with the mean ``work_s`` and the sigma ``spread``.
     """
 
     name: str
@@ -85,35 +87,36 @@
 
 
 class DisturbanceKind(enum.Enum):
-    """What may happen for a while."""
+    """The kinds of temporary disturbances."""
 
     SHED = 'shed'
-    """``share`` of the service's targets refuse ``strength`` of what they get."""
+    """A ``share`` of the targets refuses a share ``strength`` of requests."""
 
     SLOW = 'slow'
-    """They take ``strength`` times as long."""
+    """The affected targets take ``strength`` times as long."""
 
     CRASH = 'crash'
-    """They are gone, and connections to them are reset."""
+    """The affected targets are down, and connections to them are reset."""
 
     BURST = 'burst'
-    """Callers come ``strength`` times as often; the service doesn't count."""
+    """Requests to all services arrive ``strength`` times as often."""
 
     LIMIT = 'limit'
-    """They name a limit of ``strength`` requests a second in their answers."""
+    """The affected targets state a limit of ``strength`` requests a second."""
 
     LEAVE = 'leave'
-    """They say in their answers that they leave."""
+    """The affected targets state in their answers that they are leaving."""
 
     REST = 'rest'
-    """They refuse all that they get, and ask for ``strength`` seconds of rest."""
+    """The affected targets refuse all requests, with a backoff of ``strength``
+    seconds."""
 
     RESTART = 'restart'
-    """All daemons are gone, and know nothing when they are back."""
+    """All daemons stop, and restart without any knowledge of the targets."""
 
 
 class Disturbance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One trouble from ``at_s`` on, for ``for_s`` seconds."""
+    """A disturbance that starts at ``at_s`` and lasts ``for_s`` seconds."""
 
     kind: DisturbanceKind
     at_s: float
@@ -126,8 +129,8 @@
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Zones with daemons, targets and callers.
 
-    ``in_zone_s`` and ``cross_zone_s`` are one way. Of each zone's
-    ``daemons_a_zone`` each gets as many requests as the others.
+    ``in_zone_s`` and ``cross_zone_s`` are one-way latencies. The requests of
+    a zone are spread evenly over its ``daemons_a_zone`` daemons.
     """
 
     duration_s: float
@@ -143,35 +146,39 @@
 
 
 def load(name: str) -> Scenario:
-    """Return the scenario of a file, or one that is shipped by its name.
+    """Return the scenario of a file, or the shipped scenario of that name.
 
     Raises ``ScenarioError``.
     """
-    shipped = _SHIPPED / f'{name}{_SUFFIX}'
+    shipped = _SHIPPED_DIRECTORY / f'{name}{_SUFFIX}'
     path = shipped if shipped.exists() else pathlib.Path(name)
     try:
-        found = msgspec.toml.decode(path.read_bytes(), type=Scenario)
+        scenario = msgspec.toml.decode(path.read_bytes(), type=Scenario)
     except (OSError, msgspec.DecodeError) as error:
         raise ScenarioError(
-            f'The scenario {name} is unusable: {error}',
+            f'The scenario {name} is invalid: {error}',
             f'Name a file, or one of {", ".join(shipped_names())}',
         ) from error
-    _check(name, found)
-    return found
+    _check(name, scenario)
+    return scenario
 
 
 def shipped_names() -> list[str]:
     """Return the names of the scenarios that come with the workbench."""
-    return sorted(path.stem for path in _SHIPPED.glob(f'*{_SUFFIX}'))
+    return sorted(path.stem for path in _SHIPPED_DIRECTORY.glob(f'*{_SUFFIX}'))
 
 
-def _check(name: str, found: Scenario) -> None:
-    known = {service.name for service in found.services}
-    named = {one.service for one in found.classes}
-    named |= {one.service for one in found.disturbances if one.service}
+def _check(name: str, scenario: Scenario) -> None:
+    known = {service.name for service in scenario.services}
+    named = {request_class.service for request_class in scenario.classes}
+    named |= {
+        disturbance.service
+        for disturbance in scenario.disturbances
+        if disturbance.service
+    }
     if named - known:
         raise ScenarioError(
-            f'The scenario {name} names services that it lacks: '
+            f'The scenario {name} uses services that it does not define: '
             f'{", ".join(sorted(named - known))}',
-            'Add them, or correct the names',
+            'Define them, or correct the names',
         )
--- a/libraries/workbench/src/sardinepier/workbench/policy/statement_compliance.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/statement_compliance.py
@@ -1,7 +1,7 @@
-"""What reached targets against what they had asked for in their answers.
+"""Compares the requests that reach targets with what the targets stated.
 
-Only requests of a daemon that the target told count, from a while after that: the
-answer has to arrive first. Times are seconds of the run.
+A statement binds only the daemons that got it in an answer, and only after a
+delay in which the answer arrives. Times are seconds of the run.
 """
 
 import bisect
@@ -12,59 +12,63 @@
 from sardinepier.core import ids
 
 _LIMIT_WINDOW_S: Final = 4.0
-_LIMIT_SETTLES_S: Final = 3.0
-"""After a target named a limit for the first time, for daemons to take it in."""
+_LIMIT_SETTLING_S: Final = 3.0
+"""Time after the first statement of a limit in which requests don't count, so
+that the daemons can apply the limit."""
 
-_TOLD_S: Final = 0.5
-"""After which an answer counts as known to the daemon that it went to."""
+_ANSWER_ARRIVAL_S: Final = 0.5
+"""An answer counts as received by the daemon after this time."""
 
 _LIMIT_FACTOR: Final = 1.5
 _LIMIT_SLACK: Final = 5.0
-_LEAVING_BOUND_S: Final = 2.0
+_LEAVING_ALLOWANCE_S: Final = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Limit:
-    """One target's limit, when it named it, and whom it told when."""
+    """One target's limit, and when it was first stated to each daemon."""
 
     per_s: float
-    since_s: float
-    told_s: dict[str, float] = dataclasses.field(default_factory=dict)
-    counted_s: list[float] = dataclasses.field(default_factory=list)
+    first_reported_s: float
+    reported_s: dict[str, float] = dataclasses.field(default_factory=dict)
+    arrivals_s: list[float] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
-class _Rest:
-    """One rest of one target towards one daemon, and what came in it."""
+class _Backoff:
+    """One backoff that a target stated to a daemon, and the arrivals in it."""
 
     from_s: float
     until_s: float
-    came: int = 0
+    arrivals: int = 0
 
 
 class StatementCompliance:
-    """Counts the requests of all daemons at all targets."""
+    """Compares the arrivals from all daemons with the targets' statements."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without statements and arrivals."""
         self.arrivals_after_leaving = 0
         self._limits: dict[ids.TargetId, _Limit] = {}
-        self._left_s: dict[tuple[ids.TargetId, str], float] = {}
-        self._rests: dict[tuple[ids.TargetId, str], list[_Rest]] = (
+        self._leaving_s: dict[tuple[ids.TargetId, str], float] = {}
+        self._backoffs: dict[tuple[ids.TargetId, str], list[_Backoff]] = (
             collections.defaultdict(list)
         )
 
     def record_arrival(
         self, target_id: ids.TargetId, source: str, at_s: float
     ) -> None:
-        """Count a request of the daemon ``source``."""
+        """Count a request from the daemon ``source``."""
         limit = self._limits.get(target_id)
-        if limit and limit.told_s.get(source, at_s) <= at_s - _TOLD_S:
-            limit.counted_s.append(at_s)
-        left_s = self._left_s.get((target_id, source), at_s)
-        self.arrivals_after_leaving += at_s - left_s > _LEAVING_BOUND_S
-        for rest in self._rests[target_id, source]:
-            rest.came += rest.from_s <= at_s < rest.until_s
+        if (
+            limit
+            and limit.reported_s.get(source, at_s) <= at_s - _ANSWER_ARRIVAL_S
+        ):
+            limit.arrivals_s.append(at_s)
+        leaving_s = self._leaving_s.get((target_id, source), at_s)
+        self.arrivals_after_leaving += at_s - leaving_s > _LEAVING_ALLOWANCE_S
+        for backoff in self._backoffs[target_id, source]:
+            backoff.arrivals += backoff.from_s <= at_s < backoff.until_s
 
     def record_limit(
         self,
@@ -73,64 +77,70 @@
         at_s: float,
         per_s: float,
     ) -> None:
-        """Note that ``source`` was told of a limit."""
+        """Record that the target stated a limit to ``source``."""
         limit = self._limits.setdefault(target_id, _Limit(per_s, at_s))
-        limit.told_s.setdefault(source, at_s)
+        limit.reported_s.setdefault(source, at_s)
 
     def clear_limit(self, target_id: ids.TargetId) -> None:
-        """Note that the target names no limit any more."""
+        """Record that the target states no limit any more."""
         self._limits.pop(target_id, None)
 
     def record_leaving(
         self, target_id: ids.TargetId, source: str, at_s: float
     ) -> None:
-        """Note that ``source`` was told that the target leaves."""
-        self._left_s.setdefault((target_id, source), at_s)
+        """Record that the target stated to ``source`` that it is leaving."""
+        self._leaving_s.setdefault((target_id, source), at_s)
 
     def record_backoff(
         self,
         target_id: ids.TargetId,
         source: str,
         at_s: float,
-        rest_s: float,
+        backoff_s: float,
     ) -> None:
-        """Note that ``source`` was asked for ``rest_s`` seconds of rest."""
-        self._rests[target_id, source].append(
-            _Rest(at_s + _TOLD_S, at_s + rest_s),
+        """Record a backoff of ``backoff_s`` seconds, stated to ``source``."""
+        self._backoffs[target_id, source].append(
+            _Backoff(at_s + _ANSWER_ARRIVAL_S, at_s + backoff_s),
         )
 
     def max_limit_use(self) -> float:
-        """Return the most that came in a window, 1.0 for all that is allowed."""
-        return max(map(_most_over, self._limits.values()), default=0.0)
+        """Return the highest use of a limit in any window; 1.0 is allowed."""
+        return max(map(_max_window_use, self._limits.values()), default=0.0)
 
     def limit_utilization(self, until_s: float) -> float:
-        """Return what came of all that the limits took until the end."""
-        took = 0.0
-        came = 0.0
+        """Return the arrivals as a share of those that the limits allowed."""
+        allowed = 0.0
+        arrivals = 0.0
         for limit in self._limits.values():
-            took += limit.per_s * (until_s - limit.since_s - _LIMIT_SETTLES_S)
-            came += bisect.bisect(_settled(limit), until_s)
-        return came / took if took else 0.0
+            allowed += limit.per_s * (
+                until_s - limit.first_reported_s - _LIMIT_SETTLING_S
+            )
+            arrivals += bisect.bisect(_settled_arrivals_s(limit), until_s)
+        return arrivals / allowed if allowed else 0.0
 
     def max_arrivals_in_backoff(self) -> int:
-        """Return the most requests that came from one daemon in one rest."""
-        came = [rest.came for told in self._rests.values() for rest in told]
-        return max(came, default=0)
+        """Return the most arrivals from one daemon in one backoff."""
+        arrivals = [
+            backoff.arrivals
+            for backoffs in self._backoffs.values()
+            for backoff in backoffs
+        ]
+        return max(arrivals, default=0)
 
 
-def _settled(limit: _Limit) -> list[float]:
-    from_s = limit.since_s + _LIMIT_SETTLES_S
-    return limit.counted_s[bisect.bisect(limit.counted_s, from_s) :]
+def _settled_arrivals_s(limit: _Limit) -> list[float]:
+    from_s = limit.first_reported_s + _LIMIT_SETTLING_S
+    return limit.arrivals_s[bisect.bisect(limit.arrivals_s, from_s) :]
 
 
-def _most_over(limit: _Limit) -> float:
+def _max_window_use(limit: _Limit) -> float:
     allowed = _LIMIT_FACTOR * limit.per_s * _LIMIT_WINDOW_S + _LIMIT_SLACK
-    counted_s = _settled(limit)
-    most = max(
+    arrivals_s = _settled_arrivals_s(limit)
+    max_arrivals = max(
         (
-            bisect.bisect(counted_s, at_s + _LIMIT_WINDOW_S) - place
-            for place, at_s in enumerate(counted_s)
+            bisect.bisect(arrivals_s, at_s + _LIMIT_WINDOW_S) - position
+            for position, at_s in enumerate(arrivals_s)
         ),
         default=0,
     )
-    return most / allowed
+    return max_arrivals / allowed
--- a/libraries/workbench/src/sardinepier/workbench/policy/tally.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/tally.py
@@ -1,4 +1,4 @@
-"""What callers got: credit, nines, the worst window and the worst class."""
+"""Scores the results of callers: credit, nines, worst window, worst class."""
 
 import collections
 import dataclasses
@@ -9,49 +9,49 @@
 
 _WINDOW_S: Final = 2.0
 _BEST_NINES: Final = 0.005
-"""Share of unserved requests at which the part for nines is full."""
+"""Share of unserved requests up to which the part for nines is 1.0."""
 
 _MEAN_WEIGHT: Final = 0.35
 _WINDOW_WEIGHT: Final = 0.15
 _CLASS_WEIGHT: Final = 0.15
 _NINES_WEIGHT: Final = 0.35
-"""How the users weigh the parts of a day."""
+"""The weights of the parts of the worth, as the users set them."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Earned:
-    """What one request came to; ``price`` is what its end costs beside."""
+class RequestScore:
+    """The credit of one request, its maximum, and an additional penalty."""
 
     credit: float
-    owed: float
-    price: float = 0.0
+    max_credit: float
+    penalty: float = 0.0
     is_refused: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Count:
-    """Requests, what they were owed, earned and cost."""
+    """The sums over some requests: their ends, credits and penalties."""
 
     requests: int = 0
     served: int = 0
     refused: int = 0
-    owed: float = 0.0
-    earned: float = 0.0
-    price: float = 0.0
+    max_credit: float = 0.0
+    credit: float = 0.0
+    penalty: float = 0.0
 
-    def add(self, one: Earned) -> None:
+    def add(self, score: RequestScore) -> None:
         """Count one request."""
         self.requests += 1
-        self.served += one.credit > 0
-        self.refused += one.is_refused
-        self.owed += one.owed
-        self.earned += one.credit
-        self.price += one.price
+        self.served += score.credit > 0
+        self.refused += score.is_refused
+        self.max_credit += score.max_credit
+        self.credit += score.credit
+        self.penalty += score.penalty
 
     @property
     def share(self) -> float:
-        """The part of the owed credit that was earned."""
-        return self.earned / self.owed if self.owed else 1.0
+        """The earned share of the maximum credit."""
+        return self.credit / self.max_credit if self.max_credit else 1.0
 
     @property
     def failed(self) -> int:
@@ -60,17 +60,17 @@
 
 
 class Tally:
-    """Counts the requests of one run, and watches the targets in use."""
+    """All measurements of one run."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without requests."""
         self.floor = floor.Floor()
         self.compliance = statement_compliance.StatementCompliance()
         self.total = Count()
         self.by_class: dict[str, Count] = collections.defaultdict(Count)
         self.by_window: dict[int, Count] = collections.defaultdict(Count)
 
-    def add(self, class_name: str, sent_s: float, one: Earned) -> None:
+    def add(self, class_name: str, sent_s: float, score: RequestScore) -> None:
         """Count one request that was sent at ``sent_s``."""
         window = int(sent_s / _WINDOW_S)
         for count in (
@@ -78,10 +78,10 @@
             self.by_class[class_name],
             self.by_window[window],
         ):
-            count.add(one)
+            count.add(score)
 
     def worth(self) -> float:
-        """Return the worth, 1.0 for a perfect run, less what ends cost."""
+        """Return the worth less the penalties; 1.0 is a perfect run."""
         windows = sorted(count.share for count in self.by_window.values())
         worst_window = sum(windows[:2]) / 2
         worst_class = min(count.share for count in self.by_class.values())
@@ -90,7 +90,7 @@
             + _WINDOW_WEIGHT * worst_window
             + _CLASS_WEIGHT * worst_class
             + _NINES_WEIGHT * self._nines()
-            - self.total.price / self.total.owed
+            - self.total.penalty / self.total.max_credit
         )
 
     def _nines(self) -> float:
--- a/libraries/workbench/src/sardinepier/workbench/policy/targets.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/targets.py
@@ -1,4 +1,4 @@
-"""Emulated targets: slots, a queue, and ways to fail."""
+"""Emulated targets with slots, a queue and failure modes."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
 
 _FIRST_ADDRESS: Final = ipaddress.IPv4Address('10.0.0.1')
 _PORT: Final = 80
-_FOREVER_S: Final = 3600.0
+_HANG_S: Final = 3600.0
 _OK: Final = 200
 _FAILED: Final = 500
 _FULL: Final = 503
@@ -27,26 +27,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What a target answers, with its load at that moment.
+    """A target's answer, with its load at that moment.
 
-    ``rest_s`` is for how long it asks not to be asked again.
+    ``retry_after_s`` is the backoff that the target states, 0 for none.
     """
 
     status: int
     has_run: bool
     load: str
-    rest_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 class Target:
     """One target of a service.
 
-    ``sheds`` is the share of requests that it refuses whatever its load,
-    ``slowness`` by how much longer it works, and ``is_gone`` that it is down.
-    ``limit_per_s`` is the limit that it names, ``is_leaving`` says that it tells so,
-    and ``rest_s`` that it refuses all and asks for rest.
-    ``last_request_s`` is when it last got a request, and ``last_failure_s`` when it last
-    failed one by itself.
+    ``sheds`` is the share of requests that the target refuses whatever its
+    load, ``slowness`` the factor on its processing times, and ``is_gone`` means
+    that it is down. ``limit_per_s`` is the limit that it states, and
+    ``is_leaving`` means that it states that it is leaving. With ``rest_s`` it
+    refuses all requests and states a backoff of that many seconds.
+    ``last_request_s`` is the time of the last request, and ``last_failure_s``
+    that of the last request that it failed by itself.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         service: scenario.Service,
         random_source: random.Random,
     ) -> None:
-        """Begin in a state that is as likely as it is in the long run."""
+        """Draw the first state with its long-run probability."""
         self.listed = listed
         self.sheds = 0.0
         self.slowness = 1.0
@@ -72,16 +73,16 @@
             collections.deque()
         )
         self._is_failing = random_source.random() < service.noise.share
-        self._until_s = self._lasts_s()
+        self._state_ends_s = self._state_duration_s()
 
     async def serve(self, work_s: float) -> Reply:
-        """Work on one request; raise ``ResetError`` when it is lost."""
+        """Process one request; raise ``ResetError`` if the connection ends."""
         self.last_request_s = asyncio.get_running_loop().time()
         if self.is_gone:
             raise ResetError('gone')
         if self.rest_s:
             refusal = self._reply(_FULL, has_run=False)
-            return dataclasses.replace(refusal, rest_s=self.rest_s)
+            return dataclasses.replace(refusal, retry_after_s=self.rest_s)
         if self._random.random() < self.sheds:
             return self._reply(_FULL, has_run=False)
         if self._fails_now():
@@ -89,10 +90,10 @@
         return await self._work(work_s)
 
     async def _work(self, work_s: float) -> Reply:
-        if not await self._enter():
+        if not await self._acquire_slot():
             return self._reply(_FULL, has_run=False)
         with contextlib.ExitStack() as stack:
-            stack.callback(self._leave)
+            stack.callback(self._release_slot)
             await asyncio.sleep(work_s * self.slowness)
         is_error = self._random.random() < self._service.error_share
         return self._reply(_FAILED if is_error else _OK, has_run=True)
@@ -105,53 +106,55 @@
         if manner is scenario.Manner.SHED:
             return self._reply(_FULL, has_run=False)
         if manner is scenario.Manner.HANG:
-            await asyncio.sleep(_FOREVER_S)
+            await asyncio.sleep(_HANG_S)
         if manner is scenario.Manner.LATE_ERROR:
             await self._work(work_s)
         return self._reply(_FAILED, has_run=True)
 
-    async def _enter(self) -> bool:
-        """Wait for a slot; tell whether there is a place to wait."""
+    async def _acquire_slot(self) -> bool:
+        """Wait for a slot; return False if the queue is full."""
         if self._running < self._service.slots:
             self._running += 1
             return True
         if len(self._waiting) >= self._service.queue:
             return False
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
+        waiter: asyncio.Future[None] = (
+            asyncio.get_running_loop().create_future()
+        )
+        self._waiting.append(waiter)
         try:
-            await turn
+            await waiter
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self._leave()
+            if waiter.done() and not waiter.cancelled():
+                self._release_slot()
             raise
         return True
 
-    def _leave(self) -> None:
-        """Hand the slot to who waits next, or free it."""
+    def _release_slot(self) -> None:
+        """Pass the slot to the first waiter, or free it."""
         while self._waiting:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self._waiting.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
         self._running -= 1
 
     def _reply(self, status: int, *, has_run: bool) -> Reply:
-        waiting = sum(not turn.done() for turn in self._waiting)
+        waiting = sum(not waiter.done() for waiter in self._waiting)
         load = f'{self._running},{waiting},{self._service.slots}'
         return Reply(status, has_run, load)
 
     def _fails_now(self) -> bool:
         now_s = asyncio.get_running_loop().time()
-        while now_s >= self._until_s:
+        while now_s >= self._state_ends_s:
             self._is_failing = not self._is_failing
-            self._until_s += self._lasts_s()
+            self._state_ends_s += self._state_duration_s()
         if not self._is_failing:
             return False
         return self._random.random() < self._service.noise.fails
 
-    def _lasts_s(self) -> float:
-        """Return how long the state that begins now lasts."""
+    def _state_duration_s(self) -> float:
+        """Draw the duration of the state that starts now."""
         noise = self._service.noise
         if noise.share <= 0:
             return math.inf
@@ -165,20 +168,20 @@
     setup: scenario.Scenario,
     random_source: random.Random,
 ) -> list[Target]:
-    """Return all targets, at addresses of their own."""
-    made: list[Target] = []
+    """Return all targets of a scenario, each with its own address."""
+    made_targets: list[Target] = []
     for service in setup.services:
         for zone in setup.zones:
             for _ in range(service.targets_a_zone):
-                name = f't{len(made)}'
+                name = f't{len(made_targets)}'
                 listed = model.ListedTarget(
                     target_id=ids.TargetId(name),
                     service=ids.ServiceName(service.name),
-                    ip=str(_FIRST_ADDRESS + len(made)),
+                    ip=str(_FIRST_ADDRESS + len(made_targets)),
                     port=_PORT,
                     zone=ids.ZoneName(zone),
                     slots=service.slots,
                     state=model.TargetState.READY,
                 )
-                made.append(Target(listed, service, random_source))
-    return made
+                made_targets.append(Target(listed, service, random_source))
+    return made_targets
--- a/libraries/workbench/src/sardinepier/workbench/policy/virtual_loop.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/virtual_loop.py
@@ -1,7 +1,7 @@
 """An event loop whose time jumps to the next timer instead of passing.
 
-What runs on it takes no real time but that of the processor, and the same
-seeds give the same run. Nothing on it may wait for a socket or a thread.
+Code on this loop takes only processor time, and equal seeds give equal runs.
+Nothing on it may wait for a socket or a thread.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 
 
 class StalledError(errors.SardinepierError):
-    """All tasks wait, and no timer would ever wake one."""
+    """All tasks are waiting, and no timer is scheduled."""
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop that starts at zero seconds."""
+    """An event loop with virtual time, which starts at 0 s."""
 
     def __init__(self) -> None:
-        """Begin without tasks."""
+        """Start without tasks."""
         self.now_s = 0.0
         super().__init__(_JumpingSelector(self))
 
@@ -33,10 +33,10 @@
 
 
 class VirtualClock:
-    """The clock of everything that runs on a virtual loop."""
+    """A clock that reads the time of a virtual loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Tell the time of ``loop``."""
+        """Read the time of ``loop``."""
         self._loop = loop
 
     def monotonic_s(self) -> float:
@@ -53,7 +53,7 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Takes a wait for time that has passed."""
+    """Advances the virtual time instead of waiting."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__()
@@ -65,14 +65,14 @@
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
             raise StalledError(
-                'All tasks wait for something that nothing will bring',
-                'Give each wait of the emulated parts a deadline',
+                'All tasks are waiting and no timer is scheduled',
+                'Give each wait in the emulation a timeout',
             )
         self._loop.now_s += max(0.0, timeout)
         return []
 
 
 def run(main: Coroutine[Any, Any, Result]) -> Result:
-    """Run ``main`` to its end on a new virtual loop."""
+    """Run ``main`` to completion on a new virtual loop."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
--- a/libraries/workbench/tests/cover/test_bench.py
+++ b/libraries/workbench/tests/cover/test_bench.py
@@ -1,4 +1,4 @@
-"""The benchmark times both ways and closes in on the knee."""
+"""Tests the paired measurement and the knee search of the benchmark."""
 
 import random
 
@@ -14,21 +14,25 @@
 
 
 def figures(rate_per_s, added_ms, failed=0):
-    def way(latency_ms, bad):
+    def path_figures(latency_ms, failed_requests):
         return paired.PathFigures(
             report.measure(latency_ms for _ in range(100)),
             report.measure([0.0]),
-            bad,
+            failed_requests,
             0,
         )
 
     return paired.PairFigures(
-        rate_per_s, way(1.0, 0), way(1.0 + added_ms, failed)
+        rate_per_s,
+        path_figures(1.0, 0),
+        path_figures(1.0 + added_ms, failed),
     )
 
 
 @given(st.floats(min_value=5, max_value=4000), st.integers(0, 6))
-async def test_knee_lies_between_the_two_rates(true_knee_per_s, halvings):
+async def test_knee_is_between_the_two_reported_rates(
+    true_knee_per_s, halvings
+):
     async def measure(rate_per_s):
         return figures(rate_per_s, 1.0 if rate_per_s < true_knee_per_s else 9.0)
 
@@ -58,11 +62,11 @@
     ('added_ms', 'failed', 'within'),
     [(1.0, 0, True), (1.0, 5, False), (5.0, 0, False)],
 )
-def test_a_rate_is_within_by_latency_and_by_failures(added_ms, failed, within):
+def test_is_within_checks_latency_and_failures(added_ms, failed, within):
     assert knee.is_within(figures(100.0, added_ms, failed)) is within
 
 
-async def test_paired_run_counts_both_ways_and_failures():
+async def test_paired_run_counts_requests_and_failures_of_both_paths():
     standin = target_standin.TargetStandin(
         target_settings.TargetStandinSettings('t1', service_ms=1, slots=50),
         clock.SystemClock(),
--- a/libraries/workbench/tests/cover/test_load_simulation.py
+++ b/libraries/workbench/tests/cover/test_load_simulation.py
@@ -1,4 +1,4 @@
-"""The load experiment simulates the same each time and keeps its bounds."""
+"""Tests that the load simulation is deterministic and keeps its bounds."""
 
 import dataclasses
 
@@ -20,7 +20,7 @@
     return run
 
 
-def test_events_run_in_order_of_time_then_of_arrival():
+def test_events_run_in_order_of_time_and_then_of_insertion():
     events = event_queue.EventQueue()
     seen = []
     events.call_later(2, lambda: seen.append('late'))
@@ -32,7 +32,7 @@
     assert events.monotonic_s() == 5
 
 
-def test_the_same_seed_gives_the_same_ends_and_another_one_others():
+def test_equal_seeds_give_equal_outcomes_and_different_seeds_do_not():
     assert _run().counts.ended == _run().counts.ended
     assert _run().counts.ended != _run(seed=2).counts.ended
 
@@ -42,8 +42,8 @@
 def test_every_request_ends_once_within_its_deadline(policy, load_percent):
     phases = (scenario.Phase(3, load_percent),)
     run = _run(policy=policy, phases=phases)
-    latencies_s = [one.latency_s for one in run.counts.ended]
-    arrivals = {one.arrived_s for one in run.counts.ended}
+    latencies_s = [request.latency_s for request in run.counts.ended]
+    arrivals = {request.arrived_s for request in run.counts.ended}
     assert len(arrivals) == len(latencies_s)
     rate_per_s = scenario.SEARCH.requests_per_s(load_percent)
     assert 2 < len(latencies_s) / rate_per_s < 4
@@ -51,7 +51,7 @@
     assert run.slot_use_percent() <= 100
 
 
-def test_home_slots_keep_daemons_from_colliding():
+def test_home_slots_reduce_sheds():
     shared = _run().counts
     unshared = _run(home_slots=False, pooled=False).counts
     assert shared.sheds * 3 < unshared.sheds
@@ -73,13 +73,13 @@
     )
     phases = (scenario.Phase(20, 150),)
     counts = _run(phases=phases, classes=classes).counts
-    signed = tally.figures(counts.of_class('sign-off'))
-    reported = tally.figures(counts.of_class('report'))
-    assert signed.lost_percent < 1
-    assert signed.p99_ms < reported.p50_ms
+    sign_offs = tally.figures(counts.of_class('sign-off'))
+    reports = tally.figures(counts.of_class('report'))
+    assert sign_offs.lost_percent < 1
+    assert sign_offs.p99_ms < reports.p50_ms
 
 
-def test_a_flooding_caller_is_limited_and_the_others_are_served():
+def test_a_flooding_caller_is_limited_and_other_callers_are_served():
     classes = (
         scenario.CallerClass('others', 1, percent=50),
         scenario.CallerClass('flood', 1, percent=50, callers=1),
@@ -87,7 +87,11 @@
     phases = (scenario.Phase(8, 140),)
     limited = _run(phases=phases, classes=classes, caller_requests_per_s=2)
     ended = limited.counts.ended
-    refused = {one.class_name for one in ended if one.end is tally.End.LIMITED}
+    refused = {
+        request.class_name
+        for request in ended
+        if request.outcome is tally.Outcome.LIMITED
+    }
     assert refused == {'flood'}
-    others = tally.figures(limited.counts.of_class('others'))
-    assert others.lost_percent < 1
+    normal_callers = tally.figures(limited.counts.of_class('others'))
+    assert normal_callers.lost_percent < 1
--- a/libraries/workbench/tests/nocover/test_load_command.py
+++ b/libraries/workbench/tests/nocover/test_load_command.py
@@ -1,4 +1,4 @@
-"""The load experiment's command, run quickly from end to end."""
+"""Tests the load experiment's command from end to end, with short runs."""
 
 from sardinepier.workbench.load import command
 
--- a/libraries/workbench/tests/nocover/test_load_determinism.py
+++ b/libraries/workbench/tests/nocover/test_load_determinism.py
@@ -1,4 +1,4 @@
-"""The load experiment gives the same figures in every process."""
+"""Tests that the load experiment gives the same figures in every process."""
 
 import os
 import subprocess
@@ -11,12 +11,12 @@
 phases = (scenario.Phase(5, 80),)
 setup = scenario.Scenario(scenario.SEARCH, phases, first_daemon_weight=3)
 run = simulation.Simulation(setup)
-print(sum(one.latency_s for one in run.run().ended), run.counts.sheds)
+print(sum(request.latency_s for request in run.run().ended), run.counts.sheds)
 """
 
 
 @pytest.mark.processes
-def test_the_order_of_hashes_does_not_change_the_figures():
+def test_the_hash_seed_does_not_change_the_figures():
     printed = {
         subprocess.run(
             [sys.executable, '-c', _PROGRAM],
