--- a/libraries/workbench/tests/cover/test_bench.py
+++ b/libraries/workbench/tests/cover/test_bench.py
@@ -37,13 +37,13 @@
         return figures(rate_per_s, 1.0 if rate_per_s < true_knee_per_s else 9.0)
 
     search = knee.KneeSearch(measure, 10.0, 3200.0)
-    found = await search.run(100.0, halvings)
-    assert len(found.steps) <= 2 * (7 + halvings)
-    if found.within is not None:
-        assert found.within.rate_per_s < true_knee_per_s
-    if found.beyond is not None:
-        assert found.beyond.rate_per_s >= true_knee_per_s
-    assert found.within or found.beyond
+    measured_knee = await search.run(100.0, halvings)
+    assert len(measured_knee.steps) <= 2 * (7 + halvings)
+    if measured_knee.within is not None:
+        assert measured_knee.within.rate_per_s < true_knee_per_s
+    if measured_knee.beyond is not None:
+        assert measured_knee.beyond.rate_per_s >= true_knee_per_s
+    assert measured_knee.within or measured_knee.beyond
 
 
 async def test_one_slow_measurement_does_not_end_the_search():
@@ -53,9 +53,9 @@
         seen.append(rate_per_s)
         return figures(rate_per_s, 9.0 if len(seen) == 1 else 1.0)
 
-    found = await knee.KneeSearch(measure, 10.0, 400.0).run(100.0, 3)
+    measured_knee = await knee.KneeSearch(measure, 10.0, 400.0).run(100.0, 3)
     assert seen == [100.0, 100.0, 200.0, 400.0]
-    assert found.beyond is None
+    assert measured_knee.beyond is None
 
 
 @pytest.mark.parametrize(
