--- a/libraries/workbench/src/sardinepier/workbench/detection/__init__.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/__init__.py
@@ -1,1 +1,1 @@
-"""Detection time against false ejections, by a seeded discrete-event driver."""
+"""Detection time against false ejections, in a discrete-event simulation."""
--- a/libraries/workbench/src/sardinepier/workbench/detection/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/command.py
@@ -1,8 +1,10 @@
-"""Larger runs of the detection experiment, in shards, for the design note.
+"""The detection experiment as a command, and its larger runs in shards.
 
-A shard takes every n-th plan, so that several terminals share the work::
+A shard runs every n-th plan, so that several processes share the work. The
+design note uses these runs::
 
-    sardinepier-workbench detection-faults out.0.jsonl --shard 0/3
+    python -m fire sardinepier.workbench.detection.command \
+        faults out.0.jsonl --shard 0/3
 """
 
 import itertools
@@ -38,7 +40,7 @@
 ) -> str:
     """Run every fault over seeds, services and loads; write the records.
 
-    Without ``rivals`` only the library as Red Tesis sets it takes part.
+    Without ``rivals`` only the library with Red Tesis's setting takes part.
     """
     plans = [
         driver.Plan(
@@ -70,7 +72,7 @@
 ) -> str:
     """Run healthy traffic of every kind; write the records.
 
-    Without ``rivals`` only the library as Red Tesis sets it takes part.
+    Without ``rivals`` only the library with Red Tesis's setting takes part.
     """
     plans = []
     for seed in range(1, seeds + 1):
@@ -86,7 +88,7 @@
 
 
 def settings(output: str, shard: str = '0/1', length_s: float = 60.0) -> str:
-    """Run the library over its one setting, for the curve."""
+    """Run the library over a range of its setting, for the curve."""
     service = scenario.SERVICES[2]
     plans = [
         driver.Plan(
@@ -105,12 +107,14 @@
 
 
 def draw(figure: str, *inputs: str) -> str:
-    """Draw the curve of written records and return their tables."""
-    done = tuple(
-        one for name in inputs for one in experiment.read(pathlib.Path(name))
+    """Draw the curve of recorded runs and return their tables."""
+    all_records = tuple(
+        record
+        for name in inputs
+        for record in experiment.read(pathlib.Path(name))
     )
-    curve.draw(done, pathlib.Path(figure))
-    return tables.render(done)
+    curve.draw(all_records, pathlib.Path(figure))
+    return tables.render(all_records)
 
 
 def _run(
@@ -120,9 +124,9 @@
     shard: str,
     rivals: bool,
 ) -> str:
-    place, count = (int(part) for part in shard.split('/'))
-    done = tuple(
-        experiment.run_plans(plans[place::count], acting, rivals),
+    shard_index, shard_count = (int(part) for part in shard.split('/'))
+    all_records = tuple(
+        experiment.run_plans(plans[shard_index::shard_count], acting, rivals),
     )
-    experiment.write(done, pathlib.Path(output))
-    return tables.summary_table(done)
+    experiment.write(all_records, pathlib.Path(output))
+    return tables.summary_table(all_records)
--- a/libraries/workbench/src/sardinepier/workbench/detection/contenders.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/contenders.py
@@ -1,4 +1,4 @@
-"""Who takes part: the library as both users set it, and the rival rules."""
+"""Contenders: the library with both users' settings, and the rival rules."""
 
 import dataclasses
 import functools
@@ -15,7 +15,7 @@
 CURVE_PER_DAY: Final = (1e5, 1e3, 30.0)
 _WINDOW_S: Final = 10.0
 
-Maker = Callable[
+DetectorFactory = Callable[
     [scenario.Service, int, core_clock.Clock],
     detector.Detector,
 ]
@@ -23,22 +23,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contender:
-    """A name and how to make its judge for a service, a seed and a clock."""
+    """A named factory of detectors for a service, a seed and a clock."""
 
     name: str
-    make: Maker
+    make: DetectorFactory
 
 
 def group(per_day: float, alone: bool = False) -> Contender:
-    """Return the library at a tolerated rate of false ejections."""
+    """Return the library with a tolerated rate of false ejections.
+
+    With ``alone``, daemons don't exchange reports.
+    """
     kind = 'alone' if alone else 'group'
     return Contender(
         f'{kind} {per_day:g}/day',
-        functools.partial(_pooled, per_day, alone),
+        functools.partial(_make_pooled_detector, per_day, alone),
     )
 
 
-def _pooled(
+def _make_pooled_detector(
     per_day: float,
     alone: bool,
     service: scenario.Service,
@@ -52,41 +55,45 @@
 
 
 def rivals() -> tuple[Contender, ...]:
-    """Return the rival rules over the range in which users tune them."""
-    found = [
-        _rule(f'consecutive {limit}', _consecutive(limit))
+    """Return the rival rules over their usual range of settings."""
+    rule_contenders = [
+        _rule_contender(f'consecutive {limit}', _consecutive(limit))
         for limit in (2, 3, 5, 8, 12)
     ]
     for share, minimum in itertools.product((0.1, 0.2, 0.3, 0.5), (10, 30)):
         name = f'rate {share:.0%} of {minimum}'
-        found.append(_rule(name, _error_rate(share, minimum)))
+        rule_contenders.append(
+            _rule_contender(name, _error_rate(share, minimum))
+        )
     for quantile, factor in itertools.product((0.5, 0.9), (1.5, 2, 3, 5)):
         name = f'p{quantile * 100:.0f} over {factor:g}x mean'
-        found.append(_rule(name, _latency(quantile, factor)))
-    return tuple(found)
+        rule_contenders.append(
+            _rule_contender(name, _latency(quantile, factor))
+        )
+    return tuple(rule_contenders)
 
 
-_RuleMaker = Callable[[], rules.Rule]
+_RuleFactory = Callable[[], rules.Rule]
 
 
-def _consecutive(limit: int) -> _RuleMaker:
+def _consecutive(limit: int) -> _RuleFactory:
     return lambda: rules.ConsecutiveErrors(limit)
 
 
-def _error_rate(share: float, minimum: int) -> _RuleMaker:
+def _error_rate(share: float, minimum: int) -> _RuleFactory:
     return lambda: rules.ErrorRate(share, minimum, _WINDOW_S)
 
 
-def _latency(quantile: float, factor: float) -> _RuleMaker:
+def _latency(quantile: float, factor: float) -> _RuleFactory:
     return lambda: rules.LatencyQuantile(quantile, factor, 10, _WINDOW_S)
 
 
-def _rule(name: str, make_rule: _RuleMaker) -> Contender:
-    return Contender(name, functools.partial(_detector_of, make_rule))
+def _rule_contender(name: str, make_rule: _RuleFactory) -> Contender:
+    return Contender(name, functools.partial(_make_rule_detector, make_rule))
 
 
-def _detector_of(
-    make_rule: _RuleMaker,
+def _make_rule_detector(
+    make_rule: _RuleFactory,
     service: scenario.Service,
     _seed: int,
     _clock: core_clock.Clock,
--- a/libraries/workbench/src/sardinepier/workbench/detection/detector.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/detector.py
@@ -1,4 +1,4 @@
-"""What a way of judging targets must offer to take part in the experiment."""
+"""The interface of detectors that take part in the experiment."""
 
 from collections.abc import Sequence
 from typing import Final, Protocol
@@ -8,20 +8,20 @@
 
 
 UNKNOWN: Final = None
-"""A judge that does not know the peers' load says so."""
+"""The answer of a detector that does not know the peers' load."""
 
 
 class Detector(Protocol):
-    """All daemons of one group, judging one service's targets.
+    """Failure detection of one group of daemons for one service's targets.
 
-    Targets and daemons are named by their place, from 0 upwards. All times
-    are seconds of the experiment's clock.
+    Targets and daemons are identified by their index, from 0. Times are
+    seconds of the experiment's clock.
     """
 
     def started(
         self, daemon: int, target: int, route: int, number: int
     ) -> None:
-        """A daemon sent an attempt to a target."""
+        """Record that a daemon sent an attempt to a target."""
         ...
 
     def finished(
@@ -30,51 +30,51 @@
         target: int,
         route: int,
         number: int,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float,
     ) -> None:
-        """The attempt ended."""
+        """Record the outcome of an attempt."""
         ...
 
     def tick(self, daemon: int, now_s: float) -> None:
-        """It is time for a daemon to decide."""
+        """Update the decisions of a daemon."""
         ...
 
     def weights(self, daemon: int) -> Sequence[float]:
-        """Return the weight of each target at a daemon, 0 for out."""
+        """Return the weight of each target at a daemon, 0 if ejected."""
         ...
 
     def peers_in_flight(self, daemon: int) -> Sequence[int] | None:
-        """Return the peers' requests at each target, None if not known."""
+        """Return the peers' in-flight requests per target, None if unknown."""
         ...
 
     def is_trial(self, daemon: int, target: int) -> bool:
-        """Return whether work for a target is but a trial of its return."""
+        """Return whether a target is on trial before its readmission."""
         ...
 
     def replaced(self, target: int, incarnation: int) -> None:
-        """Tell all daemons that a target was replaced."""
+        """Announce a target's new incarnation to all daemons."""
         ...
 
     def probed(self, daemon: int, target: int, good: bool) -> None:
-        """A daemon's probe was answered."""
+        """Record the answer to a daemon's probe."""
         ...
 
     def due_probes(self, daemon: int, now_s: float) -> Sequence[int]:
-        """Return the targets that a daemon wants to probe now."""
+        """Return the targets that a daemon should probe now."""
         ...
 
 
-def target_name(place: int) -> ids.TargetId:
-    """Return the id of the target at this place."""
-    return ids.TargetId(f't{place:04d}')
+def target_name(index: int) -> ids.TargetId:
+    """Return the id of the target with this index."""
+    return ids.TargetId(f't{index:04d}')
 
 
-def target_place(name: ids.TargetId) -> int:
-    """Return the place of a target by the id that ``target_name`` gave."""
+def target_index(name: ids.TargetId) -> int:
+    """Return the index of a target from its id, see ``target_name``."""
     return int(name[1:])
 
 
-def route_name(place: int) -> ids.RouteName:
-    """Return the name of the route at this place."""
-    return ids.RouteName(f'r{place}')
+def route_name(index: int) -> ids.RouteName:
+    """Return the name of the route with this index."""
+    return ids.RouteName(f'r{index}')
--- a/libraries/workbench/src/sardinepier/workbench/detection/driver.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/driver.py
@@ -1,8 +1,8 @@
-"""A small discrete-event driver: requests, targets, faults and one judge.
+"""Discrete-event simulation of requests, targets, faults and one detector.
 
-Everything that happens is an action on one agenda, so a run depends on
-nothing but its plan. Daemons choose with the project's own chooser and judge
-with whatever judge they are given; targets are the models of this package.
+All events go through one queue and all randomness is seeded, so a run depends
+on nothing but its plan. Daemons choose targets with the project's own chooser;
+targets are models of this package.
 """
 
 import dataclasses
@@ -22,27 +22,30 @@
 )
 
 _MS_PER_S: Final = 1000
-_TICK_S: Final = 0.1
-_PROBE_S: Final = 0.025
+_TICK_INTERVAL_S: Final = 0.1
+_PROBE_DURATION_S: Final = 0.025
 _BURST_FACTOR: Final = 2.0
-_BURST_EVERY_S: Final = 20.0
-_BURST_S: Final = 2.0
-_GOSSIP_S: Final = 0.5
-_MEAN_OVER_MEDIAN: Final = 1.133
-"""Of a service time whose logarithm has the standard deviation 0.5."""
+_BURST_GAP_S: Final = 20.0
+_BURST_LENGTH_S: Final = 2.0
+_LOAD_INTERVAL_S: Final = 0.5
+_MEAN_TO_MEDIAN_RATIO: Final = 1.133
+"""For a log-normal service time whose logarithm has a deviation of 0.5."""
 
 
 _Counts = list[list[int]]
-"""In-flight requests: a row a daemon, a column a target."""
+"""In-flight requests: one row per daemon, one column per target."""
 
 _WARM_UP_S: Final = 25.0
 _WARM_UP_LOAD: Final = 0.3
-"""Quiet hours follow busier ones, in which daemons learned the routes."""
+"""Minimum load during warm-up, in which daemons learn the routes' latencies.
+
+Quiet hours in production also follow busier ones.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """One run: what is served, how busy, what goes wrong when, which seed."""
+    """One run: service, traffic, fault with its start, length and seed."""
 
     service: scenario.Service
     traffic: scenario.Traffic
@@ -53,10 +56,10 @@
 
 
 class Driver:
-    """Runs one plan with one judge."""
+    """Runs one plan with one detector."""
 
     def __init__(self, plan: Plan) -> None:
-        """Prepare a run; ``attach`` a judge before ``run``."""
+        """Prepare a run; call ``attach`` before ``run``."""
         service = plan.service
         self._plan = plan
         self._random = random.Random(plan.seed)
@@ -87,11 +90,11 @@
         self._exchange = exchange.Exchange(self._context)
         self._detector: detectors.Detector
         self._burst_until_s = 0.0
-        self._told: list[tuple[float, _Counts]] = []
+        self._pending_load: list[tuple[float, _Counts]] = []
 
     @property
     def clock(self) -> core_clock.Clock:
-        """Return the clock that the run moves."""
+        """Return the clock that the run advances."""
         return self._events.clock
 
     def attach(
@@ -99,7 +102,7 @@
         detector: detectors.Detector,
         on_sent: exchange.SentHandler | None = None,
     ) -> None:
-        """Set who judges, and who else is told of new work."""
+        """Set the detector, and a callback for each request sent to a target."""
         self._detector = detector
         self._exchange.detector = detector
         if on_sent is not None:
@@ -108,14 +111,16 @@
     def run(self) -> measurements.Measurements:
         """Run to the end and return what was measured."""
         daemons = self._plan.service.daemons
-        for place in range(daemons):
-            first_s = _TICK_S * (place + 1) / daemons
-            self._events.call_at(first_s, functools.partial(self._tick, place))
+        for daemon_index in range(daemons):
+            first_s = _TICK_INTERVAL_S * (daemon_index + 1) / daemons
+            self._events.call_at(
+                first_s, functools.partial(self._tick, daemon_index)
+            )
         self._events.call_at(0.0, self._arrive)
-        self._events.call_at(_GOSSIP_S, self._tell_load)
+        self._events.call_at(_LOAD_INTERVAL_S, self._send_load)
         every_s = self._plan.traffic.replaced_every_s
         if every_s:
-            self._events.call_at(every_s, self._replace_one)
+            self._events.call_at(every_s, self._replace_random)
         replaced_at_s = self._fault_model.replaced_at_s()
         if replaced_at_s is not None:
             self._events.call_at(
@@ -141,7 +146,7 @@
     def _rate_s(self, now_s: float) -> float:
         service = self._plan.service
         median_ms = sum(service.route_ms) / len(service.route_ms)
-        mean_s = _MEAN_OVER_MEDIAN * median_ms / _MS_PER_S
+        mean_s = _MEAN_TO_MEDIAN_RATIO * median_ms / _MS_PER_S
         load = self._plan.traffic.load
         if now_s < _WARM_UP_S:
             load = max(load, _WARM_UP_LOAD)
@@ -152,70 +157,76 @@
         return rate_s
 
     def _is_burst(self, now_s: float) -> bool:
-        if now_s > self._burst_until_s + _BURST_EVERY_S:
-            self._burst_until_s = now_s + _BURST_S
+        if now_s > self._burst_until_s + _BURST_GAP_S:
+            self._burst_until_s = now_s + _BURST_LENGTH_S
         return now_s < self._burst_until_s
 
-    def _tick(self, place: int) -> None:
+    def _tick(self, daemon_index: int) -> None:
         now_s = self._events.now_s()
-        self._detector.tick(place, now_s)
-        weights = self._detector.weights(place)
-        candidates = self._context.daemons[place].candidates
+        self._detector.tick(daemon_index, now_s)
+        weights = self._detector.weights(daemon_index)
+        candidates = self._context.daemons[daemon_index].candidates
         for candidate, weight in zip(candidates, weights, strict=True):
             candidate.weight = weight
-        self._learn_load(place, candidates)
-        self._context.measured.record_weights(now_s, place, weights)
-        for target in self._detector.due_probes(place, now_s):
-            good = self._fault_model.probe_is_good(place, target, now_s)
+        self._update_peer_load(daemon_index, candidates)
+        self._context.measured.record_weights(now_s, daemon_index, weights)
+        for target in self._detector.due_probes(daemon_index, now_s):
+            good = self._fault_model.probe_is_good(daemon_index, target, now_s)
             self._events.call_at(
-                now_s + _PROBE_S,
-                functools.partial(self._detector.probed, place, target, good),
+                now_s + _PROBE_DURATION_S,
+                functools.partial(
+                    self._detector.probed, daemon_index, target, good
+                ),
             )
-        self._exchange.drain(place)
+        self._exchange.drain(daemon_index)
         self._events.call_at(
-            now_s + _TICK_S,
-            functools.partial(self._tick, place),
+            now_s + _TICK_INTERVAL_S,
+            functools.partial(self._tick, daemon_index),
         )
 
-    def _learn_load(
+    def _update_peer_load(
         self,
-        place: int,
+        daemon_index: int,
         candidates: list[choice.Candidate],
     ) -> None:
-        """Take the peers' load from the judge where it knows."""
-        counts = self._detector.peers_in_flight(place)
+        """Set the peers' in-flight counts, if the detector knows them."""
+        counts = self._detector.peers_in_flight(daemon_index)
         if counts is None or self._fault_model.load_lag_s():
             return
         for candidate, count in zip(candidates, counts, strict=True):
             candidate.peers_in_flight = count
 
-    def _tell_load(self) -> None:
-        """Tell all daemons of all in-flight counts, later under the fault."""
+    def _send_load(self) -> None:
+        """Send all in-flight counts to all daemons, with the fault's delay."""
         now_s = self._events.now_s()
         counts = [
-            [candidate.in_flight for candidate in one.candidates]
-            for one in self._context.daemons
+            [candidate.in_flight for candidate in daemon.candidates]
+            for daemon in self._context.daemons
         ]
-        self._told.append((now_s + self._fault_model.load_lag_s(), counts))
-        while self._told and self._told[0][0] <= now_s:
-            self._take_load(self._told.pop(0)[1])
-        self._events.call_at(now_s + _GOSSIP_S, self._tell_load)
-
-    def _take_load(self, counts: _Counts) -> None:
-        judge_knows = self._detector.peers_in_flight(0) is not None
-        if judge_knows and not self._fault_model.load_lag_s():
+        self._pending_load.append(
+            (now_s + self._fault_model.load_lag_s(), counts)
+        )
+        while self._pending_load and self._pending_load[0][0] <= now_s:
+            self._apply_load(self._pending_load.pop(0)[1])
+        self._events.call_at(now_s + _LOAD_INTERVAL_S, self._send_load)
+
+    def _apply_load(self, counts: _Counts) -> None:
+        detector_has_load = self._detector.peers_in_flight(0) is not None
+        if detector_has_load and not self._fault_model.load_lag_s():
             return
         totals = [sum(column) for column in zip(*counts, strict=True)]
-        for one, own in zip(self._context.daemons, counts, strict=True):
-            for place, candidate in enumerate(one.candidates):
-                candidate.peers_in_flight = totals[place] - own[place]
+        for daemon, own in zip(self._context.daemons, counts, strict=True):
+            for target, candidate in enumerate(daemon.candidates):
+                candidate.peers_in_flight = totals[target] - own[target]
 
-    def _replace_one(self) -> None:
+    def _replace_random(self) -> None:
         self._replace(int(self._random.random() * self._plan.service.targets))
         every_s = self._plan.traffic.replaced_every_s
-        self._events.call_at(self._events.now_s() + every_s, self._replace_one)
+        self._events.call_at(
+            self._events.now_s() + every_s, self._replace_random
+        )
 
-    def _replace(self, place: int) -> None:
-        target = self._context.targets[place]
+    def _replace(self, target_index: int) -> None:
+        target = self._context.targets[target_index]
         target.replace(self._events.now_s())
-        self._detector.replaced(place, target.incarnation)
+        self._detector.replaced(target_index, target.incarnation)
--- a/libraries/workbench/src/sardinepier/workbench/detection/experiment.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/experiment.py
@@ -1,4 +1,4 @@
-"""The detection experiment: all contenders over all faults and traffics."""
+"""The detection experiment: all contenders over all faults and traffic."""
 
 import dataclasses
 import pathlib
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """All records of an experiment, and how to print them."""
+    """All records of an experiment."""
 
     records: tuple[records.Record, ...]
 
@@ -47,12 +47,12 @@
     output_directory: str | None,
     quick: bool,
 ) -> Result:
-    """Run the experiment; draw the curve when there is a directory for it.
+    """Run the experiment; write records and curve to ``output_directory``.
 
-    ``quick`` runs a few faults at one load within a minute, to see that all
-    is in order. Otherwise every fault is run once at 30% load with sixteen
-    targets, in some minutes. The design note's larger figures come from the
-    same runs over more seeds, sizes and loads: see :mod:`command`.
+    ``quick`` runs a few faults at one load within a minute, as a check that
+    the experiment works. Otherwise every fault runs once at 30% load with
+    sixteen targets, which takes some minutes. Runs over more seeds, sizes and
+    loads, as for the design note, are in :mod:`command`.
     """
     service = scenario.SERVICES[0 if quick else 2]
     faults = FAULTS[::_QUICK_FAULTS] if quick else FAULTS
@@ -69,17 +69,17 @@
         for fault in faults
     ]
     plans.extend(healthy_plans(scenario.SERVICES[0], healthy_s, seed))
-    done = tuple(run_plans(plans, users()))
+    all_records = tuple(run_plans(plans, users()))
     if output_directory is not None:
         directory = pathlib.Path(output_directory)
         directory.mkdir(parents=True, exist_ok=True)
-        write(done, directory / 'detection.jsonl')
-        curve.draw(done, directory / 'detection-curve.svg')
-    return Result(done)
+        write(all_records, directory / 'detection.jsonl')
+        curve.draw(all_records, directory / 'detection-curve.svg')
+    return Result(all_records)
 
 
 def users() -> tuple[contenders.Contender, ...]:
-    """Return the library as both users set it, and a daemon judging alone."""
+    """Return the library with both users' settings, and without reports."""
     return (
         contenders.group(contenders.RED_TESIS_PER_DAY),
         contenders.group(contenders.KLOOFNEK_PER_DAY),
@@ -104,7 +104,10 @@
     acting: Sequence[contenders.Contender],
     with_rivals: bool = True,
 ) -> Iterator[records.Record]:
-    """Run each plan with each acting contender, then before the rivals."""
+    """Run each plan with each acting contender, then for all rivals at once.
+
+    The detector of an acting contender sets the weights of targets.
+    """
     for plan in plans:
         for contender in acting:
             yield run_one(plan, contender)
@@ -116,25 +119,25 @@
     plan: driver.Plan,
     contender: contenders.Contender,
 ) -> records.Record:
-    """Run one plan with one contender in charge."""
-    one_run = driver.Driver(plan)
-    one_run.attach(contender.make(plan.service, plan.seed, one_run.clock))
-    measured = one_run.run()
+    """Run one plan in which one contender sets the weights of targets."""
+    run_driver = driver.Driver(plan)
+    run_driver.attach(contender.make(plan.service, plan.seed, run_driver.clock))
+    measured = run_driver.run()
     key = (plan.service, plan.traffic, plan.fault, plan.seed)
     return records.record(contender.name, key, measured)
 
 
-def write(done: Sequence[records.Record], path: pathlib.Path) -> None:
-    """Write the records, one JSON object a line."""
+def write(all_records: Sequence[records.Record], path: pathlib.Path) -> None:
+    """Write the records as one JSON object per line."""
     encoder = msgspec.json.Encoder()
     with path.open('wb') as lines:
-        for one in done:
-            lines.write(encoder.encode(one))
+        for record in all_records:
+            lines.write(encoder.encode(record))
             lines.write(b'\n')
 
 
 def read(path: pathlib.Path) -> tuple[records.Record, ...]:
-    """Read records that ``write`` wrote."""
+    """Read the records in a file of ``write``."""
     decoder = msgspec.json.Decoder(records.Record)
     return tuple(
         decoder.decode(line) for line in path.read_bytes().splitlines()
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/case_tables.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/case_tables.py
@@ -1,4 +1,4 @@
-"""The cases of the experiment as tables: a name, then fields with values."""
+"""The experiment's cases as tables: a name, then fields with values."""
 
 from typing import Final, TypeVar
 
@@ -6,18 +6,18 @@
 
 _Case = TypeVar('_Case')
 
-_USUAL: Final = (
+_COMMON_FIELDS: Final = (
     'daemons=9 route_ms=12,20,35,60,110 spread=0.5 timeout_ms=2000 '
     'failure_share=0.001 pause_every_s=60 longest_pause_ms=150'
 )
 
 SERVICES: Final = f"""
-search    | targets=6  slots=3 {_USUAL}
-deposit   | targets=14 slots=3 {_USUAL}
-metadata  | targets=16 slots=3 {_USUAL}
-checklist | targets=6  slots=2 {_USUAL}
-posting   | targets=14 slots=2 {_USUAL}
-reporting | targets=14 slots=2 {_USUAL}
+search    | targets=6  slots=3 {_COMMON_FIELDS}
+deposit   | targets=14 slots=3 {_COMMON_FIELDS}
+metadata  | targets=16 slots=3 {_COMMON_FIELDS}
+checklist | targets=6  slots=2 {_COMMON_FIELDS}
+posting   | targets=14 slots=2 {_COMMON_FIELDS}
+reporting | targets=14 slots=2 {_COMMON_FIELDS}
 """
 
 LOADS: Final = """
@@ -64,9 +64,9 @@
 
 
 def parse(kind: type[_Case], table: str) -> tuple[_Case, ...]:
-    """Return one case a line of the table, checked against its type.
+    """Return one case per line of the table, checked against its type.
 
-    For example ``quiet | load=0.02`` is a ``Traffic`` of that name.
+    For example ``quiet | load=0.02`` is a ``Traffic`` named ``quiet``.
     """
     cases = []
     for line in table.strip().splitlines():
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/event_queue.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/event_queue.py
@@ -1,4 +1,4 @@
-"""All that will happen, in order of time: one heap of actions."""
+"""A queue of scheduled actions, ordered by time."""
 
 import heapq
 from collections.abc import Callable
@@ -9,25 +9,25 @@
 
 
 class EventQueue:
-    """Actions at moments of one clock, which only the agenda moves."""
+    """Scheduled actions on one clock, which only the queue advances."""
 
     def __init__(self) -> None:
-        """Start at 0 with nothing to do."""
+        """Start at 0 with an empty queue."""
         self.clock = core_clock.ManualClock()
         self._actions: list[tuple[float, int, Action]] = []
-        self._order = 0
+        self._sequence = 0
 
     def now_s(self) -> float:
-        """Return the present moment."""
+        """Return the present time."""
         return self.clock.monotonic_s()
 
     def call_at(self, moment_s: float, action: Action) -> None:
-        """Plan an action; equal moments keep the order of planning."""
-        self._order += 1
-        heapq.heappush(self._actions, (moment_s, self._order, action))
+        """Schedule an action; actions at equal times run in order of calls."""
+        self._sequence += 1
+        heapq.heappush(self._actions, (moment_s, self._sequence, action))
 
     def run(self, end_s: float) -> None:
-        """Carry out all actions up to ``end_s``."""
+        """Run all actions up to ``end_s``."""
         while self._actions:
             moment_s, _, action = heapq.heappop(self._actions)
             if moment_s > end_s:
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/faults.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/faults.py
@@ -8,13 +8,13 @@
 from sardinepier.workbench.detection.internal import target_model
 
 _Effect = scenario.Effect
-_GRAY_FACTOR: Final = 4.0
-_GRAY_FAILURES: Final = 0.3
+_GRAY_SLOW_FACTOR: Final = 4.0
+_GRAY_FAILURE_SHARE: Final = 0.3
 _CRASH_SHARE: Final = 0.02
 
 
 class FaultModel:
-    """Says what the fault does at one moment."""
+    """Computes the effects of one fault at a given time."""
 
     def __init__(
         self,
@@ -23,38 +23,38 @@
         fault_at_s: float,
         random_source: random.Random,
     ) -> None:
-        """Strike the first target or daemon from ``fault_at_s`` on."""
+        """Affect the first target or daemon from ``fault_at_s`` on."""
         self._service = service
         self._fault = fault
-        self._at_s = fault_at_s
+        self._fault_at_s = fault_at_s
         self._random = random_source
 
     def is_on(self, now_s: float) -> bool:
-        """Return whether the fault acts now; a flapping one takes turns."""
-        if now_s < self._at_s:
+        """Return whether the fault is active at the moment."""
+        if now_s < self._fault_at_s:
             return False
         period_s = self._fault.period_s
         if not period_s:
             return True
-        return (now_s - self._at_s) % period_s < period_s / 2
+        return (now_s - self._fault_at_s) % period_s < period_s / 2
 
     def load_factor(self, now_s: float) -> float:
-        """Return by how much the load is multiplied."""
+        """Return the factor of the load."""
         if self._fault.effect is _Effect.OVERLOAD and self.is_on(now_s):
             return self._fault.amount
         return 1.0
 
     def load_lag_s(self) -> float:
-        """Return how much later in-flight counts reach the peers."""
+        """Return the delay of in-flight counts on the way to peers."""
         return self._fault.load_lag_s
 
     def replaced_at_s(self) -> float | None:
-        """Return when the first target is replaced, if it is."""
+        """Return when the first target is replaced, None for never."""
         if self._fault.effect is _Effect.REPLACED:
-            return self._at_s
+            return self._fault_at_s
         return None
 
-    def loses(
+    def is_lost(
         self, request: target_model.SimulatedRequest, now_s: float
     ) -> bool:
         """Return whether the request never reaches its target."""
@@ -62,10 +62,10 @@
             return False
         return request.daemon < self._fault.cut_daemons and self.is_on(now_s)
 
-    def crashes(
+    def crashes_target(
         self, request: target_model.SimulatedRequest, now_s: float
     ) -> bool:
-        """Return whether this is the request that crashes its target."""
+        """Return whether the request crashes its target."""
         if self._fault.effect is not _Effect.CRASHING_REQUEST:
             return False
         return self.is_on(now_s) and self._random.random() < _CRASH_SHARE
@@ -73,7 +73,7 @@
     def slow_factor(
         self, request: target_model.SimulatedRequest, now_s: float
     ) -> float:
-        """Return by how much the request is slowed."""
+        """Return the factor of the request's service time."""
         effect = self._fault.effect
         if not self.is_on(now_s):
             return 1.0
@@ -83,12 +83,12 @@
             return self._fault.amount
         return 1.0
 
-    def end(
+    def outcome(
         self,
         request: target_model.SimulatedRequest,
         now_s: float,
     ) -> evidence.AttemptOutcome:
-        """Return how the request will end at its target."""
+        """Return the outcome of the request at its target."""
         effect = self._fault.effect
         if not request.target and self.is_on(now_s):
             if effect is _Effect.HANG:
@@ -105,20 +105,23 @@
     def as_seen(
         self,
         request: target_model.SimulatedRequest,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float,
         now_s: float,
     ) -> tuple[evidence.AttemptOutcome, float]:
-        """Return the end as the daemon sees it; a gray one sees badly."""
+        """Return outcome and latency as the daemon observes them.
+
+        A gray daemon observes slower attempts and some failures.
+        """
         gray = self._fault.effect is _Effect.GRAY_DAEMON and not request.daemon
         if not gray or not self.is_on(now_s):
-            return end, latency_ms
-        if self._random.random() < _GRAY_FAILURES:
+            return outcome, latency_ms
+        if self._random.random() < _GRAY_FAILURE_SHARE:
             return evidence.AttemptOutcome.FAILED, latency_ms
-        return end, latency_ms * _GRAY_FACTOR
+        return outcome, latency_ms * _GRAY_SLOW_FACTOR
 
     def probe_is_good(self, daemon: int, target: int, now_s: float) -> bool:
-        """Return what the target's health endpoint says."""
+        """Return whether the target's health endpoint answers well."""
         if target or not self.is_on(now_s):
             return True
         if self._fault.effect is _Effect.CUT:
--- a/libraries/workbench/src/sardinepier/workbench/detection/internal/target_model.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/internal/target_model.py
@@ -1,4 +1,4 @@
-"""Targets of the experiment: slots, service times, faults; the ground truth."""
+"""A model of a target: slots, queue, service times, pauses and restarts."""
 
 import collections
 import dataclasses
@@ -8,17 +8,17 @@
 from sardinepier.workbench.detection import scenario
 
 _MS_PER_S: Final = 1000
-_BEYOND_S: Final = 10.0
+_PAUSE_MARGIN_S: Final = 10.0
 _COLD_FACTOR: Final = 4.0
 _COLD_S: Final = 10.0
-_LEAST_SPEED: Final = 0.9
-_MOST_SPEED: Final = 1.1
-_SHORTEST_PAUSE_MS: Final = 20.0
+_MIN_TIME_FACTOR: Final = 0.9
+_MAX_TIME_FACTOR: Final = 1.1
+_MIN_PAUSE_MS: Final = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class SimulatedRequest:
-    """One attempt on its way to a target and back."""
+    """A request of a caller, with the state of its newest attempt."""
 
     daemon: int
     route: int
@@ -31,7 +31,7 @@
 
 
 class TargetModel:
-    """One target: a queue in front of its slots."""
+    """A target with a fixed number of slots and a queue in front of them."""
 
     def __init__(
         self,
@@ -39,43 +39,45 @@
         random_source: random.Random,
         horizon_s: float,
     ) -> None:
-        """Draw the target's speed and its pauses for the whole run."""
+        """Draw the target's time factor and its pauses for the whole run."""
         self.incarnation = 0
         self.cold_until_s = 0.0
         self.running = 0
         self.queue: collections.deque[SimulatedRequest] = collections.deque()
         self._service = service
         self._random = random_source
-        self._speed = random_source.uniform(_LEAST_SPEED, _MOST_SPEED)
+        self._time_factor = random_source.uniform(
+            _MIN_TIME_FACTOR, _MAX_TIME_FACTOR
+        )
         self._pauses = self._draw_pauses(horizon_s)
         self._next_pause = 0
 
     def service_ms(self, route: int, now_s: float, factor: float) -> float:
-        """Draw how long a request takes that begins now."""
-        usual_ms = self._service.route_ms[route] * self._speed * factor
+        """Draw the service time of a request that starts now."""
+        typical_ms = self._service.route_ms[route] * self._time_factor * factor
         if now_s < self.cold_until_s:
-            left = (self.cold_until_s - now_s) / _COLD_S
-            usual_ms *= 1 + (_COLD_FACTOR - 1) * left
-        drawn_ms = usual_ms * self._random.lognormvariate(
+            cold_share = (self.cold_until_s - now_s) / _COLD_S
+            typical_ms *= 1 + (_COLD_FACTOR - 1) * cold_share
+        drawn_ms = typical_ms * self._random.lognormvariate(
             0,
             self._service.spread,
         )
         return drawn_ms + self._paused_ms(now_s, drawn_ms)
 
     def replace(self, now_s: float) -> None:
-        """Start a new, cold incarnation."""
+        """Start a new incarnation, which is slower until it is warm."""
         self.incarnation += 1
         self.cold_until_s = now_s + _COLD_S
 
     def _draw_pauses(self, horizon_s: float) -> list[tuple[float, float]]:
         pauses = []
         moment_s = 0.0
-        while moment_s < horizon_s + _BEYOND_S:
+        while moment_s < horizon_s + _PAUSE_MARGIN_S:
             moment_s += self._random.expovariate(
                 1 / self._service.pause_every_s,
             )
             length_ms = self._random.uniform(
-                _SHORTEST_PAUSE_MS,
+                _MIN_PAUSE_MS,
                 self._service.longest_pause_ms,
             )
             pauses.append((moment_s, length_ms / _MS_PER_S))
--- a/libraries/workbench/src/sardinepier/workbench/detection/measurements.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/measurements.py
@@ -1,4 +1,4 @@
-"""What is measured in one run, against the ground truth."""
+"""Measurements of one run, compared with its actual fault."""
 
 import dataclasses
 import math
@@ -11,10 +11,10 @@
 _SLOW_FACTOR: Final = 5.0
 _SECONDS_PER_DAY: Final = 86400
 _EPISODE_S: Final = 30.0
-"""Daemons that eject a target within this time count as one ejection."""
+"""Ejections of a target by several daemons within this time count once."""
 
 _FLOOR_SHARE: Final = 0.5
-_GOOD_ENDS: Final = frozenset((evidence.AttemptOutcome.ANSWERED,))
+_GOOD_OUTCOMES: Final = frozenset((evidence.AttemptOutcome.ANSWERED,))
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,7 +27,7 @@
 
 
 class Measurements:
-    """Collects a run's measurements."""
+    """Collects the measurements of one run."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         fault: scenario.Fault,
         fault_at_s: float,
     ) -> None:
-        """Measure against ``fault``, which begins at ``fault_at_s``."""
+        """Measure a run with ``fault``, which begins at ``fault_at_s``."""
         self.fault_at_s = fault_at_s
         self.before = Requests()
         self.after = Requests()
@@ -50,24 +50,26 @@
         self.last_s = 0.0
         self._service = service
         self._fault = fault
-        self._out: list[set[int]] = [set() for _ in range(service.daemons)]
-        self._false_since: dict[int, float] = {}
+        self._ejected_targets: list[set[int]] = [
+            set() for _ in range(service.daemons)
+        ]
+        self._false_ejection_s: dict[int, float] = {}
         self._last_sent_s = [0.0 for _ in range(service.daemons)]
         self._detected_s = [math.inf for _ in range(service.daemons)]
 
     def record_arrival(self, now_s: float) -> None:
-        """Count a request that came in."""
+        """Count a request from a caller."""
         self.arrivals += 1
         self.last_s = now_s
 
     def record_refusal(self, now_s: float) -> None:
-        """Count a request refused for want of slots."""
+        """Count a request that was refused because all slots were in use."""
         self.refusals += 1
 
     def record_attempt(
         self, now_s: float, daemon: int, target: int, trial: bool
     ) -> None:
-        """Note new work for a target."""
+        """Record an attempt at the faulty target; skip all other attempts."""
         if target or now_s < self.fault_at_s:
             return
         if trial:
@@ -80,14 +82,14 @@
     def record_end(
         self,
         now_s: float,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         slowness: float,
     ) -> None:
-        """Count a request that ended, ``slowness`` times its median late."""
-        part = self.before if now_s < self.fault_at_s else self.after
-        part.ended += 1
-        part.failed += end not in _GOOD_ENDS
-        part.slowed += slowness > _SLOW_FACTOR
+        """Count a request that took ``slowness`` times its median."""
+        period = self.before if now_s < self.fault_at_s else self.after
+        period.ended += 1
+        period.failed += outcome not in _GOOD_OUTCOMES
+        period.slowed += slowness > _SLOW_FACTOR
 
     def record_weights(
         self,
@@ -95,36 +97,36 @@
         daemon: int,
         weights: Sequence[float],
     ) -> None:
-        """Compare a daemon's weights with the ground truth."""
+        """Compare a daemon's weights with the targets' actual state."""
         self.ticks += 1
-        out = {place for place, weight in enumerate(weights) if not weight}
+        ejected = {index for index, weight in enumerate(weights) if not weight}
         floor = _FLOOR_SHARE * self._service.targets
-        self.below_floor += len(weights) - len(out) < floor
-        came_out = out - self._out[daemon]
-        self._out[daemon] = out
-        for place in came_out:
-            self._ejected(now_s, daemon, place)
+        self.below_floor += len(weights) - len(ejected) < floor
+        newly_ejected = ejected - self._ejected_targets[daemon]
+        self._ejected_targets[daemon] = ejected
+        for target in newly_ejected:
+            self._record_ejection(now_s, daemon, target)
 
     def detection_s(self) -> float:
-        """Return the time from the fault to the last new work.
+        """Return the time from the fault to the last attempt at the target.
 
-        Trials do not count. Infinite when a daemon never took it out.
+        Trials do not count. Infinite when a daemon never ejected the target.
         """
         if any(math.isinf(moment_s) for moment_s in self._detected_s):
             return math.inf
         return max(0.0, max(self._last_sent_s) - self.fault_at_s)
 
     def target_days(self) -> float:
-        """Return how much healthy time was seen, in days of one target."""
+        """Return the healthy time of all targets together, in days."""
         healthy = self._service.targets - self._fault.sick
         return healthy * self.last_s / _SECONDS_PER_DAY
 
-    def _ejected(self, now_s: float, daemon: int, place: int) -> None:
-        struck = place == 0 and now_s >= self.fault_at_s
-        if struck and self._fault.sick:
+    def _record_ejection(self, now_s: float, daemon: int, target: int) -> None:
+        is_faulty = target == 0 and now_s >= self.fault_at_s
+        if is_faulty and self._fault.sick:
             self._detected_s[daemon] = min(self._detected_s[daemon], now_s)
-        elif struck and daemon < self._fault.cut_daemons:
+        elif is_faulty and daemon < self._fault.cut_daemons:
             self.cut_avoided += 1
-        elif now_s - self._false_since.get(place, -math.inf) > _EPISODE_S:
+        elif now_s - self._false_ejection_s.get(target, -math.inf) > _EPISODE_S:
             self.false_ejections += 1
-            self._false_since[place] = now_s
+            self._false_ejection_s[target] = now_s
--- a/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/pooled.py
@@ -1,4 +1,4 @@
-"""The real library as a judge: one ServiceHealth a daemon, with reports."""
+"""The health library as a detector: one ServiceHealth per daemon."""
 
 import random
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 class PooledDetector:
-    """A group of daemons with the library, in step with one clock."""
+    """A group of daemons that share one clock and exchange reports."""
 
     def __init__(
         self,
@@ -25,21 +25,23 @@
         clock: core_clock.Clock,
         alone: bool = False,
     ) -> None:
-        """Make the group; ``alone`` keeps the daemons from reporting."""
+        """Make the group; with ``alone`` the daemons exchange no reports."""
         self._clock = clock
         self._alone = alone
         self._names = [
-            detector.target_name(at) for at in range(service.targets)
+            detector.target_name(index) for index in range(service.targets)
         ]
         self._routes = [
-            detector.route_name(at) for at in range(len(service.route_ms))
+            detector.route_name(index) for index in range(len(service.route_ms))
         ]
         self._observers = [
-            ids.InstanceId(f'd{at}~0') for at in range(service.daemons)
+            ids.InstanceId(f'd{index}~0') for index in range(service.daemons)
         ]
         self._incarnations = [0 for _ in self._names]
         self._slots = service.slots
-        self._under_way: list[tuple[float, int, evidence.EvidenceReport]] = []
+        self._reports_in_transit: list[
+            tuple[float, int, evidence.EvidenceReport]
+        ] = []
         self.changes = 0
         self.daemons = [
             service_health.ServiceHealth(
@@ -52,12 +54,12 @@
             )
             for observer in self._observers
         ]
-        self._list_targets()
+        self._update_targets()
 
     def started(
         self, daemon: int, target: int, route: int, number: int
     ) -> None:
-        """Pass it on."""
+        """Pass the attempt to the daemon."""
         self.daemons[daemon].started(
             self._names[target],
             self._routes[route],
@@ -70,20 +72,20 @@
         target: int,
         route: int,
         number: int,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float,
     ) -> None:
-        """Pass it on."""
+        """Pass the outcome to the daemon."""
         self.daemons[daemon].finished(
             self._names[target],
             self._routes[route],
             number,
-            end,
+            outcome,
             latency_ms,
         )
 
     def tick(self, daemon: int, now_s: float) -> None:
-        """Deliver reports, decide, and report when it is due."""
+        """Deliver reports, update the daemon, and send its report when due."""
         health = self.daemons[daemon]
         if self._alone:
             health.tick()
@@ -92,15 +94,15 @@
         health.tick()
         if health.report_due():
             sent = (now_s + _REPORT_DELAY_S, daemon, health.report())
-            self._under_way.append(sent)
+            self._reports_in_transit.append(sent)
 
     def weights(self, daemon: int) -> Sequence[float]:
-        """Return the weights by which the daemon chooses."""
+        """Return the weight of each target at the daemon."""
         health = self.daemons[daemon]
         return [health.standing(name).weight for name in self._names]
 
     def peers_in_flight(self, daemon: int) -> Sequence[int] | None:
-        """Return the counts from the peers' reports."""
+        """Return the counts in the peers' reports, None without reports."""
         if self._alone:
             return None
         health = self.daemons[daemon]
@@ -112,28 +114,30 @@
         return standing.state is targets.TargetState.TRIAL
 
     def replaced(self, target: int, incarnation: int) -> None:
-        """Give all daemons the new list."""
+        """Pass the list with the new incarnation to all daemons."""
         self._incarnations[target] = incarnation
-        self._list_targets()
+        self._update_targets()
 
     def probed(self, daemon: int, target: int, good: bool) -> None:
-        """Pass it on, as a probe that took its usual time."""
+        """Pass the probe's answer to the daemon, with a typical latency."""
         self.daemons[daemon].probed(self._names[target], good, _PROBE_MS)
 
     def due_probes(self, daemon: int, now_s: float) -> Sequence[int]:
-        """Return the places of the targets to probe."""
+        """Return the targets that the daemon wants to probe."""
         due = self.daemons[daemon].due_probes()
         return [self._names.index(name) for name in due]
 
     def _deliver(self, now_s: float) -> None:
-        while self._under_way and self._under_way[0][0] <= now_s:
-            _, sender, report = self._under_way.pop(0)
-            for place, health in enumerate(self.daemons):
-                if place != sender:
+        while (
+            self._reports_in_transit and self._reports_in_transit[0][0] <= now_s
+        ):
+            _, sender, report = self._reports_in_transit.pop(0)
+            for index, health in enumerate(self.daemons):
+                if index != sender:
                     health.receive_report(self._observers[sender], report)
 
-    def _list_targets(self) -> None:
-        listed = [
+    def _update_targets(self) -> None:
+        identities = [
             targets.TargetIdentity(
                 name,
                 ids.TargetIncarnation(str(incarnation)),
@@ -146,7 +150,7 @@
             )
         ]
         for health in self.daemons:
-            health.set_targets(listed)
+            health.set_targets(identities)
 
     def _count_change(self, _event: object) -> None:
         self.changes += 1
--- a/libraries/workbench/src/sardinepier/workbench/detection/records.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/records.py
@@ -1,4 +1,4 @@
-"""One line of the experiment's results: one contender in one run."""
+"""A record of the experiment: what one contender reached in one run."""
 
 import math
 
@@ -8,10 +8,11 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """What one contender made of one run.
+    """Measurements of one contender in one run.
 
-    ``detection_s`` is None when some daemon never took the target out.
-    Shares are of the requests that ended before and after the fault.
+    ``detection_s`` is None when some daemon never ejected the faulty target.
+    ``failed_*`` and ``slowed_*`` are shares of the requests that ended before
+    and after the start of the fault.
     """
 
     contender: str
--- a/libraries/workbench/src/sardinepier/workbench/detection/scenario.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/scenario.py
@@ -1,4 +1,4 @@
-"""What one run of the experiment is made of: service, traffic and fault."""
+"""Parameters of one run of the experiment: service, traffic and fault."""
 
 import dataclasses
 import enum
@@ -9,11 +9,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service as one of the users runs it, and its group of daemons.
+    """A service of one of the users, and its group of daemons.
 
-    ``spread`` is the standard deviation of a service time's logarithm,
-    ``failure_share`` the share of requests that fail at a healthy target,
-    which also stands still now and then for at most ``longest_pause_ms``.
+    ``spread`` is the standard deviation of a service time's logarithm.
+    ``failure_share`` of the requests fail at a healthy target, which also
+    pauses every ``pause_every_s`` on average, for at most
+    ``longest_pause_ms``.
     """
 
     name: str
@@ -37,27 +38,27 @@
     name: str
     load: float
     bursts: bool = False
-    """Every 20 s, load doubles for 2 s."""
+    """Load doubles for 2 s, 20 s after the end of the last burst."""
 
     replaced_every_s: float = 0.0
-    """A target is replaced by a cold one at this interval; 0 for never."""
+    """Interval at which a target is replaced by a cold one; 0 for never."""
 
     whole_service_slow_every_s: float = 0.0
-    """All targets take three times as long for 5 s; 0 for never."""
+    """Interval at which all targets take 3 times as long for 5 s; 0 for never."""
 
 
 class Effect(enum.Enum):
-    """What a fault does."""
+    """What a fault changes."""
 
     SLOW = 'slow'
     FAIL = 'fail'
     WRONG = 'wrong'
     HANG = 'hang'
     CUT = 'cut'
-    """Requests of some daemons are never answered."""
+    """Requests from some daemons never reach the target."""
 
     GRAY_DAEMON = 'gray-daemon'
-    """Everything that one daemon does fails now and then and is slow."""
+    """One daemon sees its attempts slowed, and some of them failed."""
 
     ALL_SLOW = 'all-slow'
     OVERLOAD = 'overload'
@@ -67,7 +68,7 @@
 
 
 class Probes(enum.Enum):
-    """What the health endpoint of the struck target says."""
+    """What the health endpoint of the faulty target answers."""
 
     HONEST = 'honest'
     ALWAYS_GOOD = 'always-good'
@@ -76,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault case. The first target or the first daemons are struck."""
+    """A fault case, which affects the first target or the first daemons."""
 
     name: str
     effect: Effect
@@ -84,15 +85,15 @@
     """Factor for SLOW, ALL_SLOW and OVERLOAD; share for FAIL and WRONG."""
 
     period_s: float = 0.0
-    """Flapping: on for half a period, off for the other; 0 for steady."""
+    """Flapping: on for the first half of each period; 0 for steady."""
 
     cut_daemons: int = 0
     probes: Probes = Probes.ALWAYS_GOOD
     load_lag_s: float = 0.0
-    """In-flight counts reach peers so much later."""
+    """Delay of in-flight counts on the way to peers."""
 
     sick: bool = True
-    """Whether the first target should be taken out by every daemon."""
+    """Whether every daemon should eject the first target."""
 
 
 SERVICES: Final = case_tables.parse(Service, case_tables.SERVICES)
@@ -105,4 +106,4 @@
 )
 FAULTS: Final = case_tables.parse(Fault, case_tables.FAULTS)
 SICK_FAULTS: Final = tuple(fault for fault in FAULTS if fault.sick)
-"""Faults for which every daemon should take the first target out."""
+"""Faults for which every daemon should eject the first target."""
--- a/libraries/workbench/src/sardinepier/workbench/detection/shadow_run.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/shadow_run.py
@@ -1,8 +1,9 @@
-"""Many rules over one run: each judges, none of them acts.
+"""Evaluates many detectors in one run, without acting on any of them.
 
-The rules judge daemon by daemon and for themselves, so one run without any
-ejection shows when each of them would have ejected what. What it can't show
-is how the requests would have fared, so a panel tells nothing about those.
+Rival rules decide from each daemon's own attempts, so one run without
+ejections shows which targets each rule would have ejected, and when. It can't
+show how an ejection would have changed the outcomes of requests, so the
+records count none.
 """
 
 from collections.abc import Sequence
@@ -18,7 +19,7 @@
 
 
 class ShadowDetectors:
-    """A judge that lets others look on and never ejects."""
+    """Passes events to several detectors and never ejects a target."""
 
     def __init__(
         self,
@@ -27,20 +28,20 @@
         ],
         targets: int,
     ) -> None:
-        """Let ``detectors`` look on, each with measurements of its own."""
+        """Feed ``detectors``, each with measurements of its own."""
         self._detectors = detectors
-        self._everyone = [1.0 for _ in range(targets)]
+        self._full_weights = [1.0 for _ in range(targets)]
         self._now_s = 0.0
 
     def started(
         self, daemon: int, target: int, route: int, number: int
     ) -> None:
-        """Show an attempt to all."""
-        for one, _ in self._detectors:
-            one.started(daemon, target, route, number)
+        """Pass the attempt to all detectors."""
+        for rule_detector, _ in self._detectors:
+            rule_detector.started(daemon, target, route, number)
 
     def record_attempt(self, now_s: float, daemon: int, target: int) -> None:
-        """Note the new work in all measurements."""
+        """Record the attempt in all measurements."""
         for _, measured in self._detectors:
             measured.record_attempt(now_s, daemon, target, trial=False)
 
@@ -50,67 +51,71 @@
         target: int,
         route: int,
         number: int,
-        end: evidence.AttemptOutcome,
+        outcome: evidence.AttemptOutcome,
         latency_ms: float,
     ) -> None:
-        """Show an end to all."""
-        for one, _ in self._detectors:
-            one.finished(daemon, target, route, number, end, latency_ms)
+        """Pass the outcome to all detectors."""
+        for rule_detector, _ in self._detectors:
+            rule_detector.finished(
+                daemon, target, route, number, outcome, latency_ms
+            )
 
     def tick(self, daemon: int, now_s: float) -> None:
-        """Let all decide, and measure."""
-        for one, measured in self._detectors:
-            one.tick(daemon, now_s)
+        """Let all detectors decide, and record their weights."""
+        for rule_detector, measured in self._detectors:
+            rule_detector.tick(daemon, now_s)
             measured.record_arrival(now_s)
-            measured.record_weights(now_s, daemon, one.weights(daemon))
+            measured.record_weights(
+                now_s, daemon, rule_detector.weights(daemon)
+            )
 
     def weights(self, daemon: int) -> Sequence[float]:
-        """Return full weights: nobody is ejected."""
-        return self._everyone
+        """Return full weights: no target is ejected."""
+        return self._full_weights
 
     def peers_in_flight(self, daemon: int) -> Sequence[int] | None:
-        """Return None: the driver tells daemons the true counts."""
+        """Return None: the driver sends daemons the true counts."""
         return detector.UNKNOWN
 
     def is_trial(self, daemon: int, target: int) -> bool:
-        """Return False."""
+        """Return False: no target is ejected, so none is on trial."""
         return False
 
     def replaced(self, target: int, incarnation: int) -> None:
-        """Tell all."""
-        for one, _ in self._detectors:
-            one.replaced(target, incarnation)
+        """Pass the new incarnation to all detectors."""
+        for rule_detector, _ in self._detectors:
+            rule_detector.replaced(target, incarnation)
 
     def probed(self, daemon: int, target: int, good: bool) -> None:
-        """Tell all."""
-        for one, _ in self._detectors:
-            one.probed(daemon, target, good)
+        """Pass the probe's answer to all detectors."""
+        for rule_detector, _ in self._detectors:
+            rule_detector.probed(daemon, target, good)
 
     def due_probes(self, daemon: int, now_s: float) -> Sequence[int]:
-        """Return nothing."""
+        """Return no targets: rival rules don't use probes."""
         return ()
 
 
 def run(
     plan: driver.Plan,
-    looking_on: Sequence[contenders.Contender],
+    evaluated: Sequence[contenders.Contender],
 ) -> list[records.Record]:
-    """Run one plan before all contenders at once; return their records."""
-    one_run = driver.Driver(plan)
+    """Evaluate all contenders in one run of a plan; return their records."""
+    shadow_driver = driver.Driver(plan)
     detectors = [
         (
-            contender.make(plan.service, plan.seed, one_run.clock),
+            contender.make(plan.service, plan.seed, shadow_driver.clock),
             measurements.Measurements(
                 plan.service, plan.fault, plan.fault_at_s
             ),
         )
-        for contender in looking_on
+        for contender in evaluated
     ]
     shadow_detectors = ShadowDetectors(detectors, plan.service.targets)
-    one_run.attach(shadow_detectors, shadow_detectors.record_attempt)
-    one_run.run()
+    shadow_driver.attach(shadow_detectors, shadow_detectors.record_attempt)
+    shadow_driver.run()
     key = (plan.service, plan.traffic, plan.fault, plan.seed)
     return [
         records.record(contender.name, key, measured)
-        for contender, (_, measured) in zip(looking_on, detectors, strict=True)
+        for contender, (_, measured) in zip(evaluated, detectors, strict=True)
     ]
--- a/libraries/workbench/src/sardinepier/workbench/faults/__init__.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Breaks a small fleet of real processes in known ways."""
+"""Injects faults into a small fleet of real processes."""
--- a/libraries/workbench/src/sardinepier/workbench/faults/actions.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/actions.py
@@ -1,4 +1,4 @@
-"""What a fault case can do to a fleet, each as one small value."""
+"""Actions of fault cases on a fleet."""
 
 import asyncio
 import dataclasses
@@ -10,72 +10,72 @@
 
 
 class Action(Protocol):
-    """Something that breaks or cures a part of a fleet."""
+    """Injects or heals a fault in a part of a fleet."""
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Signal:
-    """Send a signal; a process that ends is started again by the script."""
+    """Send a signal; the script restarts a process that exits."""
 
     name: str
     number: signal.Signals
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
-        running.processes.signal(self.name, self.number)
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
+        running_fleet.processes.signal(self.name, self.number)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Terminate:
-    """Send a signal that ends a process, and keep it down."""
+    """Send a signal that ends a process, and keep the script from a restart."""
 
     name: str
     number: signal.Signals
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
-        running.processes.hold(self.name)
-        running.processes.signal(self.name, self.number)
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
+        running_fleet.processes.hold(self.name)
+        running_fleet.processes.signal(self.name, self.number)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """Let a process that was kept down start again."""
+    """Let the script restart a process that was kept down."""
 
     name: str
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
-        running.processes.release(self.name)
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
+        running_fleet.processes.release(self.name)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SetFault:
-    """Put a fault in force in some targets; ``Fault()`` cures them."""
+    """Set a fault in some targets; ``Fault()`` clears it."""
 
     fault: target_faults.Fault
     names: tuple[str, ...]
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
         for name in self.names:
-            await running.set_fault(name, self.fault)
+            await running_fleet.set_fault(name, self.fault)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """Let a target drain, and keep it down once it has ended."""
+    """Drain a target, and keep it down once it has exited."""
 
     name: str
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
-        running.processes.hold(self.name)
-        await running.drain(self.name)
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
+        running_fleet.processes.hold(self.name)
+        await running_fleet.drain(self.name)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,12 +87,12 @@
     direction: links.Direction = links.Direction.BOTH
     source: str = ''
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
         source_ip = ''
         if self.source:
-            source_ip = running.processes.daemon_ip(self.source)
-        await running.set_link(
+            source_ip = running_fleet.processes.daemon_ip(self.source)
+        await running_fleet.set_link(
             links.LinkRule(
                 self.listener,
                 self.mode,
@@ -104,13 +104,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SetPlatform:
-    """Let the platform answer well or badly."""
+    """Set how the platform answers: up, down, hang, stale or garbage."""
 
     mode: str
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
-        await running.set_platform(self.mode)
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
+        await running_fleet.set_platform(self.mode)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -119,29 +119,29 @@
 
     queue_length: int
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
-        running.publish_queue_length(self.queue_length)
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
+        running_fleet.publish_queue_length(self.queue_length)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Let some time go by between two actions."""
+    """Wait between two actions."""
 
     wait_s: float
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
         await asyncio.sleep(self.wait_s)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ActionSequence:
-    """Take several actions, one straight after another."""
+    """Execute several actions in order."""
 
     actions: tuple[Action, ...]
 
-    async def execute(self, running: fleet.Fleet) -> None:
-        """Do it now."""
+    async def execute(self, running_fleet: fleet.Fleet) -> None:
+        """Execute the action."""
         for action in self.actions:
-            await action.execute(running)
+            await action.execute(running_fleet)
--- a/libraries/workbench/src/sardinepier/workbench/faults/cases.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/cases.py
@@ -1,4 +1,4 @@
-"""The form of a fault case: when it breaks what, and what may happen."""
+"""Fault cases: actions, their schedule, and the allowed effects."""
 
 import dataclasses
 from collections.abc import Callable, Sequence
@@ -27,9 +27,9 @@
 
 
 def no_check(
-    seen: observations.Observations,
+    observed: observations.Observations,
 ) -> Sequence[promises.BrokenPromise]:
-    """Check nothing beyond what every case checks."""
+    """Check nothing beyond the checks of every case."""
     return ()
 
 
@@ -37,13 +37,13 @@
 class FaultCase:
     """One row of the table.
 
-    ``cut_allowed`` says whether callers may lose connections: not when
-    something leaves gracefully. ``completed_percent`` of the requests must
-    complete at least, so that a fleet which serves nobody does not pass.
+    ``cut_allowed`` says whether callers may lose connections, which a
+    graceful exit must not cause. At least ``completed_percent`` of the
+    requests must complete, so that a fleet which serves no request fails.
     ``relays`` names the listeners of the relay that the case cuts, and
-    ``restarts`` the processes that must have started anew by the end. With
-    ``poison``, requests that hold this text are sent as well. ``check``
-    finds promises broken beyond those that every case looks at.
+    ``restarts`` the processes that must have restarted by the end. With
+    ``poison``, requests that contain this text are sent as well. ``check``
+    finds broken promises beyond those that every case checks.
     """
 
     name: str
--- a/libraries/workbench/src/sardinepier/workbench/faults/checks.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/checks.py
@@ -1,93 +1,102 @@
-"""Checks of single cases, beyond those that every case has to pass."""
+"""Checks of single cases, in addition to those of every case."""
 
 from collections.abc import Iterator
 from typing import Final
 
 from sardinepier.workbench.faults import observations, promises
 
-_CRASHED_TARGETS_LIMIT: Final = 2
+_MAX_CRASHED_TARGETS: Final = 2
 _LEAVING_LIMIT_S: Final = 3.0
 LEAVING_TARGET: Final = 't1'
-"""The target that leaves in the cases that :func:`leaving_stops` judges."""
+"""The target that leaves in the cases checked by :func:`leaving_stops`."""
 
 
 def converges(
-    seen: observations.Observations,
+    observed: observations.Observations,
 ) -> list[promises.BrokenPromise]:
-    """No daemon goes back, and all end at one revision after a change."""
-    last = {shown[-1] for shown in seen.revisions.values() if shown}
-    broken = list(_find_reverts(seen))
-    if len(last) > 1:
+    """Check that daemons adopt a change, none reverts, and all agree."""
+    last_revisions = {
+        shown_revisions[-1]
+        for shown_revisions in observed.revisions.values()
+        if shown_revisions
+    }
+    broken = list(_find_reverts(observed))
+    if len(last_revisions) > 1:
         broken.append(
             promises.BrokenPromise(
                 promises.Promise.IN_FORCE,
-                f'the daemons ended at revisions {sorted(last)}',
+                f'the daemons ended at revisions {sorted(last_revisions)}',
             ),
         )
-    if not any(len(shown) > 1 for shown in seen.revisions.values()):
+    if not any(
+        len(shown_revisions) > 1
+        for shown_revisions in observed.revisions.values()
+    ):
         broken.append(
             promises.BrokenPromise(
                 promises.Promise.IN_FORCE,
-                'no daemon has shown the change',
+                'no daemon adopted the change',
             ),
         )
     return broken
 
 
 def poison_stops(
-    seen: observations.Observations,
+    observed: observations.Observations,
 ) -> list[promises.BrokenPromise]:
-    """A poison request runs on two targets at most, and on one at least."""
-    by_tag = seen.executions.by_tag
-    runs = [by_tag.get(item.tag, 0) for item in seen.poisoned.requests]
-    most = max(runs, default=0)
-    if most > _CRASHED_TARGETS_LIMIT:
+    """Check that a poison request runs on one or two targets."""
+    by_tag = observed.executions.by_tag
+    runs = [by_tag.get(item.tag, 0) for item in observed.poisoned.requests]
+    max_runs = max(runs, default=0)
+    if max_runs > _MAX_CRASHED_TARGETS:
         return [
             promises.BrokenPromise(
                 promises.Promise.QUARANTINE,
-                f'one ran {most} times',
+                f'a poison request ran {max_runs} times',
             ),
         ]
-    if most == 0:
+    if max_runs == 0:
         return [
             promises.BrokenPromise(
                 promises.Promise.WITNESS,
-                'no poison request has reached a target',
+                'no poison request reached a target',
             ),
         ]
     return []
 
 
 def leaving_stops(
-    seen: observations.Observations,
+    observed: observations.Observations,
 ) -> list[promises.BrokenPromise]:
-    """The leaving target starts no work after three seconds."""
-    limit_s = seen.injected_at_s + _LEAVING_LIMIT_S
-    samples = seen.loads.get(LEAVING_TARGET, [])
-    late = [item.executions for item in samples if item.seen_at_s >= limit_s]
-    if not late or not late[0]:
+    """Check that the leaving target starts no request after three seconds."""
+    limit_s = observed.injected_at_s + _LEAVING_LIMIT_S
+    samples = observed.loads.get(LEAVING_TARGET, [])
+    late_executions = [
+        item.executions for item in samples if item.seen_at_s >= limit_s
+    ]
+    if not late_executions or not late_executions[0]:
         return [
             promises.BrokenPromise(
                 promises.Promise.WITNESS,
-                'the target had no work at all, or was not watched',
+                'the target started no request, or was not sampled',
             ),
         ]
-    if late[-1] == late[0]:
+    if late_executions[-1] == late_executions[0]:
         return []
     return [
         promises.BrokenPromise(
             promises.Promise.LEAVING,
-            f'it started {late[-1] - late[0]} requests later',
+            f'it started {late_executions[-1] - late_executions[0]} requests later',
         ),
     ]
 
 
 def _find_reverts(
-    seen: observations.Observations,
+    observed: observations.Observations,
 ) -> Iterator[promises.BrokenPromise]:
-    for daemon, shown in seen.revisions.items():
-        if shown != sorted(shown):
+    for daemon, shown_revisions in observed.revisions.items():
+        if shown_revisions != sorted(shown_revisions):
             yield promises.BrokenPromise(
                 promises.Promise.NO_REVERT,
-                f'{daemon} showed the revisions {shown}',
+                f'{daemon} had the revisions {shown_revisions} in force in turn',
             )
--- a/libraries/workbench/src/sardinepier/workbench/faults/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/command.py
@@ -1,7 +1,7 @@
 """The command ``sardinepier-workbench faults``.
 
-``scripts/faults.sh`` starts a fresh fleet for each case and calls it once for
-each. Exits with 1 when the case shows that a guarantee was broken.
+``scripts/faults.sh`` starts a new fleet for each case and calls this command
+once per case. It exits with 1 when the case shows a broken promise.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 class UnknownCaseError(errors.SardinepierError):
-    """No case of the table has the name that was asked for."""
+    """No case of the table has the requested name."""
 
 
 TEXT_OPTIONS: Final = (
@@ -47,21 +47,21 @@
 ) -> None:
     """Run one ``case`` against the fleet that keeps files in ``directory``.
 
-    ``names`` prints the names of all cases instead, one a line, ``relays``
+    ``names`` prints the names of all cases instead, one per line, ``relays``
     the relays that the case needs, and ``heading`` the table's heading.
     """
     if names:
-        _write([known.name for known in table.CASES])
+        _write_lines([known.name for known in table.CASES])
         return
     if heading:
-        _write([_HEADING])
+        _write_lines([_HEADING])
         return
-    chosen = _find(case)
+    chosen = _find_case(case)
     if relays:
-        _write(chosen.relays)
+        _write_lines(chosen.relays)
         return
-    row = asyncio.run(_play(chosen, pathlib.Path(directory)))
-    _write([msgspec.json.encode(row).decode() if json else _render(row)])
+    row = asyncio.run(_run_case(chosen, pathlib.Path(directory)))
+    _write_lines([msgspec.json.encode(row).decode() if json else _render(row)])
     if row.broken:
         sys.exit(_BROKEN_CODE)
 
@@ -85,17 +85,19 @@
     return '\n'.join([line, *(f'  BROKEN: {what}' for what in row.broken)])
 
 
-async def _play(
+async def _run_case(
     case: cases.FaultCase,
     directory: pathlib.Path,
 ) -> verdicts.CaseRow:
     async with aiohttp.ClientSession() as session:
-        running = fleet.Fleet(processes.Processes(directory), session)
-        case_driver = driver.CaseDriver(case, running, clock.SystemClock())
+        running_fleet = fleet.Fleet(processes.Processes(directory), session)
+        case_driver = driver.CaseDriver(
+            case, running_fleet, clock.SystemClock()
+        )
         return await case_driver.run_case()
 
 
-def _find(name: str) -> cases.FaultCase:
+def _find_case(name: str) -> cases.FaultCase:
     for case in table.CASES:
         if case.name == name:
             return case
@@ -105,6 +107,6 @@
     )
 
 
-def _write(lines: Sequence[str]) -> None:
+def _write_lines(lines: Sequence[str]) -> None:
     for line in lines:
         sys.stdout.write(f'{line}\n')
--- a/libraries/workbench/src/sardinepier/workbench/faults/driver.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/driver.py
@@ -1,4 +1,4 @@
-"""Runs one fault case: traffic, the fault, the cure, and the verdict."""
+"""Runs one fault case: traffic, the fault, its end, and the verdict."""
 
 import asyncio
 import contextlib
@@ -21,40 +21,40 @@
     def __init__(
         self,
         case: cases.FaultCase,
-        running: fleet.Fleet,
+        running_fleet: fleet.Fleet,
         time_source: clock.Clock,
     ) -> None:
-        """Prepare; nothing is broken yet."""
+        """Prepare the case; no fault is injected yet."""
         self._case = case
-        self._fleet = running
+        self._fleet = running_fleet
         self._clock = time_source
-        self._seen = observations.Observations(time_source.monotonic_s())
+        self._observed = observations.Observations(time_source.monotonic_s())
 
     async def run_case(self) -> verdicts.CaseRow:
         """Run the case and return its row."""
         processes = self._fleet.processes
         first_pids = {name: processes.pid(name) for name in self._case.restarts}
         watching = asyncio.create_task(self._watch())
-        self._seen.started_at_s = self._clock.monotonic_s()
+        self._observed.started_at_s = self._clock.monotonic_s()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._send_traffic())
-            tasks.create_task(self._break_and_heal())
+            tasks.create_task(self._inject_and_heal())
             tasks.create_task(self._send_poison())
-        # Work may still run whose callers have gone away.
+        # Targets may still run requests whose callers have gone away.
         await asyncio.sleep(_SETTLE_S)
         watching.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await watching
         if self._case.relays:
-            self._seen.cut_connections = await self._fleet.count_cuts()
-        self._seen.not_restarted = tuple(
+            self._observed.cut_connections = await self._fleet.count_cuts()
+        self._observed.not_restarted = tuple(
             name
             for name, first_pid in first_pids.items()
             if processes.pid(name) in {None, first_pid}
         )
         files = processes.execution_files()
-        self._seen.executions = verification.read_files(files)
-        return verdicts.evaluate(self._case, self._seen)
+        self._observed.executions = verification.read_files(files)
+        return verdicts.evaluate(self._case, self._observed)
 
     async def _send_traffic(self) -> None:
         load = self._generator(
@@ -62,7 +62,7 @@
             self._case.schedule.end_at_s,
             poison='',
         )
-        self._seen.run = await load.send_all()
+        self._observed.run = await load.send_all()
 
     async def _send_poison(self) -> None:
         if not self._case.poison:
@@ -73,11 +73,11 @@
             _POISON_FOR_S,
             self._case.poison,
         )
-        self._seen.poisoned = await load.send_all()
+        self._observed.poisoned = await load.send_all()
 
-    async def _break_and_heal(self) -> None:
+    async def _inject_and_heal(self) -> None:
         await self._wait_until(self._case.schedule.inject_at_s)
-        self._seen.injected_at_s = self._clock.monotonic_s()
+        self._observed.injected_at_s = self._clock.monotonic_s()
         await self._case.inject.execute(self._fleet)
         if self._case.heal is not None:
             await self._wait_until(self._case.schedule.heal_at_s)
@@ -88,15 +88,17 @@
             self._watch_loads()
             for daemon in self._fleet.processes.daemons:
                 revision = await self._fleet.read_revision(daemon)
-                shown = self._seen.revisions.setdefault(daemon, [])
-                if revision is not None and shown[-1:] != [revision]:
-                    shown.append(revision)
+                shown_revisions = self._observed.revisions.setdefault(
+                    daemon, []
+                )
+                if revision is not None and shown_revisions[-1:] != [revision]:
+                    shown_revisions.append(revision)
             await asyncio.sleep(_POLL_S)
 
     def _watch_loads(self) -> None:
         for path in self._fleet.processes.execution_files():
             executions = target_executions.read_executions(path)
-            self._seen.loads.setdefault(path.name, []).append(
+            self._observed.loads.setdefault(path.name, []).append(
                 observations.LoadSample(
                     self._clock.monotonic_s(),
                     len(executions),
@@ -104,7 +106,7 @@
             )
 
     async def _wait_until(self, moment_s: float) -> None:
-        due_s = self._seen.started_at_s + moment_s
+        due_s = self._observed.started_at_s + moment_s
         await asyncio.sleep(max(0, due_s - self._clock.monotonic_s()))
 
     def _generator(
--- a/libraries/workbench/src/sardinepier/workbench/faults/fleet.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes and everything that can be done to it."""
+"""A small fleet of real processes, and control over its faults."""
 
 import re
 from typing import Final
@@ -18,7 +18,7 @@
 
 
 class ControlRefusedError(errors.SardinepierError):
-    """A stand-in or the relay did not do what it was told."""
+    """A stand-in or the relay refused a control request."""
 
 
 class _PlatformMode(msgspec.Struct, frozen=True):
@@ -30,27 +30,27 @@
 
     def __init__(
         self,
-        running: processes.Processes,
+        running_processes: processes.Processes,
         session: aiohttp.ClientSession,
     ) -> None:
-        """Use processes that run already."""
-        self.processes = running
+        """Use processes that are already running."""
+        self.processes = running_processes
         self._session = session
 
     async def set_fault(self, name: str, fault: target_faults.Fault) -> None:
-        """Put a fault in force in a target."""
+        """Set the fault of a target."""
         await self._post(name, '/control/fault', msgspec.json.encode(fault))
 
     async def drain(self, name: str) -> None:
-        """Start to drain a target."""
+        """Start draining a target."""
         await self._post(name, '/control/drain', b'')
 
     async def set_link(self, rule: links.LinkRule) -> None:
-        """Change what the relay does."""
+        """Set a rule of the relay."""
         await self._post('relay', '/control/link', msgspec.json.encode(rule))
 
     async def count_cuts(self) -> int:
-        """Return on how many connections the relay has lost bytes."""
+        """Return the number of connections on which the relay dropped bytes."""
         url = f'{self.processes.endpoint("relay").url}/control/cuts'
         async with self._session.get(url, timeout=_TIMEOUT) as reply:
             raw = await reply.read()
@@ -62,7 +62,7 @@
         await self._post('platform', '/control/mode', body)
 
     def publish_queue_length(self, queue_length: int) -> None:
-        """Publish the service's file anew with another queue length."""
+        """Publish the service's file again with another queue length."""
         services = self.processes.directory / 'platform' / 'services'
         path = services / f'{SERVICE}.ini'
         text = _QUEUE_LINE.sub(
@@ -101,5 +101,5 @@
             if not reply.ok:
                 raise ControlRefusedError(
                     f'{url} answered {reply.status}: {await reply.text()}',
-                    'Compare the request with the stand-in that got it',
+                    'Compare the request with what this stand-in accepts',
                 )
--- a/libraries/workbench/src/sardinepier/workbench/faults/links.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/links.py
@@ -1,4 +1,4 @@
-"""What a relay can be told to do to a link, and how it is told."""
+"""Link rules of the relay, and the messages of its control endpoint."""
 
 import enum
 
@@ -6,20 +6,20 @@
 
 
 class LinkMode(enum.Enum):
-    """What becomes of the bytes on a link."""
+    """What a relay does with the bytes on a link."""
 
     PASS = 'pass'
 
     DROP = 'drop'
-    """Bytes vanish while the connection stays open, as on a cut cable.
+    """Bytes are dropped while the connection stays open, as on a cut cable.
     Connections that lost bytes are closed when the link passes again."""
 
     REFUSE = 'refuse'
-    """Connections are closed, new ones too."""
+    """Present and new connections are closed."""
 
 
 class Direction(enum.Enum):
-    """Seen from whoever connects."""
+    """Direction of bytes, seen from the side that connects."""
 
     FORWARD = 'forward'
     BACKWARD = 'backward'
@@ -29,9 +29,8 @@
 class LinkRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A rule for one listener of the relay: the body of ``POST /control/link``.
 
-    ``source_ip`` picks the connections that come from one address; without
-    it the rule is for all. A later rule for the same listener and source
-    takes the place of the earlier one.
+    ``source_ip`` restricts the rule to connections from one address. A later
+    rule for the same listener and source replaces the earlier one.
     """
 
     listener: str
@@ -40,14 +39,14 @@
     direction: Direction = Direction.BOTH
 
     def drops(self, direction: Direction) -> bool:
-        """Tell whether bytes in ``direction`` vanish."""
+        """Return whether bytes in ``direction`` are dropped."""
         if self.mode is not LinkMode.DROP:
             return False
         return self.direction in {direction, Direction.BOTH}
 
 
 class CutCount(msgspec.Struct, frozen=True):
-    """On how many connections the relay has lost bytes so far."""
+    """The number of connections on which the relay dropped bytes."""
 
     connections: int
 
--- a/libraries/workbench/src/sardinepier/workbench/faults/observations.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/observations.py
@@ -1,4 +1,4 @@
-"""What was seen while a case ran, for the checks of single cases."""
+"""Observations of one run of a case, the input of its checks."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadSample:
-    """How many requests a target had started to run at one moment."""
+    """The number of requests that a target had started at one moment."""
 
     seen_at_s: float
     executions: int
@@ -17,12 +17,11 @@
 class Observations:
     """Traffic, the targets' counts, and the revisions of each daemon.
 
-    ``revisions`` holds, for each daemon, the revisions it has shown one
-    after another, and ``loads``, for each target, how much it had run at
-    several moments.
-    ``cut_connections`` says on how many connections the relay lost bytes.
-    ``not_restarted`` names processes that should have started anew.
-    Moments are readings of the local monotonic clock.
+    ``revisions`` holds, for each daemon, the revisions it had in force one
+    after another. ``loads`` holds samples of each target's executions.
+    ``cut_connections`` counts the connections on which the relay dropped
+    bytes. ``not_restarted`` names processes that should have restarted but
+    did not. Times are of the local monotonic clock.
     """
 
     started_at_s: float
--- a/libraries/workbench/src/sardinepier/workbench/faults/processes.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/processes.py
@@ -1,7 +1,7 @@
-"""The processes that a shell script has started, by their recorded ids.
+"""The processes of a fleet, which a shell script has started.
 
-The script keeps a directory with one small file a process; see
-``scripts/fleet.sh``. Signals go only to process ids recorded there.
+The script records each process in files of a directory; see
+``scripts/fleet.sh``. Signals are sent only to process ids recorded there.
 """
 
 import os
@@ -13,16 +13,16 @@
 from sardinepier.core import errors
 from sardinepier.workbench.traffic import options
 
-_IP: Final = '127.0.0.1'
+_LOOPBACK_IP: Final = '127.0.0.1'
 _TARGET_NAME: Final = re.compile(r't\d+')
 
 
 class ProcessMissingError(errors.SardinepierError):
-    """A process that a case relies on does not run."""
+    """A process that a case needs is not running."""
 
 
 class Processes:
-    """Names, addresses and signals."""
+    """Names, addresses and process ids of a fleet, and signals to it."""
 
     def __init__(self, directory: pathlib.Path) -> None:
         """Use the fleet that keeps its files in ``directory``."""
@@ -33,17 +33,19 @@
         )
 
     def endpoint(self, name: str) -> options.Endpoint:
-        """Return where the process listens, past any relay."""
-        ip = self.daemon_ip(name) if name in self.daemons else _IP
+        """Return where the process itself listens, not its relay."""
+        ip = self.daemon_ip(name) if name in self.daemons else _LOOPBACK_IP
         port = int((self.directory / 'port' / name).read_text())
         return options.Endpoint(ip, port)
 
     def detours(self) -> dict[options.Endpoint, options.Endpoint]:
-        """Return where relays stand before the daemons' HTTP ports."""
+        """Return the relay of each daemon's HTTP port that has one."""
         ports = self.directory / 'port'
         paths = {name: ports / f'{name}-http-relay' for name in self.daemons}
         return {
-            self.endpoint(name): options.Endpoint(_IP, int(path.read_text()))
+            self.endpoint(name): options.Endpoint(
+                _LOOPBACK_IP, int(path.read_text())
+            )
             for name, path in paths.items()
             if path.exists()
         }
@@ -54,7 +56,7 @@
         return f'{network}.{self.daemons.index(name) + 1}'
 
     def execution_files(self) -> tuple[pathlib.Path, ...]:
-        """Return the files in which the targets keep their counts."""
+        """Return the files in which the targets record executions."""
         directory = self.directory / 'executions'
         return tuple(directory / name for name in self.targets)
 
@@ -73,17 +75,17 @@
         pid = self.pid(name)
         if pid is None:
             raise ProcessMissingError(
-                f'The process {name} does not run',
+                f'The process {name} is not running',
                 f'Look into log/{name} in the directory of the fleet',
             )
         os.kill(pid, number)
 
     def hold(self, name: str) -> None:
-        """Keep the script from starting the process again."""
+        """Keep the script from restarting the process."""
         (self.directory / 'hold' / name).touch()
 
     def release(self, name: str) -> None:
-        """Let the script start the process again."""
+        """Let the script restart the process."""
         (self.directory / 'hold' / name).unlink(missing_ok=True)
 
     def _names(self, kind: str) -> tuple[str, ...]:
--- a/libraries/workbench/src/sardinepier/workbench/faults/promises.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/promises.py
@@ -1,4 +1,4 @@
-"""What a fleet promises, and how a broken promise is told."""
+"""The promises of a fleet, and reports of broken ones."""
 
 import enum
 
@@ -24,11 +24,11 @@
 
 
 class BrokenPromise(msgspec.Struct, frozen=True):
-    """A promise with the figures that show it broken."""
+    """A broken promise with the figures that prove it."""
 
     promise: Promise
     detail: str
 
     def __str__(self) -> str:
-        """Return both for a person."""
+        """Return the promise and its detail as text."""
         return f'{self.promise.value}: {self.detail}'
--- a/libraries/workbench/src/sardinepier/workbench/faults/relay.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/relay.py
@@ -1,8 +1,8 @@
 """A small TCP relay that can cut a link in one direction only.
 
-Each listener stands before one process. The address from which a connection
-comes tells links apart, so one listener can be deaf to one peer and hear the
-others.
+Each listener forwards to one process. The source address of a connection
+identifies its link, so a listener can drop the bytes of one peer and forward
+those of the others.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 class Relay:
     """Listens for any number of processes in one event loop.
 
-    For example, to let ``t1`` hear requests while its answers vanish::
+    For example, to forward requests to ``t1`` and drop its answers::
 
         port = await relay.listen(links.ListenerPlan('t1', ip, port))
         relay.apply(links.LinkRule('t1', links.LinkMode.DROP,
@@ -60,16 +60,18 @@
         return int(server.sockets[0].getsockname()[1])
 
     def apply(self, rule: links.LinkRule) -> None:
-        """Put ``rule`` in force for present and future connections."""
+        """Apply ``rule`` to present and future connections."""
         self._rules[rule.listener, rule.source_ip] = rule
         for connection in tuple(self._connections):
-            now = self._rule(connection.listener, connection.source_ip)
-            healed = connection.lost_bytes and (now.mode is links.LinkMode.PASS)
-            if healed or now.mode is links.LinkMode.REFUSE:
+            current_rule = self._rule(connection.listener, connection.source_ip)
+            healed = connection.lost_bytes and (
+                current_rule.mode is links.LinkMode.PASS
+            )
+            if healed or current_rule.mode is links.LinkMode.REFUSE:
                 connection.close()
 
     async def stop(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and close all connections."""
         for server in self._servers:
             server.close()
         for connection in tuple(self._connections):
@@ -86,16 +88,18 @@
         source_ip = str(writer.get_extra_info('peername')[0])
         mode = self._rule(plan.name, source_ip).mode
         try:
-            there = await asyncio.open_connection(plan.ip, plan.port)
+            target_streams = await asyncio.open_connection(plan.ip, plan.port)
         except OSError:
             writer.transport.abort()
             return
-        connection = _Connection(plan.name, source_ip, (writer, there[1]))
+        connection = _Connection(
+            plan.name, source_ip, (writer, target_streams[1])
+        )
         if mode is links.LinkMode.REFUSE:
             connection.close()
             return
         with self._tracked(connection):
-            await self._pass_both(connection, reader, there[0])
+            await self._forward_both(connection, reader, target_streams[0])
 
     @contextlib.contextmanager
     def _tracked(self, connection: _Connection) -> Iterator[None]:
@@ -106,47 +110,47 @@
             connection.close()
             self._connections.discard(connection)
 
-    async def _pass_both(
+    async def _forward_both(
         self,
         connection: _Connection,
         reader: asyncio.StreamReader,
-        there_reader: asyncio.StreamReader,
+        target_reader: asyncio.StreamReader,
     ) -> None:
-        writer, there_writer = connection.writers
+        writer, target_writer = connection.writers
         forward = links.Direction.FORWARD
         backward = links.Direction.BACKWARD
         with contextlib.suppress(OSError):
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(
-                    self._pump(connection, forward, reader, there_writer),
+                    self._forward(connection, forward, reader, target_writer),
                 )
                 tasks.create_task(
-                    self._pump(connection, backward, there_reader, writer),
+                    self._forward(connection, backward, target_reader, writer),
                 )
 
-    async def _pump(
+    async def _forward(
         self,
         connection: _Connection,
         direction: links.Direction,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Copy until the end; errors of a dropped connection end it too."""
+        """Forward until the end of the stream or an error of the connection."""
         with contextlib.suppress(OSError):
             chunk = await reader.read(_CHUNK_BYTES)
             while chunk:
                 rule = self._rule(connection.listener, connection.source_ip)
                 if rule.drops(direction):
-                    self._lose(connection)
+                    self._record_loss(connection)
                 else:
                     writer.write(chunk)
                     await writer.drain()
                 chunk = await reader.read(_CHUNK_BYTES)
-        # Half a close is passed on as a whole one: the other side of either
-        # protocol here treats it as the end of the exchange.
+        # A half-close closes the connection: the peers of both protocols
+        # treat it as the end of the exchange.
         connection.close()
 
-    def _lose(self, connection: _Connection) -> None:
+    def _record_loss(self, connection: _Connection) -> None:
         if not connection.lost_bytes:
             connection.lost_bytes = True
             self.cut_connections += 1
--- a/libraries/workbench/src/sardinepier/workbench/faults/relay_main.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/relay_main.py
@@ -2,8 +2,8 @@
 
 It reads ``relay.json`` in the fleet's directory (a ``links.RelayPlan``),
 writes the port of each listener to ``port/<name>-relay`` and that of its
-control endpoint to ``port/relay``: ``POST /control/link`` changes a link, and
-``GET /control/cuts`` answers on how many connections bytes were lost.
+control endpoint to ``port/relay``. ``POST /control/link`` sets a link rule, and
+``GET /control/cuts`` returns the number of connections that lost bytes.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 
 
 async def serve(fleet: pathlib.Path) -> None:
-    """Relay until the process is ended."""
+    """Relay until the process ends."""
     plan = msgspec.json.decode(
         (fleet / 'relay.json').read_bytes(),
         type=links.RelayPlan,
     )
-    running = relay.Relay()
+    running_relay = relay.Relay()
     for listener in plan.listeners:
-        port = await running.listen(listener)
+        port = await running_relay.listen(listener)
         (fleet / 'port' / f'{listener.name}-relay').write_text(f'{port}\n')
     application = web.Application()
-    control = _Control(running)
+    control = _Control(running_relay)
     application.router.add_post('/control/link', control.set_link)
     application.router.add_get('/control/cuts', control.count_cuts)
     runner = web.AppRunner(application)
@@ -43,8 +43,8 @@
 
 
 class _Control:
-    def __init__(self, running: relay.Relay) -> None:
-        self._relay = running
+    def __init__(self, running_relay: relay.Relay) -> None:
+        self._relay = running_relay
 
     async def set_link(self, request: web.Request) -> web.Response:
         body = await request.read()
--- a/libraries/workbench/src/sardinepier/workbench/faults/verdicts.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/verdicts.py
@@ -1,4 +1,4 @@
-"""Turns what was seen in a case into its row of the table."""
+"""Turns the observations of a case into its row of the table."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -17,7 +17,7 @@
 
     ``recover_s`` is the time from the fault to the start of the last request
     that did not complete within a second. ``problems`` counts the daemons'
-    own answers by title. ``broken`` is empty when the case holds.
+    own answers by title and detail. ``broken`` is empty when the case passes.
     """
 
     name: str
@@ -34,12 +34,12 @@
 
 def evaluate(
     case: cases.FaultCase,
-    seen: observations.Observations,
+    observed: observations.Observations,
 ) -> CaseRow:
     """Return the row of ``case``."""
-    requests = seen.run.requests + seen.poisoned.requests
-    verdict = verification.compare(requests, seen.executions)
-    summary = report.summarise(seen.run, verdict)
+    requests = observed.run.requests + observed.poisoned.requests
+    verdict = verification.compare(requests, observed.executions)
+    summary = report.summarise(observed.run, verdict)
     return CaseRow(
         name=case.name,
         requests=summary.requests,
@@ -48,25 +48,25 @@
         false_not_run=len(verdict.false_not_run),
         lost=len(verdict.lost),
         cut=summary.connections_cut,
-        recover_s=_recover_s(seen),
+        recover_s=_recover_s(observed),
         problems=summary.problems,
         broken=(
             *_broken_counts(case, summary, verdict),
             *_broken_service(case, summary),
-            *_broken_witness(case, seen),
-            *case.check(seen),
+            *_broken_witness(case, observed),
+            *case.check(observed),
         ),
     )
 
 
-def _recover_s(seen: observations.Observations) -> float:
-    bad = [
+def _recover_s(observed: observations.Observations) -> float:
+    bad_starts_s = [
         request.started_at_s
-        for request in seen.run.requests
+        for request in observed.run.requests
         if request.kind is not records.Kind.COMPLETED
         or request.total_ms > _SLOW_MS
     ]
-    return max(0, max(bad, default=0) - seen.injected_at_s)
+    return max(0, max(bad_starts_s, default=0) - observed.injected_at_s)
 
 
 def _broken_counts(
@@ -78,10 +78,10 @@
     wrong = attempts.get(records.Kind.WRONG_ANSWER.value, 0)
     unmarked = attempts.get(records.Kind.UNMARKED.value, 0)
     cut = 0
-    unreached = 0
+    not_connected = 0
     if not case.cut_allowed:
         cut = summary.connections_cut
-        unreached = attempts.get(records.Kind.NOT_CONNECTED.value, 0)
+        not_connected = attempts.get(records.Kind.NOT_CONNECTED.value, 0)
     counts = {
         promises.Promise.AT_MOST_ONCE: len(verdict.doubled),
         promises.Promise.NOT_RUN: len(verdict.false_not_run),
@@ -89,7 +89,7 @@
         promises.Promise.OWN_ANSWER: wrong,
         promises.Promise.MARKED: unmarked,
         promises.Promise.NO_CUT: cut,
-        promises.Promise.ADDRESSES: unreached,
+        promises.Promise.ADDRESSES: not_connected,
     }
     for promise, count in counts.items():
         if count:
@@ -98,17 +98,17 @@
 
 def _broken_witness(
     case: cases.FaultCase,
-    seen: observations.Observations,
+    observed: observations.Observations,
 ) -> Iterator[promises.BrokenPromise]:
-    if case.relays and not seen.cut_connections:
+    if case.relays and not observed.cut_connections:
         yield promises.BrokenPromise(
             promises.Promise.WITNESS,
-            'no connection has lost a byte',
+            'no connection lost a byte',
         )
-    for name in seen.not_restarted:
+    for name in observed.not_restarted:
         yield promises.BrokenPromise(
             promises.Promise.WITNESS,
-            f'{name} has not started anew',
+            f'{name} did not restart',
         )
 
 
--- a/libraries/workbench/src/sardinepier/workbench/traffic/__init__.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""Sends requests as callers would and counts what became of them."""
+"""Sends requests as callers would and counts their outcomes."""
--- a/libraries/workbench/src/sardinepier/workbench/traffic/address_book.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/address_book.py
@@ -1,4 +1,4 @@
-"""The addresses that a caller was given, kept for as long as they are good."""
+"""A caller's cache of daemon addresses, for as long as they are valid."""
 
 import dataclasses
 import random
@@ -11,12 +11,12 @@
 from sardinepier.core import clock, errors
 from sardinepier.workbench.traffic import options
 
-_ASK_TIMEOUT: Final = aiohttp.ClientTimeout(total=2)
-_AVOID_S: Final = 1.0
+_REQUEST_TIMEOUT: Final = aiohttp.ClientTimeout(total=2)
+_AVOID_DURATION_S: Final = 1.0
 
 
 class NoAddressError(errors.SardinepierError):
-    """No daemon answered the question for addresses."""
+    """No daemon answered the request for addresses."""
 
 
 class Address(msgspec.Struct, frozen=True):
@@ -41,9 +41,9 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Kept:
+class _CachedAddresses:
     addresses: tuple[Address, ...] = ()
-    good_until_s: float = 0.0
+    valid_until_s: float = 0.0
 
 
 class AddressBook:
@@ -56,31 +56,32 @@
         time_source: clock.Clock,
         random_source: random.Random,
     ) -> None:
-        """Start with the daemons that the caller knows from elsewhere."""
+        """Start without addresses; the daemons in ``traffic`` provide them."""
         self._session = session
         self._options = traffic
         self._clock = time_source
         self._random = random_source
-        self._kept = _Kept()
+        self._cached = _CachedAddresses()
         self._avoided_until_s: dict[options.Endpoint, float] = {}
 
     async def choose(self, tried: Iterable[options.Endpoint]) -> Address:
-        """Return an address, one not yet ``tried`` when there is any.
+        """Return an address, if possible one not yet ``tried``.
 
-        Raises ``NoAddressError`` when nobody answers.
+        Raises ``NoAddressError`` when there is no address and no daemon
+        answers.
         """
-        if self._kept.good_until_s <= self._clock.monotonic_s():
-            await self._ask()
-        addresses = self._kept.addresses
+        if self._cached.valid_until_s <= self._clock.monotonic_s():
+            await self._refresh()
+        addresses = self._cached.addresses
         skipped = set(tried) | self._avoided()
-        fresh = [item for item in addresses if item.endpoint not in skipped]
-        return self._random.choice(fresh or addresses)
+        preferred = [item for item in addresses if item.endpoint not in skipped]
+        return self._random.choice(preferred or addresses)
 
     def avoid(self, endpoint: options.Endpoint) -> None:
-        """Keep away from a daemon that could not be reached, and ask anew."""
-        until_s = self._clock.monotonic_s() + _AVOID_S
+        """Avoid an unreachable daemon for a while, and request addresses anew."""
+        until_s = self._clock.monotonic_s() + _AVOID_DURATION_S
         self._avoided_until_s[endpoint] = until_s
-        self._kept.good_until_s = 0.0
+        self._cached.valid_until_s = 0.0
 
     def _avoided(self) -> set[options.Endpoint]:
         now_s = self._clock.monotonic_s()
@@ -90,25 +91,29 @@
             if until_s > now_s
         }
 
-    async def _ask(self) -> None:
+    async def _refresh(self) -> None:
         avoided = self._avoided()
         daemons = self._random.sample(
             self._options.daemons,
             len(self._options.daemons),
         )
         for daemon in sorted(daemons, key=avoided.__contains__):
-            answer = await self._ask_one(daemon)
+            answer = await self._request_addresses(daemon)
             if answer is not None and answer.addresses:
                 now_s = self._clock.monotonic_s()
-                self._kept = _Kept(answer.addresses, now_s + answer.valid_s)
+                self._cached = _CachedAddresses(
+                    answer.addresses, now_s + answer.valid_s
+                )
                 return
-        if not self._kept.addresses:
+        if not self._cached.addresses:
             raise NoAddressError(
-                'No daemon answered the question for addresses',
-                'Check that a daemon runs at one of the addresses given',
+                'No daemon answered the request for addresses',
+                'Check that a daemon runs at one of the given addresses',
             )
 
-    async def _ask_one(self, daemon: options.Endpoint) -> AddressAnswer | None:
+    async def _request_addresses(
+        self, daemon: options.Endpoint
+    ) -> AddressAnswer | None:
         query = {'service': self._options.service}
         if self._options.zone:
             query['zone'] = self._options.zone
@@ -125,9 +130,9 @@
         async with self._session.get(
             url,
             params=query,
-            timeout=_ASK_TIMEOUT,
-        ) as reply:
-            if not reply.ok:
+            timeout=_REQUEST_TIMEOUT,
+        ) as response:
+            if not response.ok:
                 return None
-            raw = await reply.read()
+            raw = await response.read()
         return msgspec.json.decode(raw, type=AddressAnswer)
--- a/libraries/workbench/src/sardinepier/workbench/traffic/caller.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/caller.py
@@ -1,4 +1,4 @@
-"""A caller: it resends as far as that is safe, and no further."""
+"""A caller that resends a request only where that is safe."""
 
 import asyncio
 import dataclasses
@@ -18,12 +18,12 @@
 )
 
 _MS_PER_S: Final = 1000.0
-_SHORTEST_WAIT_S: Final = 0.05
+_MIN_WAIT_S: Final = 0.05
 
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """Where one request stands between its attempts."""
+    """The state of one request between its attempts."""
 
     record: records.RequestRecord
     address: address_book.Address | None = None
@@ -34,9 +34,9 @@
 class Caller:
     """One customer with its own addresses.
 
-    A keyed request whose fate is unsure is sent again with the *same* key,
-    to another address. Only after a refusal that proves it was not run, or
-    when no connection could be made, does it get a new key and home.
+    A keyed request whose fate is unknown is sent again with the *same* key,
+    to another address. It gets a new key and home only after a refusal that
+    proves it was not run, or when no connection could be made.
     """
 
     def __init__(
@@ -47,12 +47,12 @@
         time_source: clock.Clock,
         random_source: random.Random,
     ) -> None:
-        """Start without any address."""
+        """Start without addresses."""
         self._name = name
         self._session = session
         self._options = traffic
         self._clock = time_source
-        self._book = address_book.AddressBook(
+        self._address_book = address_book.AddressBook(
             session,
             traffic,
             time_source,
@@ -77,7 +77,7 @@
             if _is_final(attempt):
                 break
             await self._wait(attempt)
-        _note_key(progress)
+        _record_key(progress)
         return record
 
     async def _attempt(
@@ -86,7 +86,7 @@
         progress: _Progress,
     ) -> records.Attempt:
         try:
-            address = await self._book.choose(progress.tried)
+            address = await self._address_book.choose(progress.tried)
         except address_book.NoAddressError:
             return records.Attempt(records.Kind.NOT_CONNECTED)
         progress.tried.append(address.endpoint)
@@ -100,11 +100,11 @@
             headers,
         )
         if attempt.kind in {records.Kind.NOT_CONNECTED, records.Kind.CUT}:
-            self._book.avoid(address.endpoint)
+            self._address_book.avoid(address.endpoint)
         return attempt
 
     async def _wait(self, attempt: records.Attempt) -> None:
-        wait_s = max(attempt.retry_after_s, _SHORTEST_WAIT_S)
+        wait_s = max(attempt.retry_after_s, _MIN_WAIT_S)
         await asyncio.sleep(min(wait_s, self._options.longest_wait_s))
 
     def _elapsed_ms(self, since_s: float) -> float:
@@ -112,20 +112,20 @@
 
 
 def _key_for(progress: _Progress, address: address_book.Address) -> str:
-    """Keep the key while the request may have run; else make a new one."""
+    """Return the same key while the request may have run, else a new one."""
     if progress.key and _may_have_run(progress.record.attempts):
         return progress.key
-    _note_key(progress)
+    _record_key(progress)
     unique = f'{progress.record.tag}-{len(progress.record.keys)}'
     progress.key = f'{address.ticket}.{unique}'
     return progress.key
 
 
 def _may_have_run(attempts: Sequence[records.Attempt]) -> bool:
-    """Tell whether the key in use was ever sent without a proof of not-run.
+    """Return whether the current key was sent without a proof of not-run.
 
-    A connection that could not be made says nothing about the attempts
-    before it, so those decide.
+    An attempt that made no connection says nothing about earlier ones, so
+    these decide.
     """
     for attempt in reversed(attempts):
         if attempt.kind is records.Kind.NOT_RUN:
@@ -135,7 +135,7 @@
     return False
 
 
-def _note_key(progress: _Progress) -> None:
+def _record_key(progress: _Progress) -> None:
     if not progress.key:
         return
     sent = [
--- a/libraries/workbench/src/sardinepier/workbench/traffic/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/command.py
@@ -17,11 +17,11 @@
 )
 
 BROKEN_CODE: Final = 1
-"""Exit code when a guarantee was broken or too few requests completed."""
+"""Exit code when a guarantee was broken."""
 
 
 class TooFewCompletedError(errors.SardinepierError):
-    """Fewer requests completed than the command line asked for."""
+    """Fewer requests completed than the command line requires."""
 
 
 TEXT_OPTIONS: Final = (
@@ -48,14 +48,14 @@
     json: bool = False,
     **figures: float,
 ) -> None:
-    """Send bounded traffic through ``daemons`` and check what came of it.
+    """Send bounded traffic through ``daemons`` and check its outcomes.
 
     ``idempotent`` and ``keyed`` are routes such as ``POST:/deposits``.
     ``targets`` (addresses) or ``executions`` (files), comma separated, name
     the targets whose counts are compared. ``figures`` are fields of
     ``options.TrafficOptions``, for example ``--rate_per_s 50 --duration_s 5``.
-    Exits with 1 when a key ran twice, somebody was told an untruth, got a
-    wrong answer, or too few requests completed.
+    Exits with 1 when a key ran twice or a caller got a false outcome or a
+    wrong answer, and with 2 when too few requests completed.
     """
     traffic = _read_options(daemons, service, idempotent, keyed, figures)
     load = generator.Generator(traffic, clock.SystemClock())
@@ -74,7 +74,7 @@
 
 
 def holds(summary: report.TrafficReport) -> bool:
-    """Tell whether all guarantees that a caller can check were kept."""
+    """Return whether all guarantees that a caller can check were kept."""
     attempts = summary.attempts_by_kind
     untrue = (
         records.Kind.WRONG_ANSWER.value in attempts
@@ -116,7 +116,7 @@
         )
     elif targets:
         endpoints = options.parse_endpoints(targets)
-        counts = asyncio.run(verification.ask_targets(endpoints))
+        counts = asyncio.run(verification.fetch_counts(endpoints))
     else:
         return None
     return verification.compare(finished.requests, counts)
--- a/libraries/workbench/src/sardinepier/workbench/traffic/exchange.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: a request goes out, and what comes back is judged."""
+"""Sends one attempt and classifies its answer."""
 
 import dataclasses
 from typing import Final
@@ -11,12 +11,12 @@
 from sardinepier.workbench.traffic import options, records
 
 OUTCOME_HEADER: Final = 'Sardinepier-Outcome'
-_RETRY_HEADER: Final = 'Retry-After'
+_RETRY_AFTER_HEADER: Final = 'Retry-After'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """What the caller wants done. ``path`` starts with the service."""
+    """A caller's request. ``path`` starts with the service."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
     request: Request,
     headers: dict[str, str],
 ) -> records.Attempt:
-    """Send ``request`` once and return what is known of it afterwards."""
+    """Send ``request`` once and return its outcome as the caller knows it."""
     try:
         return await _exchange(session, endpoint, request, headers)
     except aiohttp.ClientConnectorError:
@@ -57,52 +57,52 @@
         f'{endpoint.url}{request.path}',
         data=request.body,
         headers={target_answers.TAG_HEADER: request.tag, **headers},
-    ) as reply:
-        raw = await reply.read()
-        return _judge(request, reply, raw)
+    ) as response:
+        raw = await response.read()
+        return _evaluate(request, response, raw)
 
 
-def _judge(
+def _evaluate(
     request: Request,
-    reply: aiohttp.ClientResponse,
+    response: aiohttp.ClientResponse,
     raw: bytes,
 ) -> records.Attempt:
-    kind = _kind(request, reply, raw)
-    retry_after = reply.headers.get(_RETRY_HEADER, '')
+    kind = _kind(request, response, raw)
+    retry_after = response.headers.get(_RETRY_AFTER_HEADER, '')
     return records.Attempt(
         kind,
-        status=reply.status,
+        status=response.status,
         retry_after_s=float(retry_after) if retry_after.isdigit() else 0.0,
         retry_allowed=bool(retry_after),
-        problem=_problem(reply, raw),
+        problem=_problem(response, raw),
     )
 
 
 def _kind(
     request: Request,
-    reply: aiohttp.ClientResponse,
+    response: aiohttp.ClientResponse,
     raw: bytes,
 ) -> records.Kind:
-    outcome = reply.headers.get(OUTCOME_HEADER, '')
+    outcome = response.headers.get(OUTCOME_HEADER, '')
     if outcome == outcomes.Outcome.NOT_RUN.value:
         return records.Kind.NOT_RUN
     if outcome == outcomes.Outcome.UNKNOWN.value:
         return records.Kind.UNKNOWN
     if outcome != outcomes.Outcome.COMPLETED.value:
         return records.Kind.UNMARKED
-    if not reply.ok:
+    if not response.ok:
         return records.Kind.FAILED
-    whole = target_answers.answers_request(
+    is_complete = target_answers.answers_request(
         raw,
         request.tag,
         request.path,
         request.body,
     )
-    return records.Kind.COMPLETED if whole else records.Kind.WRONG_ANSWER
+    return records.Kind.COMPLETED if is_complete else records.Kind.WRONG_ANSWER
 
 
-def _problem(reply: aiohttp.ClientResponse, raw: bytes) -> str:
-    if reply.content_type != 'application/problem+json':
+def _problem(response: aiohttp.ClientResponse, raw: bytes) -> str:
+    if response.content_type != 'application/problem+json':
         return ''
     try:
         problem = msgspec.json.decode(raw, type=_Problem)
--- a/libraries/workbench/src/sardinepier/workbench/traffic/generator.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/generator.py
@@ -1,4 +1,4 @@
-"""Starts requests at a steady rate, whatever becomes of earlier ones."""
+"""Starts requests at a fixed rate, whether or not earlier ones ended."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TrafficRun:
-    """All that one run has seen so far; it grows while the run goes on."""
+    """The requests of one run so far; grows during the run."""
 
     requests: list[records.RequestRecord] = dataclasses.field(
         default_factory=list,
@@ -27,8 +27,8 @@
 class Generator:
     """One run of requests from several callers.
 
-    ``run`` may be read while ``send_all`` goes on, to see what became of the
-    requests answered so far.
+    ``run`` may be read during ``send_all``; it holds the requests that have
+    ended so far.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         traffic: options.TrafficOptions,
         time_source: clock.Clock,
     ) -> None:
-        """Prepare a run; nothing is sent yet."""
+        """Prepare a run; no request is sent yet."""
         self.run = TrafficRun()
         self._options = traffic
         self._clock = time_source
@@ -47,11 +47,11 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Start no further requests."""
+        """Start no more requests."""
         self._stopped = True
 
     async def send_all(self) -> TrafficRun:
-        """Send all requests and return once each has come out."""
+        """Send all requests and return when each has ended."""
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=4)
         timeout = aiohttp.ClientTimeout(total=self._options.attempt_timeout_s)
         async with aiohttp.ClientSession(
@@ -102,7 +102,7 @@
         self.run.requests.append(await sender.call(request, keyed))
 
     def _body(self, tag: str) -> bytes:
-        """Return a body that no other request has."""
+        """Return a body that is unique to this request."""
         filler = self._random.randbytes(self._options.body_bytes // 2).hex()
         return f'{tag} {self._options.poison} {filler}'.encode()
 
--- a/libraries/workbench/src/sardinepier/workbench/traffic/options.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/options.py
@@ -1,4 +1,4 @@
-"""What the load generator is told."""
+"""Options of the load generator."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 from sardinepier.core import errors
 
 BODY_BYTES: Final = 64
-"""The usual size of a request's body."""
+"""The default size of a request's body."""
 
 _MAX_REQUESTS: Final = 500_000
 
@@ -39,12 +39,12 @@
 
     ``rate_per_s`` requests start each second for ``duration_s``, whether or
     not earlier ones were answered; above ``in_flight_limit`` they are counted
-    as not sent. ``keyed_percent`` of them are non-idempotent and bring a key.
+    as not sent. ``keyed_percent`` of them are non-idempotent and have a key.
     ``resends`` bounds how often one request is sent again, and
     ``attempt_timeout_s`` how long one attempt may take. The run fails when
-    fewer than ``least_completed_percent`` of its requests completed. An
-    address that is a key of ``detours`` is reached by way of the endpoint
-    there, which is how a relay comes between callers and daemons.
+    fewer than ``least_completed_percent`` of its requests completed.
+    ``detours`` maps addresses of daemons to the endpoints, such as relays,
+    to which their requests are sent instead.
     """
 
     daemons: tuple[Endpoint, ...]
@@ -70,7 +70,7 @@
     seed: int = 1
 
     def __post_init__(self) -> None:
-        """Check the figures; raise ``InvalidArgumentError``."""
+        """Raise ``InvalidArgumentError`` when an option is out of range."""
         if not self.daemons:
             raise errors.InvalidArgumentError(
                 'No daemon is named',
--- a/libraries/workbench/src/sardinepier/workbench/traffic/records.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/records.py
@@ -1,26 +1,26 @@
-"""What became of each request, as its caller saw it."""
+"""Outcomes of requests and attempts as their callers saw them."""
 
 import dataclasses
 import enum
 
 
 class Kind(enum.Enum):
-    """How one attempt, or in the end one request, came out."""
+    """The outcome of an attempt or of a request."""
 
     COMPLETED = 'completed'
-    """A target ran it; the whole answer to this very request came back."""
+    """A target ran it; its complete answer to this request came back."""
 
     FAILED = 'failed'
     """A target ran it and answered with an error of its own."""
 
     WRONG_ANSWER = 'wrong-answer'
-    """The answer does not belong to the request, or is not whole."""
+    """The answer does not belong to the request, or is incomplete."""
 
     NOT_RUN = 'not-run'
     UNKNOWN = 'unknown'
 
     CUT = 'cut'
-    """The connection broke after the request, or part of it, was sent."""
+    """The connection broke after all or part of the request was sent."""
 
     NOT_CONNECTED = 'not-connected'
     """No connection could be made, so nothing was sent."""
@@ -29,7 +29,7 @@
     """The caller gave up waiting."""
 
     UNMARKED = 'unmarked'
-    """The answer said nothing about the outcome, which no daemon may do."""
+    """The answer states no outcome, which every answer of a daemon must."""
 
 
 UNCERTAIN_KINDS = frozenset(
@@ -40,15 +40,16 @@
         Kind.UNMARKED,
     )
 )
-"""After these the request may have run, so only the same key is safe."""
+"""After these the request may have run, so a resend needs the same key."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One time that a request was sent.
+    """One attempt at a request.
 
-    ``retry_after_s`` is what the answer asked the caller to wait, 0 when it
-    said nothing. ``problem`` is the title of a daemon's own answer.
+    ``retry_after_s`` is the wait that the answer requests, 0 without one.
+    ``problem`` holds the title and detail of a daemon's own answer, or the
+    error that cut the connection.
     """
 
     kind: Kind
@@ -60,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyUse:
-    """A key and the last that was heard about it."""
+    """A key and the last outcome that its caller received for it."""
 
     key: str
     last: Kind
@@ -68,7 +69,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestRecord:
-    """One request with all of its attempts; times on the local clock."""
+    """One request with all its attempts; times are of the local clock."""
 
     tag: str
     keyed: bool
@@ -80,10 +81,10 @@
 
     @property
     def kind(self) -> Kind:
-        """How the request came out in the end.
+        """The final outcome of the request.
 
-        A connection that could not be made tells nothing new about a request
-        which was sent before, so the last attempt that was sent decides.
+        An attempt that made no connection says nothing about earlier ones, so
+        the last attempt that was sent decides.
         """
         sent = [
             attempt.kind
--- a/libraries/workbench/src/sardinepier/workbench/traffic/report.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/report.py
@@ -1,4 +1,4 @@
-"""What a run came to, for people and for scripts."""
+"""The report of a run, as JSON for scripts and as text."""
 
 import collections
 from collections.abc import Iterable, Sequence
@@ -10,13 +10,13 @@
 from sardinepier.workbench.traffic import generator, records, verification
 
 _US_PER_MS: Final = 1000
-_LONGEST_US: Final = 600_000_000
-_DIGITS: Final = 3
-_SHOWN_PROBLEMS: Final = 8
-_MEDIAN: Final = 50
-_NINTH_DECILE: Final = 90
-_LAST_PERCENT: Final = 99
-_ALL: Final = 100
+_MAX_LATENCY_US: Final = 600_000_000
+_SIGNIFICANT_DIGITS: Final = 3
+_MAX_SHOWN_PROBLEMS: Final = 8
+_P50: Final = 50
+_P90: Final = 90
+_P99: Final = 99
+_P100: Final = 100
 
 
 class Latency(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
     run: generator.TrafficRun,
     verdict: verification.Verdict | None,
 ) -> TrafficReport:
-    """Count ``run``; ``verdict`` is None when no target was asked."""
+    """Summarise ``run``; without targets' counts, ``verdict`` is None."""
     attempts = [item for record in run.requests for item in record.attempts]
     keyed = [record for record in run.requests if record.keyed]
     completed = [
@@ -69,7 +69,7 @@
         attempts_by_kind=count_kinds(kinds),
         resends=len(attempts) - len(run.requests),
         connections_cut=kinds.count(records.Kind.CUT),
-        problems=dict(problems.most_common(_SHOWN_PROBLEMS)),
+        problems=dict(problems.most_common(_MAX_SHOWN_PROBLEMS)),
         first_attempt=measure(item.first_attempt_ms for item in run.requests),
         completed=measure(record.total_ms for record in completed),
         verdict=verdict,
@@ -77,26 +77,26 @@
 
 
 def count_kinds(kinds: Iterable[records.Kind]) -> dict[str, int]:
-    """Return how often each kind occurs, by its name."""
+    """Return the number of occurrences of each kind, by its name."""
     return dict(collections.Counter(kind.value for kind in kinds))
 
 
 def measure(latencies_ms: Iterable[float]) -> Latency:
-    """Return the percentiles of ``latencies_ms``; all 0 without any."""
-    recorder = histogram.HdrHistogram(1, _LONGEST_US, _DIGITS)
+    """Return the percentiles of ``latencies_ms``, 0 if there are none."""
+    recorder = histogram.HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
     for latency_ms in latencies_ms:
         recorder.record_value(max(1, round(latency_ms * _US_PER_MS)))
     return Latency(
         count=recorder.get_total_count(),
-        p50_ms=_percentile_ms(recorder, _MEDIAN),
-        p90_ms=_percentile_ms(recorder, _NINTH_DECILE),
-        p99_ms=_percentile_ms(recorder, _LAST_PERCENT),
-        max_ms=_percentile_ms(recorder, _ALL),
+        p50_ms=_percentile_ms(recorder, _P50),
+        p90_ms=_percentile_ms(recorder, _P90),
+        p99_ms=_percentile_ms(recorder, _P99),
+        max_ms=_percentile_ms(recorder, _P100),
     )
 
 
 def render(report: TrafficReport) -> str:
-    """Return the report as lines for a person."""
+    """Return the report as text."""
     lines = [
         f'requests              {report.requests}',
         f'  by kind             {_render_counts(report.requests_by_kind)}',
@@ -143,5 +143,5 @@
     recorder: histogram.HdrHistogram,
     percentile: float,
 ) -> float:
-    value_us = recorder.get_value_at_percentile(percentile)
-    return float(value_us) / _US_PER_MS
+    latency_us = recorder.get_value_at_percentile(percentile)
+    return float(latency_us) / _US_PER_MS
--- a/libraries/workbench/src/sardinepier/workbench/traffic/verification.py
+++ b/libraries/workbench/src/sardinepier/workbench/traffic/verification.py
@@ -1,6 +1,6 @@
-"""Compares what callers were told with what the targets have run.
+"""Compares the outcomes that callers got with what the targets ran.
 
-The targets' own counts are the witness: what a daemon believes is no proof.
+The targets' own counts are the evidence; what a daemon reports is none.
 """
 
 import pathlib
@@ -15,19 +15,19 @@
 from sardinepier.standins import target_executions
 from sardinepier.workbench.traffic import options, records
 
-_ASK_TIMEOUT: Final = aiohttp.ClientTimeout(total=10)
+_REQUEST_TIMEOUT: Final = aiohttp.ClientTimeout(total=10)
 
 
 class WitnessUnavailableError(errors.SardinepierError):
-    """A target's counts could not be read, so nothing can be concluded."""
+    """A target's counts could not be read, so there is no verdict."""
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """Where callers were told something that the targets contradict.
+    """Outcomes of callers that the targets' counts contradict.
 
-    ``doubled`` are keys which ran more than once. ``false_not_run`` are keys
-    and tags which ran although the last word on them was ``not-run``.
-    ``lost`` are those which did not run although they were ``completed``.
+    ``doubled`` are keys that ran more than once. ``false_not_run`` are keys
+    and tags that ran although their last outcome was ``not-run``. ``lost``
+    are those that did not run although their outcome was ``completed``.
     """
 
     keys_run: int
@@ -38,31 +38,31 @@
 
     @property
     def holds(self) -> bool:
-        """Whether nobody was told anything untrue and no key ran twice."""
+        """Whether no outcome was false and no key ran twice."""
         return not (self.doubled or self.false_not_run or self.lost)
 
 
 class Executions(msgspec.Struct, frozen=True):
-    """Executions of all targets together."""
+    """Counts of executions over all targets."""
 
     by_key: dict[str, int]
     by_tag: dict[str, int]
 
 
-async def ask_targets(targets: Iterable[options.Endpoint]) -> Executions:
-    """Add up the counts that live targets report over HTTP."""
+async def fetch_counts(targets: Iterable[options.Endpoint]) -> Executions:
+    """Add up the counts that running targets report over HTTP."""
     by_key: Counter[str] = Counter()
     by_tag: Counter[str] = Counter()
-    async with aiohttp.ClientSession(timeout=_ASK_TIMEOUT) as session:
+    async with aiohttp.ClientSession(timeout=_REQUEST_TIMEOUT) as session:
         for target in targets:
-            counts = await _ask_target(session, target)
+            counts = await _fetch_target_counts(session, target)
             by_key.update(counts.by_key)
             by_tag.update(counts.by_tag)
     return Executions(by_key, by_tag)
 
 
 def read_files(paths: Iterable[pathlib.Path]) -> Executions:
-    """Add up the executions files, which also outlive killed targets."""
+    """Add up the counts in executions files, which survive killed targets."""
     by_key: Counter[str] = Counter()
     by_tag: Counter[str] = Counter()
     for path in paths:
@@ -76,7 +76,7 @@
     requests: Sequence[records.RequestRecord],
     executions: Executions,
 ) -> Verdict:
-    """Return where the callers' and the targets' stories differ."""
+    """Return the outcomes of callers that the executions contradict."""
     uses = [use for request in requests for use in request.keys]
     ran = executions.by_key
     return Verdict(
@@ -84,17 +84,19 @@
         executions_by_key_max=max(ran.values(), default=0),
         doubled=tuple(key for key, count in ran.items() if count > 1),
         false_not_run=(
-            *_told(uses, records.Kind.NOT_RUN, ran, ran_wanted=True),
-            *_tags_told_not_run(requests, executions.by_tag),
+            *_keys_reported(uses, records.Kind.NOT_RUN, ran, ran_wanted=True),
+            *_tags_reported_not_run(requests, executions.by_tag),
         ),
         lost=(
-            *_told(uses, records.Kind.COMPLETED, ran, ran_wanted=False),
+            *_keys_reported(
+                uses, records.Kind.COMPLETED, ran, ran_wanted=False
+            ),
             *_tags_lost(requests, executions.by_tag),
         ),
     )
 
 
-def _told(
+def _keys_reported(
     uses: Iterable[records.KeyUse],
     last: records.Kind,
     ran: dict[str, int],
@@ -108,11 +110,11 @@
     ]
 
 
-def _tags_told_not_run(
+def _tags_reported_not_run(
     requests: Iterable[records.RequestRecord],
     ran: dict[str, int],
 ) -> list[str]:
-    """Return the tags of which every attempt was refused, and which ran."""
+    """Return tags that ran although every attempt was refused or not sent."""
     return [
         request.tag
         for request in requests
@@ -121,8 +123,8 @@
 
 
 def _never_sent(request: records.RequestRecord) -> bool:
-    proved = {records.Kind.NOT_RUN, records.Kind.NOT_CONNECTED}
-    return all(attempt.kind in proved for attempt in request.attempts)
+    not_sent_kinds = {records.Kind.NOT_RUN, records.Kind.NOT_CONNECTED}
+    return all(attempt.kind in not_sent_kinds for attempt in request.attempts)
 
 
 def _tags_lost(
@@ -136,17 +138,17 @@
     ]
 
 
-async def _ask_target(
+async def _fetch_target_counts(
     session: aiohttp.ClientSession,
     target: options.Endpoint,
 ) -> target_executions.ExecutionCounts:
     url = f'{target.url}/control/executions'
     try:
-        async with session.get(url) as reply:
-            raw = await reply.read()
+        async with session.get(url) as response:
+            raw = await response.read()
     except (aiohttp.ClientError, TimeoutError) as error:
         raise WitnessUnavailableError(
-            f'The target at {target.ip}:{target.port} gave no counts: {error}',
-            'Start it again with its executions file, or name that file',
+            f'The target at {target.ip}:{target.port} returned no counts: {error}',
+            'Restart it with its executions file, or pass that file',
         ) from error
     return msgspec.json.decode(raw, type=target_executions.ExecutionCounts)
--- a/libraries/workbench/tests/cover/test_faults_relay.py
+++ b/libraries/workbench/tests/cover/test_faults_relay.py
@@ -1,4 +1,4 @@
-"""The relay cuts one direction, one source, and heals again."""
+"""The relay cuts one direction or one source, and restores links."""
 
 import asyncio
 import contextlib
@@ -13,23 +13,23 @@
 
 @contextlib.asynccontextmanager
 async def echo_behind_relay():
-    heard = asyncio.Queue()
+    received = asyncio.Queue()
 
     async def serve(reader, writer):
         with contextlib.suppress(OSError):
             while line := await reader.readline():
-                heard.put_nowait(line)
+                received.put_nowait(line)
                 writer.write(line)
         writer.close()
 
     server = await asyncio.start_server(serve, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    cutting = relay.Relay()
-    relay_port = await cutting.listen(
+    tested_relay = relay.Relay()
+    relay_port = await tested_relay.listen(
         links.ListenerPlan('t1', '127.0.0.1', port)
     )
-    yield cutting, relay_port, heard
-    await cutting.stop()
+    yield tested_relay, relay_port, received
+    await tested_relay.stop()
     server.close()
 
 
@@ -48,40 +48,40 @@
 
 
 @pytest.mark.parametrize(
-    ('direction', 'is_heard'),
+    ('direction', 'is_received'),
     [
         (links.Direction.FORWARD, False),
         (links.Direction.BACKWARD, True),
         (links.Direction.BOTH, False),
     ],
 )
-async def test_a_cut_in_one_direction_leaves_the_other(direction, is_heard):
-    async with echo_behind_relay() as (cutting, port, heard):
+async def test_cut_in_one_direction_leaves_the_other(direction, is_received):
+    async with echo_behind_relay() as (tested_relay, port, received):
         stream = await connect(port)
         assert await is_answered(*stream)
-        heard.get_nowait()
-        cutting.apply(links.LinkRule('t1', DROP, direction=direction))
+        received.get_nowait()
+        tested_relay.apply(links.LinkRule('t1', DROP, direction=direction))
         assert not await is_answered(*stream)
-        assert heard.empty() != is_heard
-        assert cutting.cut_connections == 1
-        cutting.apply(links.LinkRule('t1', PASS))
+        assert received.empty() != is_received
+        assert tested_relay.cut_connections == 1
+        tested_relay.apply(links.LinkRule('t1', PASS))
         assert await stream[0].read() == b''
         assert await is_answered(*await connect(port))
 
 
-async def test_a_cut_for_one_source_spares_the_others():
-    async with echo_behind_relay() as (cutting, port, _):
+async def test_cut_for_one_source_leaves_other_sources():
+    async with echo_behind_relay() as (tested_relay, port, _):
         first = await connect(port, '127.0.1.1')
         second = await connect(port, '127.0.1.2')
-        cutting.apply(links.LinkRule('t1', DROP, source_ip='127.0.1.1'))
+        tested_relay.apply(links.LinkRule('t1', DROP, source_ip='127.0.1.1'))
         assert not await is_answered(*first)
         assert await is_answered(*second)
 
 
 async def test_refusal_closes_present_and_new_connections():
-    async with echo_behind_relay() as (cutting, port, _):
+    async with echo_behind_relay() as (tested_relay, port, _):
         stream = await connect(port)
         assert await is_answered(*stream)
-        cutting.apply(links.LinkRule('t1', links.LinkMode.REFUSE))
+        tested_relay.apply(links.LinkRule('t1', links.LinkMode.REFUSE))
         assert not await is_answered(*stream)
         assert not await is_answered(*await connect(port))
--- a/libraries/workbench/tests/cover/test_faults_verdicts.py
+++ b/libraries/workbench/tests/cover/test_faults_verdicts.py
@@ -1,4 +1,4 @@
-"""A fault case is judged by what was seen, and a quiet fleet does not pass."""
+"""Verdicts of fault cases follow from observations; an idle fleet fails."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 Promise = promises.Promise
 
 
-def request(kind, started_at_s=1.0, number=0):
+def make_request(kind, started_at_s=1.0, number=0):
     key = f'key-{number}'
     return records.RequestRecord(
         f'tag-{number}',
@@ -29,18 +29,18 @@
     )
 
 
-def seen(kind=Kind.COMPLETED, runs=1, **fields):
+def make_observations(kind=Kind.COMPLETED, runs=1, **fields):
     ran = {'key-0': runs} if runs else {}
     tags = {'tag-0': runs} if runs else {}
     return observations.Observations(
         started_at_s=0.0,
-        run=generator.TrafficRun([request(kind)]),
+        run=generator.TrafficRun([make_request(kind)]),
         executions=verification.Executions(ran, tags),
         **fields,
     )
 
 
-def judge(observed, **fields):
+def broken_promises(observed, **fields):
     case = cases.FaultCase('case', actions.Drain('t1'), **fields)
     row = verdicts.evaluate(case, observed)
     return {broken.promise for broken in row.broken}
@@ -61,24 +61,29 @@
         (Kind.UNMARKED, 1, {Promise.SERVES, Promise.MARKED}),
     ],
 )
-def test_each_promise_is_looked_at(kind, runs, broken):
-    assert judge(seen(kind, runs), cut_allowed=False) == broken
+def test_each_promise_is_checked(kind, runs, broken):
+    assert (
+        broken_promises(make_observations(kind, runs), cut_allowed=False)
+        == broken
+    )
 
 
 @pytest.mark.parametrize(
     ('cuts', 'broken'), [(0, {Promise.WITNESS}), (1, set())]
 )
-def test_a_link_that_lost_nothing_proves_nothing(cuts, broken):
-    observed = seen(cut_connections=cuts)
-    assert judge(observed, relays=('t1',)) == broken
+def test_case_fails_when_its_relay_lost_no_bytes(cuts, broken):
+    observed = make_observations(cut_connections=cuts)
+    assert broken_promises(observed, relays=('t1',)) == broken
 
 
-def test_a_process_that_stayed_down_proves_nothing():
-    assert judge(seen(not_restarted=('d1',))) == {Promise.WITNESS}
+def test_case_fails_when_a_process_did_not_restart():
+    assert broken_promises(make_observations(not_restarted=('d1',))) == {
+        Promise.WITNESS
+    }
 
 
-def test_a_cut_is_allowed_where_something_is_killed():
-    assert judge(seen(Kind.CUT)) == {Promise.SERVES}
+def test_cut_is_allowed_where_a_process_is_killed():
+    assert broken_promises(make_observations(Kind.CUT)) == {Promise.SERVES}
 
 
 @pytest.mark.parametrize(
@@ -90,24 +95,26 @@
         ({'d1': [1], 'd2': [1]}, {Promise.IN_FORCE}),
     ],
 )
-def test_revisions_grow_and_meet(revisions, broken):
-    observed = seen(revisions=revisions)
-    assert judge(observed, check=checks.converges) == broken
+def test_daemons_must_not_revert_and_must_agree(revisions, broken):
+    observed = make_observations(revisions=revisions)
+    assert broken_promises(observed, check=checks.converges) == broken
 
 
 @pytest.mark.parametrize(
     ('runs', 'broken'),
     [(0, {Promise.WITNESS}), (2, set()), (3, {Promise.QUARANTINE})],
 )
-def test_a_poison_request_stops_at_the_second_target(runs, broken):
-    observed = seen()
-    observed.poisoned = generator.TrafficRun([request(Kind.UNKNOWN, number=7)])
+def test_poison_request_must_stop_at_the_second_target(runs, broken):
+    observed = make_observations()
+    observed.poisoned = generator.TrafficRun(
+        [make_request(Kind.UNKNOWN, number=7)]
+    )
     observed.executions.by_tag['tag-7'] = runs
-    assert judge(observed, check=checks.poison_stops) == broken
+    assert broken_promises(observed, check=checks.poison_stops) == broken
 
 
 @pytest.mark.parametrize(
-    ('late', 'broken'),
+    ('late_executions', 'broken'),
     [
         ([], {Promise.WITNESS}),
         ([0, 0], {Promise.WITNESS}),
@@ -115,21 +122,21 @@
         ([5, 6], {Promise.LEAVING}),
     ],
 )
-def test_a_leaving_target_gets_no_late_work(late, broken):
-    observed = seen()
+def test_leaving_target_must_start_no_late_requests(late_executions, broken):
+    observed = make_observations()
     samples = [observations.LoadSample(0.5, 1)]
     samples.extend(
         observations.LoadSample(3.0 + number, executions)
-        for number, executions in enumerate(late)
+        for number, executions in enumerate(late_executions)
     )
     observed.loads['t1'] = samples
-    assert judge(observed, check=checks.leaving_stops) == broken
+    assert broken_promises(observed, check=checks.leaving_stops) == broken
 
 
 def test_recovery_ends_with_the_last_bad_request():
-    observed = seen(injected_at_s=2.0)
-    observed.run.requests.append(request(Kind.UNKNOWN, 5.5, number=1))
-    observed.run.requests.append(request(Kind.COMPLETED, 6.0, number=2))
+    observed = make_observations(injected_at_s=2.0)
+    observed.run.requests.append(make_request(Kind.UNKNOWN, 5.5, number=1))
+    observed.run.requests.append(make_request(Kind.COMPLETED, 6.0, number=2))
     case = cases.FaultCase(
         'case', actions.SetFault(target_faults.Fault(), ('t1',))
     )
--- a/libraries/workbench/tests/cover/test_traffic.py
+++ b/libraries/workbench/tests/cover/test_traffic.py
@@ -1,4 +1,4 @@
-"""The load generator acts as a caller must, and sees through untruths."""
+"""The load generator resends as callers must, and finds false outcomes."""
 
 import contextlib
 import random
@@ -30,7 +30,7 @@
 
 
 class FakeDaemon:
-    """Forwards to one target and treats a key's n-th attempt as scripted."""
+    """Forwards to one target and treats the n-th attempt as ``script`` says."""
 
     def __init__(self, target, script):
         self.target = target
@@ -42,7 +42,7 @@
         address = {'ip': '127.0.0.1', 'port': self.port, 'ticket': 'd~1.0.n'}
         return web.json_response({'addresses': [address], 'valid_s': 60})
 
-    async def work(self, request):
+    async def handle_request(self, request):
         body = await request.read()
         key = request.headers.get('Idempotency-Key', '')
         step = self.script[min(len(self.keys), len(self.script) - 1)]
@@ -65,35 +65,35 @@
         await self.forward(request, body)
         return await self.forward(request, body)
 
-    async def run_but_deny(self, request, body):
+    async def run_but_report_not_run(self, request, body):
         await self.forward(request, body)
         return web.Response(
             status=503, headers={'Sardinepier-Outcome': 'not-run'}
         )
 
-    async def run_but_unsure(self, request, body):
+    async def run_but_report_unknown(self, request, body):
         await self.forward(request, body)
         return web.Response(status=504, headers=UNKNOWN)
 
     async def refuse(self, request, body):
         return web.Response(status=503, headers=NOT_RUN)
 
-    async def refuse_for_good(self, request, body):
+    async def refuse_without_retry(self, request, body):
         return web.Response(
             status=404, headers={'Sardinepier-Outcome': 'not-run'}
         )
 
-    async def answer_another(self, request, body):
+    async def answer_another_body(self, request, body):
         return await self.forward(request, b'another')
 
-    async def unmarked(self, request, body):
+    async def answer_without_outcome(self, request, body):
         return web.Response(body=b'{}')
 
     async def cut(self, request, body):
         request.transport.abort()
         return web.Response()
 
-    async def invent(self, request, body):
+    async def answer_without_running(self, request, body):
         return web.Response(
             body=b'{"target_id":"t","request_tag":"%b","method":"POST",'
             b'"path":"/deposits","body_digest":"%b"}'
@@ -116,7 +116,7 @@
     daemon = FakeDaemon(f'http://127.0.0.1:{target_port}', script)
     application = web.Application()
     application.router.add_get('/v1/addresses', daemon.addresses)
-    application.router.add_post('/{path:.*}', daemon.work)
+    application.router.add_post('/{path:.*}', daemon.handle_request)
     runner = web.AppRunner(application)
     await runner.setup()
     await web.TCPSite(runner, '127.0.0.1', 0).start()
@@ -126,7 +126,7 @@
     await standin.stop()
 
 
-async def play(script, count=1):
+async def run_traffic(script, count=1):
     async with fleet(script) as (daemon, target):
         load = generator.Generator(
             options.TrafficOptions(
@@ -141,57 +141,61 @@
             clock.SystemClock(),
         )
         run = await load.send_all()
-        executions = await verification.ask_targets([target])
+        executions = await verification.fetch_counts([target])
         verdict = verification.compare(run.requests, executions)
         return report.summarise(run, verdict), daemon.keys
 
 
 async def test_plain_traffic_completes_and_holds():
-    summary, keys = await play(['forward'], count=20)
+    summary, keys = await run_traffic(['forward'], count=20)
     assert summary.requests_by_kind == {'completed': 20}
     assert summary.verdict.executions_by_key_max == 1
     assert len(set(keys)) == 20
     assert command.holds(summary)
 
 
-@pytest.mark.parametrize('unsure', ['run_but_unsure', 'cut'])
-async def test_unsure_request_is_resent_with_the_same_key(unsure):
-    summary, keys = await play([unsure, unsure, 'refuse_for_good'])
+@pytest.mark.parametrize('unknown_fate', ['run_but_report_unknown', 'cut'])
+async def test_request_of_unknown_fate_is_resent_with_the_same_key(
+    unknown_fate,
+):
+    summary, keys = await run_traffic(
+        [unknown_fate, unknown_fate, 'refuse_without_retry']
+    )
     assert len(keys) == 3
     assert len(set(keys)) == 1
     assert summary.resends == 2
 
 
 async def test_refused_request_is_resent_with_a_new_key():
-    summary, keys = await play(['refuse', 'refuse', 'forward'])
+    summary, keys = await run_traffic(['refuse', 'refuse', 'forward'])
     assert len(set(keys)) == 3
     assert summary.requests_by_kind == {'completed': 1}
     assert command.holds(summary)
 
 
 async def test_resends_are_bounded():
-    summary, keys = await play(['cut'])
+    summary, keys = await run_traffic(['cut'])
     assert len(keys) == 5
     assert summary.requests_by_kind == {'cut': 1}
 
 
 @pytest.mark.parametrize(
-    ('script', 'found'),
+    ('script', 'finding'),
     [
         (['forward_twice'], 'doubled'),
-        (['run_but_unsure', 'forward'], 'doubled'),
-        (['run_but_deny'], 'false_not_run'),
-        (['run_but_unsure', 'refuse_for_good'], 'false_not_run'),
-        (['invent'], 'lost'),
-        (['answer_another'], ''),
-        (['unmarked'], ''),
+        (['run_but_report_unknown', 'forward'], 'doubled'),
+        (['run_but_report_not_run'], 'false_not_run'),
+        (['run_but_report_unknown', 'refuse_without_retry'], 'false_not_run'),
+        (['answer_without_running'], 'lost'),
+        (['answer_another_body'], ''),
+        (['answer_without_outcome'], ''),
     ],
 )
-async def test_broken_guarantees_are_found(script, found):
-    summary, _ = await play(script)
+async def test_broken_guarantees_are_found(script, finding):
+    summary, _ = await run_traffic(script)
     assert not command.holds(summary)
-    if found:
-        assert len(getattr(summary.verdict, found)) >= 1
+    if finding:
+        assert len(getattr(summary.verdict, finding)) >= 1
 
 
 def test_killed_targets_are_read_from_their_files(tmp_path):
@@ -199,7 +203,7 @@
     path.write_bytes(b'["k","t"]\n["k","t"]\n["","u"]\n')
     counts = verification.read_files([path, tmp_path / 'none'])
     assert (counts.by_key, counts.by_tag) == ({'k': 2}, {'t': 2, 'u': 1})
-    told = records.RequestRecord(
+    expected_text = records.RequestRecord(
         'u',
         False,
         0.0,
@@ -207,7 +211,7 @@
             records.Attempt(records.Kind.NOT_RUN),
         ],
     )
-    verdict = verification.compare([told], counts)
+    verdict = verification.compare([expected_text], counts)
     assert verdict.doubled == ('k',)
     assert verdict.false_not_run == ('u',)
 
@@ -236,13 +240,13 @@
         lambda: options.TrafficOptions((1,), 's', None, None, rate_per_s=0),
     ],
 )
-def test_mistakes_on_the_command_line_are_typed(mistake):
+def test_mistakes_on_the_command_line_raise_typed_errors(mistake):
     with pytest.raises(errors.InvalidArgumentError):
         mistake()
 
 
 @pytest.mark.parametrize(
-    ('arguments', 'code', 'told'),
+    ('arguments', 'code', 'expected_text'),
     [
         ([], None, 'experiment detection'),
         (['sing'], 2, 'no subcommand'),
@@ -252,21 +256,21 @@
     ],
 )
 def test_command_line_explains_mistakes(
-    monkeypatch, capsys, arguments, code, told
+    monkeypatch, capsys, arguments, code, expected_text
 ):
     monkeypatch.setattr('sys.argv', ['sardinepier-workbench', *arguments])
     if code is None:
         main.main()
     else:
-        with pytest.raises(SystemExit) as leaving:
+        with pytest.raises(SystemExit) as system_exit:
             main.main()
-        assert leaving.value.code == code
+        assert system_exit.value.code == code
     written = capsys.readouterr()
-    assert told in written.out + written.err
+    assert expected_text in written.out + written.err
     assert 'Traceback' not in written.err
 
 
-def test_latencies_keep_their_percentiles():
+def test_latency_percentiles_are_measured():
     latency = report.measure(float(number) for number in range(1, 101))
     assert latency.count == 100
     assert latency.p50_ms == pytest.approx(50, rel=0.01)
--- a/libraries/workbench/tests/nocover/test_faults_processes.py
+++ b/libraries/workbench/tests/nocover/test_faults_processes.py
@@ -1,7 +1,7 @@
-"""Real processes keep their promises under a few of the faults.
+"""Real processes keep their promises under some of the fault cases.
 
 ``make faults`` runs the whole table. These are one case for each mechanism
-whose removal was seen to break a promise. Each starts about ten processes.
+whose removal was observed to break a promise. Each starts about ten processes.
 """
 
 import asyncio
