--- a/libraries/workbench/src/sardinepier/workbench/detection/command.py
+++ b/libraries/workbench/src/sardinepier/workbench/detection/command.py
@@ -1,4 +1,4 @@
-"""The detection experiment as a command, and its larger runs in shards.
+r"""The detection experiment as a command, and its larger runs in shards.
 
 A shard runs every n-th plan, so that several processes share the work. The
 design note uses these runs::
--- a/libraries/workbench/src/sardinepier/workbench/faults/checks.py
+++ b/libraries/workbench/src/sardinepier/workbench/faults/checks.py
@@ -44,7 +44,7 @@
 def poison_stops(
     observed: observations.Observations,
 ) -> list[promises.BrokenPromise]:
-    """Check that a poison request runs on one or two targets."""
+    """Check that poison requests run, each on two targets at most."""
     by_tag = observed.executions.by_tag
     runs = [by_tag.get(item.tag, 0) for item in observed.poisoned.requests]
     max_runs = max(runs, default=0)
--- a/libraries/workbench/tests/cover/test_detection_driver.py
+++ b/libraries/workbench/tests/cover/test_detection_driver.py
@@ -69,7 +69,7 @@
     rivals = contenders.rivals()
     all_records = shadow_run.run(_plan('100% errors'), rivals)
     assert [record.contender for record in all_records] == [
-        record.name for record in rivals
+        rival.name for rival in rivals
     ]
     assert len({record.struck_requests for record in all_records}) == 1
     detection_times = {
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    ('rule', 'ends', 'sick'),
+    ('rule', 'failures', 'is_faulty'),
     [
         (rules.ConsecutiveErrors(3), [True, True, False, True], False),
         (rules.ConsecutiveErrors(3), [False, True, True, True], True),
@@ -107,10 +107,10 @@
         (rules.ErrorRate(0.5, 4, 10), [True, False, True, False], True),
     ],
 )
-def test_error_rules_eject_at_their_limits(rule, ends, sick):
-    for failed in ends:
+def test_error_rules_eject_at_their_limits(rule, failures, is_faulty):
+    for failed in failures:
         rule.count(1, failed, 40.0)
-    assert (1 in rule.faulty_targets(1.0)) is sick
+    assert (1 in rule.faulty_targets(1.0)) is is_faulty
     rule.reset(1)
     assert 1 not in rule.faulty_targets(1.1)
 
