--- a/libraries/telemetry/src/sardinepier/telemetry/internal/histograms.py
+++ b/libraries/telemetry/src/sardinepier/telemetry/internal/histograms.py
@@ -96,7 +96,7 @@
             self._histogram.decode_and_add(encoded.encode())
         except _DECODE_ERRORS as error:
             raise errors.BadHistogramError(
-                f'An encoded histogram cannot be decoded ({error})',
+                f'An encoded histogram is unreadable ({error})',
                 'Use a tool of the same version as the daemon',
             ) from error
 
