--- a/libraries/cli/src/sardinepier/cli/timeline.py
+++ b/libraries/cli/src/sardinepier/cli/timeline.py
@@ -62,7 +62,7 @@
 class FollowOptions:
     """How to poll: for how long and how often.
 
-    ``prints_entries`` tells whether entries are printed as they arrive.
+    ``prints_entries`` says whether entries are printed as they arrive.
     """
 
     for_s: float
--- a/libraries/daemon/src/sardinepier/daemon/internal/assembly.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/assembly.py
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recorder:
-    """Writes each event to the time line and to the log."""
+    """Writes each event to the timeline and to the log."""
 
     timeline: timeline.Timeline
 
--- a/libraries/daemon/src/sardinepier/daemon/internal/graceful_shutdown.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/graceful_shutdown.py
@@ -38,7 +38,7 @@
         """Return when all requests are finished or cut off.
 
         Takes ``shutdown_grace_s`` at most. Requests that are unfinished by
-        then are cut off, and their number is recorded in the time line.
+        then are cut off, and their number is recorded in the timeline.
         """
         deadline_s = self.clock.monotonic_s() + fleet.shutdown_grace_s
         self.set_state(status_document.DaemonState.DRAINING)
--- a/libraries/daemon/src/sardinepier/daemon/internal/pages.py
+++ b/libraries/daemon/src/sardinepier/daemon/internal/pages.py
@@ -1,4 +1,4 @@
-"""The daemon's pages for operators: status, metrics and time line."""
+"""The daemon's pages for operators: status, metrics and timeline."""
 
 import dataclasses
 from collections.abc import Callable
--- a/libraries/entry/src/sardinepier/entry/decision_log.py
+++ b/libraries/entry/src/sardinepier/entry/decision_log.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class RequestEnd:
     """How a request ended."""
 
     outcome: events.Outcome
@@ -71,7 +71,7 @@
                 record.failure_probability(now_s, typical_latency_s), 3
             ),
             belief_age_ms=_ms(now_s - record.estimate.updated_s),
-            belief_source=record.belief_source,
+            belief_source=record.estimate_source,
             in_flight=record.in_flight(now_s),
         )
         if self._attempt_lines.allows():
@@ -131,7 +131,7 @@
         self,
         request_id: str,
         request: caller_request.CallerRequest | None,
-        end: End,
+        end: RequestEnd,
     ) -> None:
         """Log how a request ended, unless its first attempt was answered."""
         is_plain = end.outcome is events.Outcome.ANSWERED
@@ -171,7 +171,7 @@
         self,
         request_id: str,
         request: caller_request.CallerRequest | None,
-        end: End,
+        end: RequestEnd,
     ) -> events.RequestEnded:
         now_s = self._clock.monotonic_s()
         version, revision = self._services.versions()
--- a/libraries/entry/src/sardinepier/entry/exploration.py
+++ b/libraries/entry/src/sardinepier/entry/exploration.py
@@ -151,7 +151,7 @@
                 SUSPECTED_RULE,
                 ExplorationRule(_RETRYABLE_IDLE_S, _MAX_PROBABILITY),
             )
-        if self.recent.exceed_limit():
+        if self.recent.exceeds_limit():
             return (ANY_TARGET_RULE,)
         max_probability = self._threshold.probability(accepting, context)
         return (ExplorationRule(_MAX_IDLE_S, max_probability),)
--- a/libraries/entry/src/sardinepier/entry/outcome_recorder.py
+++ b/libraries/entry/src/sardinepier/entry/outcome_recorder.py
@@ -45,14 +45,14 @@
             else events.Outcome.TARGET_FAILED
         )
         self._record_end(
-            decision_log.End(outcome, answer.status), answer.length_bytes
+            decision_log.RequestEnd(outcome, answer.status), answer.length_bytes
         )
 
     def refused(self, error: core_errors.SardinepierError) -> None:
         """Record that the daemon answers with ``error``."""
         is_unknown = isinstance(error, refusals.UnknownFateError)
         self._record_end(
-            decision_log.End(
+            decision_log.RequestEnd(
                 events.Outcome.UNKNOWN
                 if is_unknown
                 else events.Outcome.REFUSED,
@@ -64,9 +64,13 @@
 
     def abandoned(self) -> None:
         """Record that the caller disconnected."""
-        self._record_end(decision_log.End(events.Outcome.ABANDONED, _NO_STATUS))
+        self._record_end(
+            decision_log.RequestEnd(events.Outcome.ABANDONED, _NO_STATUS)
+        )
 
-    def _record_end(self, end: decision_log.End, answer_bytes: int = 0) -> None:
+    def _record_end(
+        self, end: decision_log.RequestEnd, answer_bytes: int = 0
+    ) -> None:
         names = self._shared.names
         body_bytes = len(self.request.body) if self.request else 0
         forwarded_bytes = _HEAD_BYTES + body_bytes + answer_bytes
--- a/libraries/entry/src/sardinepier/entry/recent_failures.py
+++ b/libraries/entry/src/sardinepier/entry/recent_failures.py
@@ -34,7 +34,7 @@
         self._attempts += 1
         self._failures += is_failure
 
-    def exceed_limit(self) -> bool:
+    def exceeds_limit(self) -> bool:
         """Return whether so many fail that no target may be left idle."""
         self._decay()
         if self._attempts < _MIN_ATTEMPTS:
--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -181,7 +181,7 @@
         deviation_bytes = answer_bytes - self._typical_answer_bytes
         self._typical_answer_bytes += _SMOOTHING * deviation_bytes
         record.estimate.answered(self._clock.monotonic_s())
-        record.belief_source = target_record.ObservationSource.OWN
+        record.estimate_source = target_record.ObservationSource.OWN
         self._explorer.recent.record(is_failure=False)
         record.is_exploration = False
         self.on_outcome(True)
@@ -219,7 +219,7 @@
         else:
             is_early = taken_s < _EARLY_FACTOR * self.typical_latency_s
             record.estimate.failed(now_s, is_early=is_early)
-        record.belief_source = target_record.ObservationSource.OWN
+        record.estimate_source = target_record.ObservationSource.OWN
         # Failed explorations don't count: a high share of failures causes
         # more explorations, which would keep that share high. Attempts that
         # were given up don't count either: the request was served by another
--- a/libraries/entry/src/sardinepier/entry/target_record.py
+++ b/libraries/entry/src/sardinepier/entry/target_record.py
@@ -61,7 +61,8 @@
 
     ``preference_offset``, 0 to 1, is drawn at random by this daemon, so that
     daemons which share a zone prefer different targets among equals.
-    ``belief_source`` is who observed the outcome that ``estimate`` is based on.
+    ``estimate_source`` is who observed the outcome that ``estimate`` is based
+    on.
     ``started_s`` maps each open attempt to when it began, oldest first.
     The target is slow after its start until ``warm_from_s``, and
     ``latency_ratio`` is its latency relative to that of the service, 1.0 if
@@ -81,7 +82,7 @@
     url: yarl.URL
     known_since_s: float = 0.0
     preference_offset: float = 0.0
-    belief_source: ObservationSource = ObservationSource.NOBODY
+    estimate_source: ObservationSource = ObservationSource.NOBODY
     started_s: dict[int, float] = dataclasses.field(default_factory=dict)
     latency_ratio: float = 1.0
     warm_from_s: float = 0.0
@@ -103,7 +104,7 @@
         """Return whether any daemon is known to have sent it a request."""
         if self.was_used:
             return True
-        return self.belief_source is not ObservationSource.NOBODY
+        return self.estimate_source is not ObservationSource.NOBODY
 
     def last_known_use_s(self) -> float:
         """Return when it last got or answered a request, as far as is known."""
--- a/libraries/entry/tests/cover/test_entry_callers.py
+++ b/libraries/entry/tests/cover/test_entry_callers.py
@@ -11,12 +11,12 @@
 
 async def test_answers_to_pipelined_requests_keep_their_order(entry):
     target = support.RawTarget('t1', ['gated', 'ok'])
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     attempt_ids = [f'id-{number}' for number in range(4)]
     for attempt_id in attempt_ids:
         writer.write(support.request(**{support.NAMES.attempt_id: attempt_id}))
-    await support.wait_until(lambda: len(target.seen) >= 3)
+    await support.wait_until(lambda: len(target.received) >= 3)
     target.gate.set()
     answers = [await support.read_answer(reader) for _ in attempt_ids]
     echoed = [headers[support.NAMES.attempt_id] for _, headers, _ in answers]
@@ -26,12 +26,12 @@
 
 async def test_pipelined_idempotent_requests_run_concurrently(entry):
     target = support.RawTarget('t1', ['gated'])
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     for number in range(3):
         writer.write(support.request(**{support.NAMES.attempt_id: str(number)}))
     # None has been answered yet.
-    await support.wait_until(lambda: len(target.seen) >= 3)
+    await support.wait_until(lambda: len(target.received) >= 3)
     target.gate.set()
     for _ in range(3):
         status, _, _ = await support.read_answer(reader)
@@ -41,99 +41,99 @@
 
 async def test_a_pipelined_non_idempotent_request_waits_for_earlier_ones(entry):
     target = support.RawTarget('t1', ['gated', 'ok'])
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     writer.write(support.request())
     writer.write(support.request('/once/1', 'POST'))
-    await support.wait_until(lambda: target.seen)
+    await support.wait_until(lambda: target.received)
     await asyncio.sleep(0.2)
-    assert len(target.seen) == 1
+    assert len(target.received) == 1
     target.gate.set()
     await support.read_answer(reader)
     await support.read_answer(reader)
-    assert len(target.seen) == 2
+    assert len(target.received) == 2
     writer.close()
 
 
 async def test_a_disconnect_cancels_an_idempotent_attempt(entry):
     target = support.RawTarget('t1', ['hang'])
-    await entry.use(target)
+    await entry.set_targets(target)
     _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     writer.write(support.request('/books/1'))
-    await support.wait_until(lambda: target.ran)
+    await support.wait_until(lambda: target.run_count)
     writer.close()
-    await support.wait_until(lambda: target.cut_while_running)
+    await support.wait_until(lambda: target.disconnects_while_running)
 
 
 async def test_a_disconnect_does_not_cancel_a_non_idempotent_attempt(entry):
     target = support.RawTarget('t1', ['hang'])
-    await entry.use(target)
+    await entry.set_targets(target)
     _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     writer.write(support.request('/once/1'))
-    await support.wait_until(lambda: target.ran)
+    await support.wait_until(lambda: target.run_count)
     writer.close()
     await asyncio.sleep(0.3)
-    assert (target.ran, target.cut_while_running) == (1, 0)
+    assert (target.run_count, target.disconnects_while_running) == (1, 0)
 
 
 async def test_a_queued_request_is_dropped_if_its_caller_disconnects(entry):
     target = support.RawTarget('t1', ['gated'])
-    await entry.use(target)
+    await entry.set_targets(target)
     writers = []
     for _ in range(4):
         _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
         writer.write(support.request('/once/1', 'POST'))
         writers.append(writer)
     # The three slots of the target are used; the fourth request is queued.
-    await support.wait_until(lambda: target.ran == 3)
+    await support.wait_until(lambda: target.run_count == 3)
     await support.wait_until(lambda: entry.shared.activity.in_flight == 4)
     for writer in writers:
         writer.close()
     await support.wait_until(lambda: entry.shared.activity.in_flight == 0)
     target.gate.set()
     await asyncio.sleep(0.3)
-    assert target.ran == 3
+    assert target.run_count == 3
 
 
 async def test_an_unknown_route_is_not_found(entry):
-    await entry.use(support.RawTarget('t1'))
-    status, _, _ = await entry.ask('/other/1')
+    await entry.set_targets(support.RawTarget('t1'))
+    status, _, _ = await entry.send('/other/1')
     assert status == 404
 
 
 async def test_a_daemon_without_a_configuration_asks_to_retry_later(entry):
     entry.shared.services._table = None
-    status, headers, _ = await entry.ask()
+    status, headers, _ = await entry.send()
     assert status == 503
     assert 'Retry-After' in headers
 
 
 async def test_a_body_above_the_bound_is_refused(entry):
-    await entry.use(support.RawTarget('t1'))
+    await entry.set_targets(support.RawTarget('t1'))
     entry.shared.services.offer_configuration(
         support.configuration(2, bounds=model.CallerBounds(body_bytes=10)),
     )
-    status, _, _ = await entry.ask('/once/1', 'POST', b'x' * 11)
-    assert (status, entry.ran) == (413, 0)
+    status, _, _ = await entry.send('/once/1', 'POST', b'x' * 11)
+    assert (status, entry.run_count) == (413, 0)
 
 
 async def test_a_draining_daemon_serves_and_asks_to_close(entry):
-    await entry.use(support.RawTarget('t1'))
+    await entry.set_targets(support.RawTarget('t1'))
     entry.shared.activity.is_draining = True
-    status, headers, _ = await entry.ask()
+    status, headers, _ = await entry.send()
     assert status == 200
     assert headers['Connection'] == 'close'
 
 
 async def test_a_chunked_body_is_forwarded_whole(entry):
     target = support.RawTarget('t1')
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     writer.write(support.request('/once/1', 'POST', **CHUNKED))
     writer.write(b'3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n')
     status, _, _ = await support.read_answer(reader)
     assert status == 200
-    assert target.seen[0][2] == b'abcde'
+    assert target.received[0][2] == b'abcde'
     writer.close()
 
 
@@ -141,9 +141,9 @@
     targets = [
         support.RawTarget(f't{number}', ['reset']) for number in range(5)
     ]
-    await entry.use(*targets)
-    statuses = [(await entry.ask('/once/7', 'POST'))[0] for _ in range(6)]
-    assert entry.ran <= 3
+    await entry.set_targets(*targets)
+    statuses = [(await entry.send('/once/7', 'POST'))[0] for _ in range(6)]
+    assert entry.run_count <= 3
     assert statuses[-1] == 503
 
 
@@ -155,12 +155,12 @@
     targets = [
         support.RawTarget(f't{number}', ['reset']) for number in range(6)
     ]
-    await entry.use(*targets)
+    await entry.set_targets(*targets)
     for path_name in ('a', 'b', 'c', 'd'):
         for _ in range(6):
-            await entry.ask(f'/books/{path_name}', 'POST', b'deadly')
+            await entry.send(f'/books/{path_name}', 'POST', b'deadly')
     lines = collections.Counter(
-        line for target in targets for line, _, _ in target.seen
+        line for target in targets for line, _, _ in target.received
     )
     assert len(lines) == 4
     assert max(lines.values()) <= 2, lines
@@ -169,14 +169,14 @@
 async def test_a_request_does_not_return_to_a_target_that_it_crashed(entry):
     """Guards against a third crash: of one target twice, and of another one."""
     deadly = support.RawTarget('t1', ['reset', 'ok'])
-    await entry.use(deadly)
-    await entry.ask('/once/7', 'POST')
+    await entry.set_targets(deadly)
+    await entry.send('/once/7', 'POST')
     healthy = support.RawTarget('t2')
-    await entry.use(deadly, healthy)
+    await entry.set_targets(deadly, healthy)
     records = entry.shared.services.pool(support.SERVICE).targets
     now_s = entry.shared.clock.monotonic_s()
     for _ in range(4):
         records.find('t1').estimate.answered(now_s)
         records.find('t2').estimate.failed(now_s, is_early=False)
-    status, _, _ = await entry.ask('/once/7', 'POST')
-    assert (status, deadly.ran, healthy.ran) == (200, 1, 1)
+    status, _, _ = await entry.send('/once/7', 'POST')
+    assert (status, deadly.run_count, healthy.run_count) == (200, 1, 1)
--- a/libraries/entry/tests/cover/test_entry_customers.py
+++ b/libraries/entry/tests/cover/test_entry_customers.py
@@ -48,7 +48,7 @@
 async def customer_entry(entry):
     """A daemon with two customers and one target."""
     target = support.RawTarget('t1')
-    await entry.use(target)
+    await entry.set_targets(target)
     entry.shared.services.offer_configuration(
         configuration(
             2, customer('library', KEY), customer('other', OTHER_KEY)
@@ -58,7 +58,7 @@
 
 
 def received_headers(entry):
-    return [headers for _, headers, _ in entry.targets[0].seen]
+    return [headers for _, headers, _ in entry.targets[0].received]
 
 
 def only_received_headers(entry):
@@ -69,7 +69,7 @@
 async def test_the_target_gets_the_customer_name_and_not_the_key(
     customer_entry,
 ):
-    status, _, _ = await customer_entry.ask(**with_key())
+    status, _, _ = await customer_entry.send(**with_key())
     assert status == 200
     headers = only_received_headers(customer_entry)
     assert headers[NAMES.customer] == 'library'
@@ -98,14 +98,14 @@
 async def test_anything_but_one_known_key_is_refused_without_running(
     customer_entry, sent
 ):
-    status, headers, _ = await customer_entry.ask(**sent)
-    assert (status, customer_entry.ran) == (401, 0)
+    status, headers, _ = await customer_entry.send(**sent)
+    assert (status, customer_entry.run_count) == (401, 0)
     assert headers['WWW-Authenticate'] == NAMES.key_scheme
 
 
 async def test_scheme_is_case_insensitive(customer_entry):
     sent = {NAMES.credentials: f'{NAMES.key_scheme.upper()} {KEY}'}
-    assert (await customer_entry.ask(**sent))[0] == 200
+    assert (await customer_entry.send(**sent))[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
     path,
 ):
     sent = {name: 'other', 'Connection': f'{name}, {NAMES.credentials}'}
-    status, _, _ = await customer_entry.ask(path, **with_key(), **sent)
+    status, _, _ = await customer_entry.send(path, **with_key(), **sent)
     assert status == 200
     headers = only_received_headers(customer_entry)
     customer_headers = [
@@ -137,7 +137,7 @@
 
 async def test_a_public_route_needs_no_key_and_forwards_none(customer_entry):
     for sent in ({}, with_key('nobody-holds-it')):
-        status, _, _ = await customer_entry.ask('/open/1', **sent)
+        status, _, _ = await customer_entry.send('/open/1', **sent)
         assert status == 200
     for headers in received_headers(customer_entry):
         assert NAMES.customer not in headers
@@ -145,8 +145,8 @@
 
 
 async def test_without_customers_headers_are_forwarded_unchanged(entry):
-    await entry.use(support.RawTarget('t1'))
-    status, _, _ = await entry.ask(**with_key(), **{NAMES.customer: 'me'})
+    await entry.set_targets(support.RawTarget('t1'))
+    status, _, _ = await entry.send(**with_key(), **{NAMES.customer: 'me'})
     assert status == 200
     headers = only_received_headers(entry)
     assert headers[NAMES.credentials].endswith(KEY)
@@ -157,8 +157,8 @@
     customer_entry.shared.services.offer_configuration(
         configuration(3, customer('library'), customer('other', OTHER_KEY)),
     )
-    assert (await customer_entry.ask(**with_key()))[0] == 401
-    assert (await customer_entry.ask(**with_key(OTHER_KEY)))[0] == 200
+    assert (await customer_entry.send(**with_key()))[0] == 401
+    assert (await customer_entry.send(**with_key(OTHER_KEY)))[0] == 200
 
 
 async def test_the_priority_of_a_customer_overrides_its_route(customer_entry):
@@ -175,8 +175,8 @@
         return await original_acquire(waiting_request, requirements)
 
     customer_entry.shared.services.pool(support.SERVICE).acquire = acquire
-    await customer_entry.ask(**with_key())
-    await customer_entry.ask('/open/1')
+    await customer_entry.send(**with_key())
+    await customer_entry.send('/open/1')
     assert priorities == [7, PUBLIC.priority]
 
 
@@ -265,12 +265,12 @@
     registry.confirmation = confirmations.Confirmation(
         clocks.SystemClock(), 5.0
     )
-    status, headers, _ = await customer_entry.ask(**with_key())
-    assert (status, customer_entry.ran) == (503, 0)
+    status, headers, _ = await customer_entry.send(**with_key())
+    assert (status, customer_entry.run_count) == (503, 0)
     assert 'Retry-After' in headers
-    assert (await customer_entry.ask('/open/1'))[0] == 200
+    assert (await customer_entry.send('/open/1'))[0] == 200
     registry.confirmation.confirm(registry.confirmation.now_s())
-    assert (await customer_entry.ask(**with_key()))[0] == 200
+    assert (await customer_entry.send(**with_key()))[0] == 200
 
 
 def test_without_customers_there_is_no_customer_table():
@@ -290,12 +290,12 @@
     customer_entry.shared.services.offer_configuration(
         configuration(3, limited_customer, customer('other', OTHER_KEY)),
     )
-    statuses = [(await customer_entry.ask(**with_key()))[0] for _ in range(3)]
+    statuses = [(await customer_entry.send(**with_key()))[0] for _ in range(3)]
     assert statuses == [200, 200, 429]
-    assert (await customer_entry.ask(**with_key(OTHER_KEY)))[0] == 200
-    _, headers, _ = await customer_entry.ask(**with_key())
+    assert (await customer_entry.send(**with_key(OTHER_KEY)))[0] == 200
+    _, headers, _ = await customer_entry.send(**with_key())
     assert 0 < float(headers['Retry-After']) <= 2
-    assert customer_entry.ran == 3
+    assert customer_entry.run_count == 3
 
 
 async def test_a_request_that_did_not_run_does_not_count(customer_entry):
@@ -313,7 +313,7 @@
     customer_entry.shared.services.set_retry_burst(0)
     statuses = []
     for _ in range(6):
-        statuses.append((await customer_entry.ask(**with_key()))[0])
+        statuses.append((await customer_entry.send(**with_key()))[0])
         await asyncio.sleep(0.15)
     assert statuses == [503, 503, 503, 503, 200, 429]
 
@@ -331,8 +331,8 @@
     )
     pool = customer_entry.shared.services.pool(support.SERVICE)
     for _ in range(7):
-        assert (await customer_entry.ask(**with_key()))[0] == 200
-    assert not pool._explorer.recent.exceed_limit()
+        assert (await customer_entry.send(**with_key()))[0] == 200
+    assert not pool._explorer.recent.exceeds_limit()
     for _ in range(2):
-        assert (await customer_entry.ask(**with_key()))[0] == 429
-    assert pool._explorer.recent.exceed_limit()
+        assert (await customer_entry.send(**with_key()))[0] == 429
+    assert pool._explorer.recent.exceeds_limit()
--- a/libraries/entry/tests/cover/test_entry_hanging.py
+++ b/libraries/entry/tests/cover/test_entry_hanging.py
@@ -26,11 +26,11 @@
 async def ask_with_a_hanging_target(entry):
     hanging = support.RawTarget('t1', ['hang'])
     healthy = support.RawTarget('t2')
-    await entry.use(hanging, healthy)
+    await entry.set_targets(hanging, healthy)
     pool = entry.shared.services.pool(support.SERVICE)
     pool.targets.find('t1').estimate.answered(entry.shared.clock.monotonic_s())
     set_typical_latency(entry, 0.05)
-    return await entry.ask()
+    return await entry.send()
 
 
 async def test_the_slower_of_two_attempts_makes_its_target_suspected(entry):
@@ -43,18 +43,18 @@
     await ask_with_a_hanging_target(entry)
     hanging, healthy = entry.targets
     for _ in range(3):
-        assert (await entry.ask())[0] == 200
-    assert (hanging.ran, healthy.ran) == (1, 4)
+        assert (await entry.send())[0] == 200
+    assert (hanging.run_count, healthy.run_count) == (1, 4)
 
 
 async def test_an_early_disconnect_of_a_caller_is_no_failure(entry):
     target = support.RawTarget('t1', ['hang'])
-    await entry.use(target)
+    await entry.set_targets(target)
     set_typical_latency(entry, 5.0)
     initial_probability = failing_probability(entry, 't1')
     _, writer = await asyncio.open_connection(support.LOOPBACK, entry.port)
     writer.write(support.request())
-    await support.wait_until(lambda: target.ran)
+    await support.wait_until(lambda: target.run_count)
     writer.close()
-    await support.wait_until(lambda: target.cut_while_running)
+    await support.wait_until(lambda: target.disconnects_while_running)
     assert failing_probability(entry, 't1') <= initial_probability
--- a/libraries/entry/tests/cover/test_entry_idle_targets.py
+++ b/libraries/entry/tests/cover/test_entry_idle_targets.py
@@ -198,12 +198,12 @@
 
 
 async def test_a_caller_that_is_refused_counts(entry):
-    await entry.use(support.RawTarget('t1', ['shed']))
+    await entry.set_targets(support.RawTarget('t1', ['shed']))
     for number in range(6):
-        status, _, _ = await entry.ask(f'/once/{number}')
+        status, _, _ = await entry.send(f'/once/{number}')
         assert status == 503
     pool = entry.shared.services.pool(support.SERVICE)
-    assert pool._explorer.recent.exceed_limit()
+    assert pool._explorer.recent.exceeds_limit()
 
 
 def test_the_installation_s_share_reaches_each_service():
@@ -265,7 +265,7 @@
         record = send_final(pool, clock)
         assert record.listed.target_id == 't2'
         pool.failed(record, 0)
-    assert not pool._explorer.recent.exceed_limit()
+    assert not pool._explorer.recent.exceeds_limit()
 
 
 def test_as_many_may_be_idle_as_the_installation_allows():
--- a/libraries/entry/tests/cover/test_entry_incarnations.py
+++ b/libraries/entry/tests/cover/test_entry_incarnations.py
@@ -101,6 +101,6 @@
     for revision, born_ms in enumerate((10, 10, 20)):
         restarted = incarnation('i-1', born_ms, port=target.port)
         services.offer_targets(model.TargetList(revision, (restarted,)))
-        await entry.ask()
+        await entry.send()
     assert target.connections == 2
-    assert target.seen[-1][1][support.NAMES.expected_target] == 'i-1'
+    assert target.received[-1][1][support.NAMES.expected_target] == 'i-1'
--- a/libraries/entry/tests/cover/test_entry_large_answers.py
+++ b/libraries/entry/tests/cover/test_entry_large_answers.py
@@ -27,7 +27,7 @@
         self.body = body
         self.framing = framing
         self.sent_length = len(body) if sent_length is None else sent_length
-        self.ran = 0
+        self.run_count = 0
         self.sent = 0
         self.closed_connections = 0
         self.server = None
@@ -52,7 +52,7 @@
 
     async def _answer(self, reader, writer):
         head = await reader.readuntil(b'\r\n\r\n')
-        self.ran += 1
+        self.run_count += 1
         lines = dict(
             line.split(': ', 1) for line in head.decode().split('\r\n')[1:-2]
         )
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize('framing', ['length', 'chunked', 'unframed'])
 async def test_a_large_answer_arrives_whole(entry, framing):
     target = LargeTarget(framing=framing)
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer, headers = await open_to(entry)
     assert headers[support.NAMES.signature] == 'proof-of-id-1'
     assert await read_body(reader, headers) == LARGE
@@ -141,19 +141,19 @@
     path,
 ):
     target = LargeTarget(framing=framing, sent_length=3_000_000)
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer, headers = await open_to(entry, path)
     assert headers[support.NAMES.signature] == 'proof-of-id-1'
     with pytest.raises((EOFError, OSError)):
         await read_body(reader, headers)
     writer.close()
-    assert target.ran == 1
+    assert target.run_count == 1
     await support.wait_until(lambda: not in_flight(entry))
 
 
 async def test_a_target_that_stalls_midway_is_disconnected(entry):
     target = LargeTarget(framing='silent', sent_length=3_000_000)
-    await entry.use(target)
+    await entry.set_targets(target)
     limited = {support.NAMES.deadline_ms: '400'}
     reader, writer, headers = await open_to(entry, **limited)
     with pytest.raises((EOFError, OSError)):
@@ -165,7 +165,7 @@
 
 async def test_a_disconnect_of_the_caller_ends_the_answer(entry):
     target = LargeTarget()
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer, _ = await open_to(entry)
     await reader.readexactly(1000)
     writer.transport.abort()
@@ -175,7 +175,7 @@
 
 async def test_a_caller_that_reads_slowly_slows_the_target(entry):
     target = LargeTarget(body=LARGE * 8)
-    await entry.use(target)
+    await entry.set_targets(target)
     _, writer, _ = await open_to(entry)
     await asyncio.sleep(0.5)
     sent = target.sent
@@ -191,21 +191,21 @@
     """Nothing was sent to the caller while the answer was below the limit."""
     broken = LargeTarget(sent_length=500_000)
     healthy = support.RawTarget('good')
-    await entry.use(broken, healthy)
+    await entry.set_targets(broken, healthy)
     pool = entry.shared.services.pool(support.SERVICE)
     pool.targets.find('good').estimate.failed(
         entry.shared.clock.monotonic_s(),
         is_early=False,
     )
-    status, _, body = await entry.ask()
-    assert (status, body, broken.ran) == (200, support.BODY, 1)
+    status, _, body = await entry.send()
+    assert (status, body, broken.run_count) == (200, support.BODY, 1)
 
 
 async def test_buffered_answers_are_counted_until_they_are_freed(entry):
     target = LargeTarget(body=SMALL)
-    await entry.use(target)
+    await entry.set_targets(target)
     budget = entry.shared.buffer_budget
-    status, _, body = await entry.ask()
+    status, _, body = await entry.send()
     assert (status, body) == (200, SMALL)
     await support.wait_until(
         lambda: gc.collect() >= 0 and not budget.buffered_bytes
@@ -215,7 +215,7 @@
 async def test_buffered_bytes_of_many_slow_callers_are_bounded(entry):
     """200 callers that don't read 0.5 MB each: 100 MB without the budget."""
     target = LargeTarget(body=LARGE[:500_000])
-    await entry.use(target)
+    await entry.set_targets(target)
     pool = entry.shared.services.pool(support.SERVICE)
     pool.targets.find('large').listed = support.listed(
         'large',
--- a/libraries/entry/tests/cover/test_entry_leaving.py
+++ b/libraries/entry/tests/cover/test_entry_leaving.py
@@ -17,7 +17,7 @@
 async def prefer_first(entry):
     """Start two targets of which the first is selected."""
     leaving, staying = support.RawTarget('t1'), support.RawTarget('t2')
-    await entry.use(leaving, staying)
+    await entry.set_targets(leaving, staying)
     record = entry.shared.services.pool(support.SERVICE).targets.find('t2')
     record.estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
     return leaving, staying
@@ -63,7 +63,7 @@
         state=model.TargetState.DRAINING,
     )
     when_connected(monkeypatch, lambda: without_first(entry, draining))
-    status, _, _ = await entry.ask(ONCE)
-    assert (status, leaving.seen, staying.ran) == (200, [], 1)
+    status, _, _ = await entry.send(ONCE)
+    assert (status, leaving.received, staying.run_count) == (200, [], 1)
     # The estimate of the target does not change either.
     assert record.estimate.updated_s == estimated_s
--- a/libraries/entry/tests/cover/test_entry_lines.py
+++ b/libraries/entry/tests/cover/test_entry_lines.py
@@ -28,8 +28,8 @@
 
 
 async def test_each_attempt_is_logged_when_it_starts(entry, lines):
-    await entry.use(support.RawTarget('t1'))
-    await entry.ask()
+    await entry.set_targets(support.RawTarget('t1'))
+    await entry.send()
     sent = lines.of('request-sent')
     assert [line['request_id'] for line in sent] == ['id-1']
     choice = sent[0]['choice']
@@ -46,9 +46,9 @@
 ):
     """The line must exist even if the daemon crashes during the request."""
     target = support.RawTarget('t1', ['gated'])
-    await entry.use(target)
-    request_task = asyncio.create_task(entry.ask())
-    await support.wait_until(lambda: target.ran)
+    await entry.set_targets(target)
+    request_task = asyncio.create_task(entry.send())
+    await support.wait_until(lambda: target.run_count)
     assert len(lines.of('request-sent')) == 1
     target.gate.set()
     await request_task
@@ -57,8 +57,8 @@
 async def test_a_failed_attempt_is_logged_with_the_choice_of_its_target(
     entry, lines
 ):
-    await entry.use(support.RawTarget('t1', ['fail']))
-    await entry.ask('/once/1', 'POST')
+    await entry.set_targets(support.RawTarget('t1', ['fail']))
+    await entry.send('/once/1', 'POST')
     failed = lines.of('attempt-failed')[0]
     assert failed['what'] == 'target_failed: answered 500'
     assert failed['choice']['target'] == 't1'
@@ -67,33 +67,33 @@
 
 
 async def test_a_retry_is_logged_as_such(entry, lines):
-    await entry.use(
+    await entry.set_targets(
         support.RawTarget('t1', ['fail']),
         support.RawTarget('t2', ['fail']),
     )
-    await entry.ask()
+    await entry.send()
     reasons = [line['choice']['reason'] for line in lines.of('request-sent')]
     assert reasons == ['first', 'again']
     assert lines.of('request-ended')[0]['attempts'] == 2
 
 
 async def test_a_choice_for_exploration_is_logged_as_such(entry, lines):
-    await entry.use(support.RawTarget('t1'), support.RawTarget('t2'))
+    await entry.set_targets(support.RawTarget('t1'), support.RawTarget('t2'))
     pool = entry.shared.services.pool(support.SERVICE)
     now_s = entry.shared.clock.monotonic_s()
     for record in pool.targets.records():
         record.estimate.answered(now_s)
     idle = pool.targets.find('t2')
     idle.estimate.adopt(0.2, now_s - 5.0)
-    await entry.ask()
+    await entry.send()
     choice = lines.of('request-sent')[0]['choice']
     assert (choice['target'], choice['reason']) == ('t2', 'turn')
 
 
 async def test_metrics_count_reasons_and_retries(entry):
-    await entry.use(support.RawTarget('t1', ['fail']))
+    await entry.set_targets(support.RawTarget('t1', ['fail']))
     entry.shared.services.set_retry_burst(0)
-    await entry.ask()
+    await entry.send()
     services = entry.shared.services
     text = await entry.shared.metrics.text(
         request_metrics.service_gauges(services)
@@ -104,8 +104,8 @@
 
 
 async def test_a_refusal_is_logged_with_its_error(entry, lines):
-    await entry.use()
-    await entry.ask()
+    await entry.set_targets()
+    await entry.send()
     ended = lines.of('request-ended')[0]
     assert (ended['outcome'], ended['status']) == ('refused', 503)
     assert ended['error'] == 'NoTargetError'
@@ -113,29 +113,29 @@
 
 
 async def test_a_request_without_a_route_is_logged_with_its_id(entry, lines):
-    await entry.ask('/nowhere/1')
+    await entry.send('/nowhere/1')
     ended = lines.of('request-ended')[0]
     assert (ended['request_id'], ended['status']) == ('id-1', 404)
 
 
 async def test_a_disconnected_caller_is_logged(entry, lines):
     target = support.RawTarget('t1', ['hang'])
-    await entry.use(target)
+    await entry.set_targets(target)
     reader, writer = await asyncio.open_connection(
         support.LOOPBACK,
         entry.port,
     )
     writer.write(support.request())
-    await support.wait_until(lambda: target.ran)
+    await support.wait_until(lambda: target.run_count)
     writer.close()
     await support.wait_until(lambda: lines.of('request-ended'))
     assert lines.of('request-ended')[0]['outcome'] == 'abandoned'
 
 
 async def test_requests_are_counted_by_outcome(entry):
-    await entry.use(support.RawTarget('t1', ['ok', 'fail', 'ok']))
-    await entry.ask('/once/1', 'POST')
-    await entry.ask('/once/1', 'POST')
+    await entry.set_targets(support.RawTarget('t1', ['ok', 'fail', 'ok']))
+    await entry.send('/once/1', 'POST')
+    await entry.send('/once/1', 'POST')
     text = await entry.shared.metrics.text(())
     for outcome in ('answered', 'target_failed'):
         counted = f'{{outcome="{outcome}",service="books"}} 1'
@@ -152,7 +152,9 @@
         entry.shared.services,
         entry.shared.clock,
     )
-    end = decision_log.End(events.Outcome.REFUSED, 503, 'NoTargetError', 'none')
+    end = decision_log.RequestEnd(
+        events.Outcome.REFUSED, 503, 'NoTargetError', 'none'
+    )
     allowed = [decisions._attempt_lines.allows() for _ in range(121)]
     assert not allowed[-1]
     decisions.log_ended('id-2', None, end)
@@ -169,9 +171,11 @@
 ):
     limited = support.with_headers(f'{support.NAMES.limit}: 2.5')
     leaving = support.with_headers(f'{support.NAMES.leaving}: 1')
-    await entry.use(support.RawTarget('t1', ['ok', limited, limited, leaving]))
+    await entry.set_targets(
+        support.RawTarget('t1', ['ok', limited, limited, leaving])
+    )
     for _ in range(4):
-        await entry.ask()
+        await entry.send()
     stated = [
         (
             line['target'],
--- a/libraries/entry/tests/cover/test_entry_statements.py
+++ b/libraries/entry/tests/cover/test_entry_statements.py
@@ -29,32 +29,32 @@
         support.RawTarget('t1', [limit_of(0.2)]),
         support.RawTarget('t2'),
     )
-    await entry.use(limited, unlimited)
+    await entry.set_targets(limited, unlimited)
     for _ in range(20):
-        assert (await entry.ask(ONCE))[0] == 200
-    assert limited.ran <= 2
+        assert (await entry.send(ONCE))[0] == 200
+    assert limited.run_count <= 2
 
 
 async def test_when_all_are_at_their_limits_a_caller_gets_a_retry_after(
     entry,
 ):
     """Guards against requests that wait although none is allowed in time."""
-    await entry.use(support.RawTarget('t1', [limit_of(0.2)]))
-    assert (await entry.ask(ONCE))[0] == 200
+    await entry.set_targets(support.RawTarget('t1', [limit_of(0.2)]))
+    assert (await entry.send(ONCE))[0] == 200
     began_s = asyncio.get_running_loop().time()
-    status, headers, _ = await entry.ask(ONCE)
+    status, headers, _ = await entry.send(ONCE)
     taken_s = asyncio.get_running_loop().time() - began_s
     assert status == 503
     assert 4 < float(headers['Retry-After']) <= 8
     assert taken_s < 1
-    assert entry.ran == 1
+    assert entry.run_count == 1
 
 
 async def test_a_limit_ends_when_an_answer_names_none(entry):
     target = support.RawTarget('t1', [limit_of(50), 'ok'])
-    await entry.use(target)
+    await entry.set_targets(target)
     for _ in range(12):
-        assert (await entry.ask(ONCE))[0] == 200
+        assert (await entry.send(ONCE))[0] == 200
     record = record_of(entry, 't1')
     assert record.statements.newest == statements.EMPTY
 
@@ -71,9 +71,9 @@
 @pytest.mark.parametrize('line', BAD_LIMITS)
 async def test_an_invalid_limit_is_ignored(entry, line):
     bad = support.RawTarget('t1', [support.with_headers(line)])
-    await entry.use(bad, support.RawTarget('t2'))
+    await entry.set_targets(bad, support.RawTarget('t2'))
     for _ in range(10):
-        assert (await entry.ask(ONCE))[0] == 200
+        assert (await entry.send(ONCE))[0] == 200
 
 
 def sent(received, clock, seconds, step_s=0.01):
@@ -151,28 +151,28 @@
     """Guards against a statement that is applied from good answers only."""
     leaving = support.RawTarget('t1', [answer])
     staying = support.RawTarget('t2')
-    await entry.use(leaving, staying)
+    await entry.set_targets(leaving, staying)
     record_of(entry, 't2').estimate.failed(
         entry.shared.clock.monotonic_s(),
         is_early=False,
     )
     for _ in range(10):
-        await entry.ask()
-    assert len(leaving.seen) == 1
+        await entry.send()
+    assert len(leaving.received) == 1
     # A newer list that still contains the target does not bring it back.
-    await entry.use(leaving, staying, support.RawTarget('t3'))
+    await entry.set_targets(leaving, staying, support.RawTarget('t3'))
     assert record_of(entry, 't3') is not None
     assert record_of(entry, 't1') is None
 
 
 async def test_another_incarnation_of_a_target_that_left_is_used(entry):
     target = support.RawTarget('t1', [LEAVING, 'ok'])
-    await entry.use(target)
-    await entry.ask()
-    assert (await entry.ask())[0] == 503
+    await entry.set_targets(target)
+    await entry.send()
+    assert (await entry.send())[0] == 503
     target.name = 't1-again'
-    await entry.use(target)
-    assert (await entry.ask())[0] == 200
+    await entry.set_targets(target)
+    assert (await entry.send())[0] == 200
 
 
 async def test_the_statement_of_another_target_at_the_address_is_ignored(entry):
@@ -180,9 +180,9 @@
         f'{support.NAMES.leaving}: 1',
         status='421 Misdirected Request',
     )
-    await entry.use(support.RawTarget('t1', [moved, 'ok']))
-    await entry.ask()
-    await entry.use(*entry.targets, support.RawTarget('t2'))
+    await entry.set_targets(support.RawTarget('t1', [moved, 'ok']))
+    await entry.send()
+    await entry.set_targets(*entry.targets, support.RawTarget('t2'))
     assert record_of(entry, 't1') is not None
 
 
@@ -197,16 +197,16 @@
             (support.answer('another', extra=extra), support.answer(echo))
         )
 
-    await entry.use(support.RawTarget('t1', [late_extra, 'ok']))
+    await entry.set_targets(support.RawTarget('t1', [late_extra, 'ok']))
     for _ in range(3):
-        assert (await entry.ask())[0] == 200
+        assert (await entry.send())[0] == 200
 
 
 async def test_leaving_0_is_no_leaving(entry):
     staying = support.with_headers(f'{support.NAMES.leaving}: 0')
-    await entry.use(support.RawTarget('t1', [staying]))
+    await entry.set_targets(support.RawTarget('t1', [staying]))
     for _ in range(3):
-        assert (await entry.ask())[0] == 200
+        assert (await entry.send())[0] == 200
 
 
 class HalfAnswering(support.RawTarget):
@@ -223,8 +223,8 @@
 async def test_the_head_of_a_long_answer_is_applied_before_its_end(entry):
     """Guards against a statement that is applied at the end of the answer."""
     target = HalfAnswering('t1')
-    await entry.use(target)
-    request = asyncio.create_task(entry.ask())
+    await entry.set_targets(target)
+    request = asyncio.create_task(entry.send())
     await support.wait_until(lambda: record_of(entry, 't1') is None)
     target.gate.set()
     assert (await request)[0] == 200
@@ -244,44 +244,44 @@
         support.RawTarget('t1', [backoff(1), 'ok']),
         support.RawTarget('t2'),
     )
-    await entry.use(backing_off, available)
+    await entry.set_targets(backing_off, available)
     loop = asyncio.get_running_loop()
-    while not backing_off.seen:
-        assert (await entry.ask(ONCE))[0] == 200
+    while not backing_off.received:
+        assert (await entry.send(ONCE))[0] == 200
     began_s = loop.time()
     while loop.time() < began_s + 0.9:
-        assert (await entry.ask(ONCE))[0] == 200
-    assert len(backing_off.seen) == 1
+        assert (await entry.send(ONCE))[0] == 200
+    assert len(backing_off.received) == 1
     await asyncio.sleep(0.2)
     available.server.close()
     record_of(entry, 't2').mark_unreachable(entry.shared.clock.monotonic_s())
-    assert (await entry.ask(ONCE))[0] == 200
-    assert len(backing_off.seen) == 2
+    assert (await entry.send(ONCE))[0] == 200
+    assert len(backing_off.received) == 2
 
 
 async def test_when_all_back_off_a_caller_is_refused_at_once(entry):
     """Guards against a Retry-After within the backoff of all targets."""
-    await entry.use(
+    await entry.set_targets(
         *(support.RawTarget(f't{number}', [backoff(4)]) for number in range(3))
     )
     times = []
     loop = asyncio.get_running_loop()
     for _ in range(3):
         began_s = loop.time()
-        status, headers, _ = await entry.ask(ONCE)
+        status, headers, _ = await entry.send(ONCE)
         assert status == 503
         times.append(float(headers['Retry-After']))
         assert loop.time() - began_s < 1
     assert all(3 < time_s <= 6 for time_s in times), times
-    assert sum(len(target.seen) for target in entry.targets) == 3
+    assert sum(len(target.received) for target in entry.targets) == 3
 
 
 async def test_a_queued_request_is_refused_when_all_back_off(entry):
     """Guards against a queued request that waits for the end of the backoff."""
     target = support.RawTarget('t1', ['gated', 'gated', 'gated', backoff(9)])
-    await entry.use(target)
-    requests = [asyncio.create_task(entry.ask(ONCE)) for _ in range(4)]
-    await support.wait_until(lambda: len(target.seen) == 3)
+    await entry.set_targets(target)
+    requests = [asyncio.create_task(entry.send(ONCE)) for _ in range(4)]
+    await support.wait_until(lambda: len(target.received) == 3)
     pool = entry.shared.services.pool(support.SERVICE)
     record = record_of(entry, 't1')
     now_s = entry.shared.clock.monotonic_s()
@@ -316,32 +316,34 @@
 @pytest.mark.parametrize('text', BAD_RETRY_AFTER)
 async def test_an_invalid_retry_after_is_ignored(entry, text):
     bad = support.RawTarget('t1', [backoff(text), 'ok'])
-    await entry.use(bad, support.RawTarget('t2'), support.RawTarget('t3'))
+    await entry.set_targets(
+        bad, support.RawTarget('t2'), support.RawTarget('t3')
+    )
     for _ in range(10):
-        assert (await entry.ask(ONCE))[0] == 200
+        assert (await entry.send(ONCE))[0] == 200
     assert record_of(entry, 't1').statements.backoff_until_s == 0
 
 
 async def test_a_target_gets_one_request_after_its_backoff(entry):
     """Guards against a burst that is refused at the end of each backoff."""
     target = support.RawTarget('t1', [backoff(0.3), 'gated'])
-    await entry.use(target)
-    await entry.ask(ONCE)
+    await entry.set_targets(target)
+    await entry.send(ONCE)
     await asyncio.sleep(0.4)
-    requests = [asyncio.create_task(entry.ask(ONCE)) for _ in range(3)]
-    await support.wait_until(lambda: len(target.seen) == 2)
+    requests = [asyncio.create_task(entry.send(ONCE)) for _ in range(3)]
+    await support.wait_until(lambda: len(target.received) == 2)
     await asyncio.sleep(0.1)
-    assert len(target.seen) == 2
+    assert len(target.received) == 2
     target.gate.set()
     assert {(await request)[0] for request in requests} == {200}
 
 
 async def test_targets_that_accept_nothing_are_counted(entry):
-    await entry.use(
+    await entry.set_targets(
         support.RawTarget('t1', [backoff(4)]), support.RawTarget('t2')
     )
     for _ in range(6):
-        await entry.ask(ONCE)
+        await entry.send(ONCE)
     gauges = {
         gauge.name: gauge.value
         for gauge in request_metrics.service_gauges(entry.shared.services)
@@ -351,9 +353,9 @@
 
 async def test_a_retry_after_with_200_is_ignored(entry):
     target = support.RawTarget('t1', [support.with_headers('Retry-After: 5')])
-    await entry.use(target)
+    await entry.set_targets(target)
     for _ in range(3):
-        assert (await entry.ask(ONCE))[0] == 200
+        assert (await entry.send(ONCE))[0] == 200
 
 
 def test_the_forecast_of_a_limit_and_a_backoff():
--- a/libraries/entry/tests/cover/test_entry_targets.py
+++ b/libraries/entry/tests/cover/test_entry_targets.py
@@ -49,13 +49,13 @@
     ran,
 ):
     bad = support.RawTarget('bad', [behaviour, 'ok'])
-    await entry.use(bad, support.RawTarget('good'))
+    await entry.set_targets(bad, support.RawTarget('good'))
     # A target with a good answer would be preferred.
     entry.shared.services.pool(support.SERVICE).targets.find(
         'good',
     ).estimate.failed(entry.shared.clock.monotonic_s(), is_early=False)
-    got, headers, body = await entry.ask(path, 'POST', b'payload')
-    assert (got, entry.ran) == (status, ran)
+    got, headers, body = await entry.send(path, 'POST', b'payload')
+    assert (got, entry.run_count) == (status, ran)
     if got == 200:
         assert body == support.BODY
         assert headers[support.NAMES.signature] == 'proof-of-id-1'
@@ -65,10 +65,10 @@
 
 async def test_an_extra_answer_is_not_used_for_the_next_request(entry):
     target = support.RawTarget('t1', ['extra-after', 'ok'])
-    await entry.use(target)
+    await entry.set_targets(target)
     for number in range(4):
         name = f'id-{number}'
-        _, headers, body = await entry.ask(
+        _, headers, body = await entry.send(
             **{support.NAMES.attempt_id: name},
         )
         assert headers[support.NAMES.attempt_id] == name
@@ -77,9 +77,9 @@
 
 async def test_the_request_arrives_as_it_was_sent(entry):
     target = support.RawTarget('t1')
-    await entry.use(target)
-    await entry.ask('/once/a%20b?x=1', 'DELETE', b'\x00body', Extra='kept')
-    line, headers, body = target.seen[0]
+    await entry.set_targets(target)
+    await entry.send('/once/a%20b?x=1', 'DELETE', b'\x00body', Extra='kept')
+    line, headers, body = target.received[0]
     assert line == b'DELETE /once/a%20b?x=1 HTTP/1.1'
     assert body == b'\x00body'
     assert headers['Extra'] == 'kept'
@@ -89,23 +89,23 @@
 
 
 async def test_a_failure_is_passed_on_with_its_proof(entry):
-    await entry.use(support.RawTarget('t1', ['fail']))
-    status, headers, body = await entry.ask('/once/1', 'POST')
+    await entry.set_targets(support.RawTarget('t1', ['fail']))
+    status, headers, body = await entry.send('/once/1', 'POST')
     assert (status, body) == (500, b'broken')
     assert headers[support.NAMES.signature] == 'proof-of-id-1'
 
 
 async def test_a_refusal_has_a_retry_after(entry):
-    await entry.use(support.RawTarget('t1', ['shed']))
-    status, headers, _ = await entry.ask('/once/1', 'POST')
+    await entry.set_targets(support.RawTarget('t1', ['shed']))
+    status, headers, _ = await entry.send('/once/1', 'POST')
     assert status == 503
     assert float(headers['Retry-After']) > 0
-    assert entry.ran == 0
+    assert entry.run_count == 0
 
 
 async def test_nothing_goes_to_a_target_that_drains(entry):
     target = support.RawTarget('t1')
-    await entry.use(target)
+    await entry.set_targets(target)
     entry.shared.services.offer_targets(
         model.TargetList(
             2,
@@ -118,16 +118,16 @@
             ),
         ),
     )
-    status, _, _ = await entry.ask()
-    assert (status, entry.ran) == (503, 0)
+    status, _, _ = await entry.send()
+    assert (status, entry.run_count) == (503, 0)
 
 
 async def test_an_unreachable_target_is_skipped(entry):
     unreachable = support.RawTarget('unreachable')
-    await entry.use(unreachable, support.RawTarget('good'))
+    await entry.set_targets(unreachable, support.RawTarget('good'))
     unreachable.server.close()
     for _ in range(6):
-        status, _, _ = await entry.ask('/once/1', 'POST')
+        status, _, _ = await entry.send('/once/1', 'POST')
         assert status == 200
 
 
@@ -136,9 +136,9 @@
     entry.shared.services.offer_configuration(
         support.configuration(2, [support.route(timeout_s=0.3)]),
     )
-    await entry.use(support.RawTarget('t1', ['hang']))
+    await entry.set_targets(support.RawTarget('t1', ['hang']))
     status, _, _ = await asyncio.wait_for(
-        entry.ask(**{support.NAMES.deadline_ms: '60000'}),
+        entry.send(**{support.NAMES.deadline_ms: '60000'}),
         support.TIMEOUT_S,
     )
     assert status == 504
@@ -147,26 +147,26 @@
 async def test_a_slow_idempotent_request_gets_a_second_target(entry):
     """Without a hedge it would end with 504 at its route's timeout."""
     first, second = support.RawTarget('t1'), support.RawTarget('t2')
-    await entry.use(first, second)
+    await entry.set_targets(first, second)
     for _ in range(120):
-        await entry.ask()
+        await entry.send()
     # The target that answered so far gets the next request, too.
-    slow = max(first, second, key=lambda target: target.ran)
+    slow = max(first, second, key=lambda target: target.run_count)
     slow.behaviours = ['hang']
-    ran_before = slow.ran
+    ran_before = slow.run_count
     status, _, _ = await asyncio.wait_for(
-        entry.ask(**{support.NAMES.deadline_ms: '60000'}),
+        entry.send(**{support.NAMES.deadline_ms: '60000'}),
         support.TIMEOUT_S,
     )
     assert status == 200
-    assert slow.ran == ran_before + 1
+    assert slow.run_count == ran_before + 1
 
 
 async def test_a_connect_timeout_does_not_change_the_estimate(
     entry, monkeypatch
 ):
     """Only the network path from this daemon may be broken."""
-    await entry.use(support.RawTarget('t1'))
+    await entry.set_targets(support.RawTarget('t1'))
     record = entry.shared.services.pool(support.SERVICE).targets.find('t1')
     before = record.estimate.updated_s
 
@@ -175,16 +175,16 @@
 
     with monkeypatch.context() as patched:
         patched.setattr(entry.shared.client, 'open', time_out)
-        status, _, _ = await entry.ask()
+        status, _, _ = await entry.send()
     assert status == 503
     assert record.failed_connects == 1
     assert record.estimate.updated_s == before
 
 
 async def test_a_target_that_answered_is_reachable(entry):
-    await entry.use(support.RawTarget('t1'))
+    await entry.set_targets(support.RawTarget('t1'))
     record = entry.shared.services.pool(support.SERVICE).targets.find('t1')
     record.mark_unreachable(entry.shared.clock.monotonic_s())
-    status, _, _ = await entry.ask()
+    status, _, _ = await entry.send()
     assert status == 200
     assert record.failed_connects == 0
--- a/libraries/entry/tests/entry_support.py
+++ b/libraries/entry/tests/entry_support.py
@@ -68,18 +68,18 @@
 
     Each behaviour is a name in ``ANSWERS``, ``hang``, ``reset``, or a function
     from the attempt's ID to the bytes of the answer. The last one is used for
-    all further requests. ``seen`` holds each received request as request line,
-    headers and body. ``ran`` counts those that the target ran, which excludes
-    the behaviours ``shed`` and ``other``.
+    all further requests. ``received`` holds each received request as request
+    line, headers and body. ``run_count`` counts those that the target ran,
+    which excludes the behaviours ``shed`` and ``other``.
     """
 
     def __init__(self, name, behaviours=('ok',)):
         self.name = name
         self.behaviours = list(behaviours)
-        self.seen = []
-        self.ran = 0
+        self.received = []
+        self.run_count = 0
         self.connections = 0
-        self.cut_while_running = 0
+        self.disconnects_while_running = 0
         self.gate = asyncio.Event()
         self.server = None
 
@@ -101,7 +101,7 @@
                 )
                 length = int(headers.get('Content-Length', 0))
                 body = await reader.readexactly(length)
-                self.seen.append((head.split(b'\r\n')[0], headers, body))
+                self.received.append((head.split(b'\r\n')[0], headers, body))
                 behaviour = self.behaviours[0]
                 if len(self.behaviours) > 1:
                     self.behaviours.pop(0)
@@ -111,10 +111,10 @@
 
     async def _answer(self, behaviour, headers, reader, writer):
         """Follow ``behaviour``; return whether the connection stays open."""
-        self.ran += behaviour not in {'shed', 'other'}
+        self.run_count += behaviour not in {'shed', 'other'}
         echo = headers.get(NAMES.attempt_id, '')
         if behaviour == 'hang':
-            self.cut_while_running += not await reader.read(1)
+            self.disconnects_while_running += not await reader.read(1)
             return False
         if behaviour == 'gated':
             await self.gate.wait()
@@ -193,8 +193,9 @@
 class Entry:
     """One daemon's request path, with targets that the test starts.
 
-    ``use`` starts targets and publishes them as the target list. ``ask`` sends
-    a request. ``ran`` counts the requests that these targets ran.
+    ``set_targets`` starts targets and publishes them as the target list.
+    ``send`` sends a request. ``run_count`` counts the requests that these
+    targets ran.
     """
 
     def __init__(self, shared, server, port):
@@ -204,7 +205,7 @@
         self.targets = []
         self.list_revision = 0
 
-    async def use(self, *targets):
+    async def set_targets(self, *targets):
         self.list_revision += 1
         for target in targets:
             if target.server is None:
@@ -219,7 +220,7 @@
             ),
         )
 
-    async def ask(self, path='/books/1', method='GET', body=b'', **headers):
+    async def send(self, path='/books/1', method='GET', body=b'', **headers):
         """Send one request; return the status, headers and body of the answer."""
         reader, writer = await asyncio.open_connection(LOOPBACK, self.port)
         writer.write(request(path, method, body, **headers))
@@ -228,8 +229,8 @@
         return reply
 
     @property
-    def ran(self):
-        return sum(target.ran for target in self.targets)
+    def run_count(self):
+        return sum(target.run_count for target in self.targets)
 
 
 def request(path='/books/1', method='GET', body=b'', **headers):
--- a/libraries/gateway/src/sardinepier/gateway/refusal_counts.py
+++ b/libraries/gateway/src/sardinepier/gateway/refusal_counts.py
@@ -1,4 +1,4 @@
-"""Sums of refusals, recorded periodically as events of the time line."""
+"""Sums of refusals, recorded periodically as events of the timeline."""
 
 import asyncio
 import collections
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -66,9 +66,9 @@
         if stated.accepts_from_s(now_s) <= now_s:
             stated.take(now_s)
 
-    This daemon or another one received ``newest`` at ``received_s``. ``part``,
-    0 to 1, is this daemon's part of the target's limit. The target accepts
-    nothing from this daemon before ``backoff_until_s``, which no later
+    This daemon or another daemon received ``newest`` at ``received_s``.
+    ``part``, 0 to 1, is this daemon's part of the target's limit. The target
+    accepts nothing from this daemon before ``backoff_until_s``, which no later
     statement shortens. ``has_backed_off`` says that the newest answer to this
     daemon asked for backoff.
     """
--- a/libraries/gateway/tests/cover/test_gateway_client.py
+++ b/libraries/gateway/tests/cover/test_gateway_client.py
@@ -93,7 +93,9 @@
     assert len(peer.accepted) == 3
 
 
-async def test_permission_is_asked_right_before_the_first_byte(client, peer):
+async def test_permission_is_requested_right_before_the_first_byte(
+    client, peer
+):
     def forbid():
         raise errors.ShedError('No', 'Never')
 
--- a/libraries/gateway/tests/cover/test_gateway_pages.py
+++ b/libraries/gateway/tests/cover/test_gateway_pages.py
@@ -108,7 +108,7 @@
     def __init__(self, inner, target_id, reported):
         self._inner = inner
         self._due = [target_id]
-        self._told = reported
+        self._reported = reported
 
     def __getattr__(self, name):
         return getattr(self._inner, name)
@@ -119,4 +119,4 @@
         return due
 
     def probed(self, target_id, good, latency_ms):
-        self._told.set_result(good)
+        self._reported.set_result(good)
--- a/libraries/health/src/sardinepier/health/events.py
+++ b/libraries/health/src/sardinepier/health/events.py
@@ -1,4 +1,4 @@
-"""Events of a service's health for the time line."""
+"""Events of a service's health for the timeline."""
 
 import msgspec
 
--- a/libraries/once/src/sardinepier/once/ledger.py
+++ b/libraries/once/src/sardinepier/once/ledger.py
@@ -289,6 +289,6 @@
 def _expired_ticket() -> errors.TicketExpiredError:
     return errors.TicketExpiredError(
         'The ticket has expired, and the record of this key is gone',
-        'Find out by other means whether the request ran before sending it '
+        'Check by other means whether the request ran before sending it '
         'with a new key',
     )
--- a/libraries/workbench/src/sardinepier/workbench/main.py
+++ b/libraries/workbench/src/sardinepier/workbench/main.py
@@ -55,7 +55,7 @@
             fire.Fire(_load(words), command=remaining, name=name)
             return
     raise UnknownSubcommandError(
-        f'Unknown subcommand {" ".join(arguments[:2])!r}',
+        f'There is no subcommand {" ".join(arguments[:2])!r}',
         f'Run {_PROGRAM} {_HELP} for a list of all subcommands',
     )
 
@@ -71,8 +71,8 @@
         f'sardinepier.workbench.{words[-1]}.command',
     )
     run: Callable[..., None] = module.run
-    # Fire parses a name such as 5j as a number unless told otherwise. It lists
-    # its metadata attribute in every help text unless the name has an
+    # Fire parses a name such as 5j as a number unless configured otherwise. It
+    # lists its metadata attribute in every help text unless the name has an
     # underscore.
     fire.decorators.FIRE_METADATA = '_fire_metadata'
     text_options = getattr(module, 'TEXT_OPTIONS', ())
--- a/libraries/workbench/src/sardinepier/workbench/policy/client.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/client.py
@@ -95,7 +95,7 @@
             await asyncio.sleep(delay_s)
             raise errors.ConnectionLostError(
                 'The target ended the connection without an answer',
-                'Find out whether the request ran before sending it again',
+                'Check whether the request ran before sending it again',
             ) from error
         await asyncio.sleep(delay_s)
         self._record_statements(target, reply, loop.time())
--- a/libraries/workbench/src/sardinepier/workbench/policy/emulation.py
+++ b/libraries/workbench/src/sardinepier/workbench/policy/emulation.py
@@ -161,8 +161,10 @@
                 )
             except core_errors.SardinepierError as error:
                 is_refused = isinstance(error, refusals.NotRunError)
-                held_s = self._loop.time() - sent_s
-                penalty = _penalty(request_class, held_s, is_refused=is_refused)
+                waited_s = self._loop.time() - sent_s
+                penalty = _penalty(
+                    request_class, waited_s, is_refused=is_refused
+                )
             else:
                 if (
                     answer.status < _SERVER_ERROR
@@ -211,7 +213,7 @@
 
 def _penalty(
     request_class: scenario.RequestClass,
-    held_s: float,
+    waited_s: float,
     *,
     is_refused: bool,
 ) -> float:
@@ -224,7 +226,7 @@
         return _FAILED_PENALTY_SHARE * request_class.worth
     free_s = _FREE_HOLD_SHARE * request_class.aim_s
     max_s = _MAX_HOLD_SHARE * request_class.deadline_s
-    share = (held_s - free_s) / (max_s - free_s)
+    share = (waited_s - free_s) / (max_s - free_s)
     return request_class.worth * min(1.0, max(0.0, share))
 
 
--- a/libraries/zones/src/sardinepier/zones/estimate_updates.py
+++ b/libraries/zones/src/sardinepier/zones/estimate_updates.py
@@ -56,7 +56,7 @@
                 self._sent_observation_s[target_id] = max(before_s, observed_s)
                 if (
                     observed_s > before_s
-                    and record.belief_source in self._sources
+                    and record.estimate_source in self._sources
                 ):
                     estimates.append(_estimate_of(record, now_s))
         return tuple(
@@ -130,7 +130,7 @@
             continue
         if observed_s > record.estimate.updated_s:
             record.estimate.adopt(estimate.failing, observed_s)
-            record.belief_source = source
+            record.estimate_source = source
 
 
 def _estimate_of(
--- a/libraries/zones/src/sardinepier/zones/platform_reader.py
+++ b/libraries/zones/src/sardinepier/zones/platform_reader.py
@@ -19,8 +19,8 @@
     carriers,
     events,
     expired_entries,
-    unusable_entries,
     sharing,
+    unusable_entries,
 )
 
 _INTERVAL_S: Final = 0.9
--- a/libraries/zones/tests/cover/test_zones_non_carriers.py
+++ b/libraries/zones/tests/cover/test_zones_non_carriers.py
@@ -3,7 +3,7 @@
 import pytest
 import zones_support as support
 from sardinepier.core import ids
-from sardinepier.entry import target_record, attempt_requirements
+from sardinepier.entry import attempt_requirements, target_record
 
 _IDLE_S = 3.0
 """Longer than any target may be idle before it is explored."""
@@ -83,5 +83,5 @@
     await zone.run(0.5)
     non_carrier = next(daemon for daemon in zone.living())
     record = non_carrier.services.pool(support.SERVICE).targets.find('new')
-    assert record.belief_source is target_record.ObservationSource.ZONE
+    assert record.estimate_source is target_record.ObservationSource.ZONE
     assert select_target(non_carrier, is_final_attempt=True) != 'new'
--- a/libraries/zones/tests/cover/test_zones_unreachable_zone.py
+++ b/libraries/zones/tests/cover/test_zones_unreachable_zone.py
@@ -9,7 +9,7 @@
 import pytest
 import zones_support as support
 from sardinepier.core import ids
-from sardinepier.entry import model, attempt_requirements
+from sardinepier.entry import attempt_requirements, model
 from sardinepier.zones import messages as zone_messages
 
 
--- a/tests/adapter/test_adapter_process.py
+++ b/tests/adapter/test_adapter_process.py
@@ -94,7 +94,7 @@
     worker.behaviours = ['gated']
     writer.close()
     reader, writer = await first.send_request('/once/2', 'id-2')
-    await support.wait_until(lambda: len(worker.seen) == 2)
+    await support.wait_until(lambda: len(worker.received) == 2)
     first.process.send_signal(signal.SIGTERM)
     await first.until_ready(503)
     worker.gate.set()
