--- a/libraries/entry/tests/cover/test_entry_statements.py
+++ b/libraries/entry/tests/cover/test_entry_statements.py
@@ -93,7 +93,7 @@
 def test_nearly_all_of_a_part_is_used_and_no_more(limit_per_s, part):
     clock = clocks.ManualClock(100.0)
     received = target_statements.TargetStatements()
-    received.part = part
+    received.limit_share = part
     statement = statements.Statement(limit_per_s=limit_per_s)
     received.apply(statement, clock.monotonic_s())
     whole = limit_per_s * part * 60
--- a/libraries/gateway/src/sardinepier/gateway/stated_targets.py
+++ b/libraries/gateway/src/sardinepier/gateway/stated_targets.py
@@ -8,7 +8,7 @@
 from sardinepier.core import clock as clocks
 from sardinepier.core import ids
 from sardinepier.gateway import statements, target_statements
-from sardinepier.routing import limit_parts, wait_queue
+from sardinepier.routing import limit_shares, wait_queue
 
 _SINGLE_DAEMON: Final = ids.InstanceId('')
 
@@ -20,7 +20,7 @@
     """Keeps the statements of the targets that made any.
 
     The senders are the daemons that share the service, including this one if
-    it is among them. Each sender has its part of a target's limit.
+    it is among them. Each sender has its share of a target's limit.
     """
 
     def __init__(
@@ -138,11 +138,11 @@
         return now_s if stated is None else stated.accepts_from_s(now_s)
 
     def _assign(self, target_id: ids.TargetId) -> None:
-        """Compute this daemon's part of the target's limit."""
+        """Compute this daemon's share of the target's limit."""
         stated = self._statements[target_id]
         limit_per_s = stated.newest.limit_per_s
         if limit_per_s is not None:
-            stated.part = limit_parts.part_of(
+            stated.limit_share = limit_shares.share_of(
                 self._own,
                 self._senders,
                 target_id,
--- a/libraries/gateway/src/sardinepier/gateway/target_statements.py
+++ b/libraries/gateway/src/sardinepier/gateway/target_statements.py
@@ -1,6 +1,6 @@
 """The statements of one target, and when this daemon may send it a request.
 
-A limit applies to the sum over all daemons. Each daemon has a part of it, most
+A limit applies to the sum over all daemons. Each daemon has a share of it, most
 daemons have none, and each spaces its requests evenly.
 """
 
@@ -67,17 +67,17 @@
             stated.take(now_s)
 
     This daemon or another daemon received ``newest`` at ``received_s``.
-    ``part``, 0 to 1, is this daemon's part of the target's limit. The target
-    accepts nothing from this daemon before ``backoff_until_s``, which no later
-    statement shortens. ``has_backed_off`` says that the newest answer to this
-    daemon asked for backoff.
+    ``limit_share``, 0 to 1, is this daemon's share of the target's limit. The
+    target accepts nothing from this daemon before ``backoff_until_s``, which no
+    later statement shortens. ``has_backed_off`` says that the newest answer to
+    this daemon asked for backoff.
     """
 
     def __init__(self) -> None:
         """Start without a statement."""
         self.newest = statements.EMPTY
         self.received_s = 0.0
-        self.part = 1.0
+        self.limit_share = 1.0
         self.backoff_until_s = 0.0
         self.has_backed_off = False
         self._limit_expires_s = 0.0
@@ -91,8 +91,8 @@
 
     @property
     def own_per_s(self) -> float:
-        """Return the rate of this daemon's part, 0.0 without a limit."""
-        return self.part * (self.newest.limit_per_s or 0.0)
+        """Return the rate of this daemon's share, 0.0 without a limit."""
+        return self.limit_share * (self.newest.limit_per_s or 0.0)
 
     def apply(self, statement: statements.Statement, received_s: float) -> bool:
         """Apply a statement; return whether it changes anything.
@@ -134,7 +134,7 @@
         accepts_from_s = max(now_s, self.backoff_until_s)
         if self.newest.limit_per_s is None:
             return accepts_from_s
-        if self.part or now_s >= self._limit_expires_s:
+        if self.limit_share or now_s >= self._limit_expires_s:
             return max(accepts_from_s, self._next_request_s)
         return math.inf
 
@@ -162,4 +162,4 @@
         self._next_request_s -= self._own_interval_s()
 
     def _own_interval_s(self) -> float:
-        return self.interval_s / (self.part or 1.0)
+        return self.interval_s / (self.limit_share or 1.0)
--- a/libraries/gateway/tests/cover/test_gateway_stated.py
+++ b/libraries/gateway/tests/cover/test_gateway_stated.py
@@ -55,15 +55,15 @@
     stated = gateway.runtime().statements
     target_id = harness.targets[0].name
     group = [ids.InstanceId(name) for name in ('a', 'b', 'c')]
-    parts = collections.Counter()
+    shares = collections.Counter()
     for limit_per_s in (2, 30):
         statement = statements.Statement(limit_per_s=limit_per_s)
         for own in group:
             other_daemons = [daemon for daemon in group if daemon != own]
             stated.set_senders(other_daemons, own)
             stated.apply(target_id, statement)
-            parts[limit_per_s] += stated._statements[target_id].part
-    assert parts == {2: 1, 30: 1}
+            shares[limit_per_s] += stated._statements[target_id].limit_share
+    assert shares == {2: 1, 30: 1}
     stated.set_senders(group, None)
     assert target_id in stated.not_accepting()
 
--- a/libraries/routing/tests/cover/test_routing_limit_parts.py
+++ b/libraries/routing/tests/cover/test_routing_limit_shares.py
@@ -4,12 +4,12 @@
 from hypothesis import strategies as st
 
 from sardinepier.core import ids
-from sardinepier.routing import limit_parts
+from sardinepier.routing import limit_shares
 
 TARGET = ids.TargetId('t1')
 WINDOW_S = 4.0
 AT_ONCE = 2
-"""Requests that a daemon may send at once, whatever its part."""
+"""Requests that a daemon may send at once, whatever its share."""
 
 NAMES = st.text('abcdef', min_size=1, max_size=4)
 
@@ -22,19 +22,19 @@
     senders, limit_per_s
 ):
     """Guards against exceeding the limit by what each daemon may send at once."""
-    parts = [
-        limit_parts.part_of(own, senders, TARGET, limit_per_s)
+    shares = [
+        limit_shares.share_of(own, senders, TARGET, limit_per_s)
         for own in senders
     ]
-    holders = [part for part in parts if part]
-    assert abs(sum(parts) - 1) < 1e-9
+    holders = [share for share in shares if share]
+    assert abs(sum(shares) - 1) < 1e-9
     max_requests = limit_per_s * WINDOW_S + AT_ONCE * len(holders)
     assert max_requests <= 1.5 * limit_per_s * WINDOW_S + 5
 
 
-def test_a_daemon_that_is_no_sender_has_no_part():
-    assert not limit_parts.part_of('z', ['a', 'b'], TARGET, 5.0)
-    assert not limit_parts.part_of('z', [], TARGET, 5.0)
+def test_a_daemon_that_is_no_sender_has_no_share():
+    assert not limit_shares.share_of('z', ['a', 'b'], TARGET, 5.0)
+    assert not limit_shares.share_of('z', [], TARGET, 5.0)
 
 
 def test_all_choose_the_same_daemon_in_any_order_of_senders():
@@ -43,6 +43,6 @@
         own
         for own in names
         for senders in (names, sorted(names, reverse=True))
-        if limit_parts.part_of(own, senders, TARGET, 1.0)
+        if limit_shares.share_of(own, senders, TARGET, 1.0)
     }
     assert len(chosen) == 1
--- a/libraries/zones/src/sardinepier/zones/limit_parts.py
+++ b/libraries/zones/src/sardinepier/zones/limit_shares.py
@@ -5,11 +5,11 @@
 
 from sardinepier.core import ids, rendezvous
 from sardinepier.entry import service_registry
-from sardinepier.routing import limit_parts
+from sardinepier.routing import limit_shares
 from sardinepier.zones import carriers, ranking
 
 
-class LimitParts:
+class LimitShares:
     """Assigns this daemon's shares of the limits to the request path."""
 
     def __init__(
@@ -29,7 +29,7 @@
                 if limit_per_s is not None:
                     target_id = record.listed.target_id
                     senders = self._senders(target_id, record.listed.zone)
-                    record.statements.part = limit_parts.part_of(
+                    record.statements.limit_share = limit_shares.share_of(
                         self._carriers.own_id,
                         [member.instance_id for member in senders],
                         target_id,
@@ -52,6 +52,6 @@
         first_carriers = (*zone_senders[:1], *self._carriers.of_other_zones())
         zones = {member.zone for member in first_carriers}
         replacement = rendezvous.top_candidates(
-            limit_parts.ranking_key(target_id), zones, 1
+            limit_shares.ranking_key(target_id), zones, 1
         )
         return self._carriers.of_zone(ids.ZoneName(replacement[0]))
--- a/libraries/zones/src/sardinepier/zones/sharing.py
+++ b/libraries/zones/src/sardinepier/zones/sharing.py
@@ -25,7 +25,7 @@
     role,
     zone_load,
 )
-from sardinepier.zones import limit_parts as parts
+from sardinepier.zones import limit_shares as shares
 from sardinepier.zones import updates as zone_updates
 from sardinepier.zones import usage_sharing
 
@@ -93,7 +93,7 @@
             services,
             clock,
         )
-        self._limit_parts = parts.LimitParts(services, zone_carriers)
+        self._limit_shares = shares.LimitShares(services, zone_carriers)
         self._role = role.Role(services, zone_carriers, load, clock)
         self._early_beat = asyncio.Event()
         peer_network.subscribe(messages.ZoneBeat, self._on_heartbeat)
@@ -150,7 +150,7 @@
         self._exchange_with_other_zones()
         self._confirmations.step()
         self._usage.step()
-        self._limit_parts.assign()
+        self._limit_shares.assign()
 
     def _exchange_with_other_zones(self) -> None:
         """Send updates, and take over the exploration of unreachable zones.
--- a/libraries/zones/tests/cover/test_zones_limits.py
+++ b/libraries/zones/tests/cover/test_zones_limits.py
@@ -32,8 +32,8 @@
     }
 
 
-def parts(daemons):
-    return [record_of(daemon).statements.part for daemon in daemons]
+def shares(daemons):
+    return [record_of(daemon).statements.limit_share for daemon in daemons]
 
 
 async def zones_with_a_target(*zones):
@@ -128,17 +128,17 @@
     zone = await zones_with_a_target(*zones)
     apply_statement(zone.daemons[1], limit_per_s)
     await zone.run(1.0)
-    assert sum(parts(zone.daemons)) == pytest.approx(1.0)
+    assert sum(shares(zone.daemons)) == pytest.approx(1.0)
 
 
 async def test_another_carrier_takes_over_the_part_of_a_stopped_one():
     zone = await zones_with_a_target('z1', 'far')
     apply_statement(zone.daemons[0], 1.0)
     await zone.run(1.0)
-    gone = zone.daemons[parts(zone.daemons).index(1.0)]
+    gone = zone.daemons[shares(zone.daemons).index(1.0)]
     zone.stop(gone)
     await zone.run(2.0)
-    assert sum(parts(zone.living())) == pytest.approx(1.0)
+    assert sum(shares(zone.living())) == pytest.approx(1.0)
 
 
 def _time_to_open_s(daemon):
