--- a/libraries/entry/src/sardinepier/entry/service_pool.py
+++ b/libraries/entry/src/sardinepier/entry/service_pool.py
@@ -30,7 +30,7 @@
 
 _FIRST_HEDGE_FACTOR: Final = 2.5
 """Hedge delay as a multiple of the typical latency, until the percentile is
-known. In measurements one request in a hundred took longer."""
+known. One request in a hundred takes longer."""
 
 _MS_PER_S: Final = 1000
 _SMOOTHING: Final = 0.05
@@ -40,8 +40,7 @@
 
 _EARLY_FACTOR: Final = 0.25
 """A failure within this part of the typical latency came before the request
-could be processed. Failing targets were measured to answer in a fiftieth of
-it."""
+could be processed. Failing targets answer in a fiftieth of it."""
 
 _HUNG_FACTOR: Final = 1.5
 """Multiple of the typical latency after which an attempt that is given up
--- a/libraries/entry/src/sardinepier/entry/target_record.py
+++ b/libraries/entry/src/sardinepier/entry/target_record.py
@@ -15,8 +15,8 @@
 
 _OVERDUE_FACTOR: Final = 4.0
 """An attempt that takes this multiple of the typical latency is more likely
-hung than still being processed. Measured processing times were below three times
-their mean in 99 of 100 requests."""
+hung than still being processed: 99 of 100 requests take less than three times
+the mean processing time."""
 
 _MIN_OVERDUE_S: Final = 0.5
 _OVERDUE_PROBABILITY: Final = 0.6
@@ -24,7 +24,7 @@
 
 _SETTLED_S: Final = 0.03
 """An attempt that has not failed within this time most likely won't: failures
-of failing targets were measured to come within a few milliseconds."""
+of failing targets come within a few milliseconds."""
 
 _AVOIDED_S: Final = 1.0
 """How long a target is avoided after a connection attempt timed out; it doubles
--- a/libraries/health/src/sardinepier/health/failure_estimate.py
+++ b/libraries/health/src/sardinepier/health/failure_estimate.py
@@ -29,8 +29,8 @@
     ``healthy_hung_share`` at a healthy one have no answer when it is far
     overdue.
 
-    The defaults were measured on fleets where a third of the targets fails
-    at any time, for about ten seconds each.
+    The defaults fit fleets where a third of the targets fails at any time,
+    for about ten seconds each.
     """
 
     failing_share: float = 0.3
